--- a/src/traffic/control_link.rs
+++ b/src/traffic/control_link.rs
@@ -21,13 +21,13 @@
 use crate::traffic::desired_task::AnnounceVersion;
 use crate::traffic::desired_task::AsksStore;
 use crate::traffic::desired_task::ConfirmVersion;
-use crate::traffic::find_others::found_after_ms;
+use crate::traffic::peer_discovery::found_after_ms;
 use crate::traffic::poison_watch::PoisonWatch;
 use crate::traffic::poison_watch::take_report;
 use crate::traffic::route_origins::KnownOrigins;
 use crate::traffic::route_origins::RouteNews;
 use crate::traffic::traffic::Traffic;
-use crate::traffic::version_news::VersionNews;
+use crate::traffic::version_fetch::VersionNews;
 
 /// What the control thread has to know of this node.
 pub(super) fn control_settings(
--- a/src/traffic/entry.rs
+++ b/src/traffic/entry.rs
@@ -40,7 +40,7 @@
 use crate::traffic::entry_account::strip_account;
 use crate::traffic::forward::forward;
 use crate::traffic::passed_headers::strip_request;
-use crate::traffic::story::EntryStory;
+use crate::traffic::request_log::EntryStory;
 use crate::traffic::traffic::Traffic;
 
 /// When to come back while nothing is known yet, in milliseconds.
--- a/src/traffic/entry_account.rs
+++ b/src/traffic/entry_account.rs
@@ -18,7 +18,7 @@
 use crate::traffic::HeaderNames;
 use crate::traffic::InForce;
 use crate::traffic::call::Call;
-use crate::traffic::story::tell_beyond;
+use crate::traffic::request_log::tell_beyond;
 use crate::traffic::traffic::Traffic;
 use crate::wire::CallAccount;
 
--- a/src/traffic/forward.rs
+++ b/src/traffic/forward.rs
@@ -27,7 +27,7 @@
 use crate::traffic::guard;
 use crate::traffic::hop;
 use crate::traffic::in_flight::InFlightAt;
-use crate::traffic::story::tell_retry;
+use crate::traffic::request_log::tell_retry;
 use crate::traffic::traffic::Traffic;
 
 /// When to come back when no target takes work, in milliseconds.
--- a/src/traffic/guard.rs
+++ b/src/traffic/guard.rs
@@ -41,7 +41,7 @@
 use crate::traffic::hop::CERTAIN_PERMILLE;
 use crate::traffic::hop::hop_call;
 use crate::traffic::poison_watch::as_suspect;
-use crate::traffic::story::GuardStory;
+use crate::traffic::request_log::GuardStory;
 use crate::traffic::traffic::Traffic;
 use crate::wire::HopAnswer;
 use crate::wire::HopCall;
--- a/src/traffic/process.rs
+++ b/src/traffic/process.rs
@@ -41,15 +41,15 @@
 use crate::traffic::listeners::serve_admins;
 use crate::traffic::listeners::serve_callers;
 use crate::traffic::listeners::serve_peers;
+use crate::traffic::maintenance::log_admission;
+use crate::traffic::maintenance::poll_gate;
 use crate::traffic::poison_watch::PoisonWatch;
 use crate::traffic::poison_watch::tell_targets;
 use crate::traffic::roster::Roster;
 use crate::traffic::route_origins::KnownOrigins;
 use crate::traffic::traffic::SharedParts;
 use crate::traffic::traffic::Traffic;
-use crate::traffic::upkeep::log_admission;
-use crate::traffic::upkeep::poll_gate;
-use crate::traffic::version_news::VersionFetch;
+use crate::traffic::version_fetch::VersionFetch;
 
 /// News of versions that wait; more are dropped, since gossip repeats them.
 const MOST_WAITING_NEWS: usize = 64;
--- a/src/traffic/roster.rs
+++ b/src/traffic/roster.rs
@@ -20,11 +20,11 @@
 use crate::store::Store;
 use crate::store::WatchPause;
 use crate::store::part_name;
-use crate::traffic::find_others::FindOthers;
-use crate::traffic::recall::recall_server;
+use crate::traffic::peer_discovery::FindOthers;
 use crate::traffic::roster_row::RosterRow;
 use crate::traffic::roster_row::roster_key;
 use crate::traffic::row_checks::RowChecks;
+use crate::traffic::server_restore::recall_server;
 use crate::traffic::traffic::LocalNews;
 use crate::traffic::traffic::Traffic;
 
