--- a/src/traffic/admin.rs
+++ b/src/traffic/admin.rs
@@ -23,9 +23,9 @@
 use crate::traffic::traffic::Traffic;
 
 /// The longest body of a request here; a report has a few hundred bytes.
-const MOST_BODY_BYTES: usize = 16 * 1024;
+const MAX_BODY_BYTES: usize = 16 * 1024;
 /// How long it may take to arrive.
-const BODY_WITHIN: Duration = Duration::from_secs(2);
+const BODY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What the gauge of the backend server's rate shows while it names none.
 const NO_RATE: f64 = -1.0;
@@ -37,28 +37,28 @@
     request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
     let (parts, body) = request.into_parts();
-    let reading = read_whole(body, MOST_BODY_BYTES, &traffic.bodies);
-    let body = match timeout(BODY_WITHIN, reading).await {
+    let reading = read_whole(body, MAX_BODY_BYTES, &traffic.bodies);
+    let body = match timeout(BODY_TIMEOUT, reading).await {
         Ok(Ok(body)) => body,
-        Ok(Err(error)) => return told(StatusCode::BAD_REQUEST, error.to_string()),
-        Err(_) => return told(StatusCode::REQUEST_TIMEOUT, "the body is late".to_owned()),
+        Ok(Err(error)) => return reply(StatusCode::BAD_REQUEST, error.to_string()),
+        Err(_) => return reply(StatusCode::REQUEST_TIMEOUT, "the body is late".to_owned()),
     };
     let decoded = (protocol.decode)(&parts.method, parts.uri.path(), &body);
     match decoded {
         Ok(AdminRequest::Readiness) => readiness(&traffic),
-        Ok(AdminRequest::Report(report)) => match take_report(&traffic, &report) {
+        Ok(AdminRequest::Report(report)) => match handle_report(&traffic, &report) {
             Ok(()) => acknowledged(&protocol),
             Err(error) => refused(&error),
         },
         Ok(AdminRequest::Metrics) => metrics(&traffic),
-        Ok(AdminRequest::Unknown) => told(StatusCode::NOT_FOUND, "not served here".to_owned()),
+        Ok(AdminRequest::Unknown) => reply(StatusCode::NOT_FOUND, "not served here".to_owned()),
         Err(error) => refused(&error),
     }
 }
 
 fn refused(error: &ReportError) -> Response<Full<Bytes>> {
     log::warn!("local: a report was not taken, error={error}");
-    told(StatusCode::BAD_REQUEST, error.to_string())
+    reply(StatusCode::BAD_REQUEST, error.to_string())
 }
 
 /// Ready is who knows where requests go and has not begun to stop.
@@ -69,15 +69,15 @@
     } else {
         StatusCode::SERVICE_UNAVAILABLE
     };
-    told(status, String::new())
+    reply(status, String::new())
 }
 
-fn take_report(traffic: &Traffic, report: &ServerReport) -> Result<(), ReportError> {
+fn handle_report(traffic: &Traffic, report: &ServerReport) -> Result<(), ReportError> {
     if let Some(service) = unknown_service(traffic, report) {
         return Err(ReportError::UnknownService(service.to_string()));
     }
     let now = traffic.clock.now();
-    traffic.change_local(|local| local.take(now, report));
+    traffic.update_local(|local| local.apply_report(now, report));
     Ok(())
 }
 
@@ -121,13 +121,13 @@
     traffic.metrics.set_guard_queue(&queued);
     let version = traffic.desired.version();
     traffic.metrics.config_version.set(version as i64);
-    told(
+    reply(
         StatusCode::OK,
         String::from_utf8_lossy(&traffic.metrics.render()).into_owned(),
     )
 }
 
-fn told(status: StatusCode, text: String) -> Response<Full<Bytes>> {
+fn reply(status: StatusCode, text: String) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(text)));
     *response.status_mut() = status;
     response
--- a/src/traffic/allowance_task.rs
+++ b/src/traffic/allowance_task.rs
@@ -14,17 +14,17 @@
 use crate::control::TakeAllowances;
 use crate::core::FastMap;
 use crate::core::Name;
-use crate::traffic::allowances::Told;
+use crate::traffic::allowances::PeerMessage;
 use crate::traffic::traffic::Traffic;
 
 /// How often what is due is looked for.
-const LOOK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How often metrics of accounts are set.
-const SHOW: Duration = Duration::from_secs(5);
+const METRICS_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Hands what others tell to [`keep_allowances`].
-pub(super) fn take_allowances(waiting: Sender<Told>) -> TakeAllowances {
+/// Hands what others tell to [`run_allowances`].
+pub(super) fn allowance_handler(waiting: Sender<PeerMessage>) -> TakeAllowances {
     Arc::new(move |from: &Name, message: AllowanceMessage| {
         if waiting.try_send((from.clone(), message)).is_err() {
             log::debug!("account: a message about allowances was dropped, from={from}");
@@ -33,29 +33,29 @@
 }
 
 /// Runs on the control thread for good.
-pub(super) async fn keep_allowances(
+pub(super) async fn run_allowances(
     traffic: Arc<Traffic>,
     control: Arc<ControlHandle>,
-    mut told: Receiver<Told>,
+    mut incoming: Receiver<PeerMessage>,
 ) {
-    let mut shows = interval(SHOW);
-    shows.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut looks = interval(LOOK);
-    looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut metric_updates = interval(METRICS_INTERVAL);
+    metric_updates.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut ticks = interval(TICK_INTERVAL);
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
-            message = told.recv() => match message {
-                Some((from, message)) => take(&traffic, &control, &from, message),
+            message = incoming.recv() => match message {
+                Some((from, message)) => handle(&traffic, &control, &from, message),
                 None => return,
             },
-            _ = looks.tick() => look(&traffic, &control),
-            _ = shows.tick() => show(&traffic),
+            _ = ticks.tick() => send_due(&traffic, &control),
+            _ = metric_updates.tick() => update_account_metrics(&traffic),
         }
     }
 }
 
 /// Shows the busiest accounts by name, and all others together.
-fn show(traffic: &Traffic) {
+fn update_account_metrics(traffic: &Traffic) {
     let in_force = traffic.desired.load();
     let accounts = in_force.iter().flat_map(|known| &known.state.accounts);
     let names = accounts.flatten().map(|account| &account.name);
@@ -67,15 +67,15 @@
     traffic.metrics.set_accounts(named);
 }
 
-fn take(traffic: &Traffic, control: &ControlHandle, from: &Name, message: AllowanceMessage) {
+fn handle(traffic: &Traffic, control: &ControlHandle, from: &Name, message: AllowanceMessage) {
     let now = traffic.clock.now();
     let view = traffic.view.load();
-    if let Some((to, answer)) = traffic.allowances.take(now, &view, from, message) {
+    if let Some((to, answer)) = traffic.allowances.handle(now, &view, from, message) {
         control.tell_allowances(to, answer);
     }
 }
 
-fn look(traffic: &Traffic, control: &ControlHandle) {
+fn send_due(traffic: &Traffic, control: &ControlHandle) {
     let Some(in_force) = traffic.desired.load() else {
         return;
     };
--- a/src/traffic/allowances.rs
+++ b/src/traffic/allowances.rs
@@ -23,18 +23,18 @@
 use crate::traffic::fleet_watch::FleetWatch;
 
 /// How often keepers of different failure domains tell each other, in milliseconds.
-const DOMAINS_MS: u64 = 300;
+const DOMAIN_EXCHANGE_MS: u64 = 300;
 
 /// A message and the node that it is for.
-pub(super) type Told = (Name, AllowanceMessage);
+pub(super) type PeerMessage = (Name, AllowanceMessage);
 
 #[derive(Debug)]
-struct Keeping {
+struct KeeperState {
     keeper: AllowanceKeeper,
     fleet: FleetWatch,
     /// The version whose allowances are kept.
     version: u64,
-    told_domains: TimeMs,
+    last_domain_exchange: TimeMs,
 }
 
 /// Shared by the entry and the control thread. No lock is held while another one is taken.
@@ -45,7 +45,7 @@
     /// How many nodes there are, as last looked up.
     nodes: AtomicUsize,
     entry: Mutex<EntryAllowances>,
-    keeping: Mutex<Keeping>,
+    keeper_state: Mutex<KeeperState>,
 }
 
 impl Allowances {
@@ -63,11 +63,11 @@
             domain,
             nodes: AtomicUsize::new(0),
             entry: Mutex::new(EntryAllowances::new(bound, is_first_start, process, now)),
-            keeping: Mutex::new(Keeping {
+            keeper_state: Mutex::new(KeeperState {
                 keeper: AllowanceKeeper::new(is_first_start, now),
                 fleet: FleetWatch::default(),
                 version: 0,
-                told_domains: now,
+                last_domain_exchange: now,
             }),
         }
     }
@@ -105,64 +105,70 @@
     }
 
     /// Looks at the time, and answers what is to be told.
-    pub(super) fn tick(&self, now: TimeMs, view: &View, in_force: &InForce) -> Vec<Told> {
+    pub(super) fn tick(&self, now: TimeMs, view: &View, in_force: &InForce) -> Vec<PeerMessage> {
         if in_force.accounts.is_none() {
             return Vec::new();
         }
-        let keepers = self.follow(now, view, in_force);
-        let mut told = Vec::new();
+        let keepers = self.update_fleet(now, view, in_force);
+        let mut outgoing = Vec::new();
         // Not in the condition itself, which would hold the lock for the whole block.
         let report = self.entry().report(now);
         if let Some(report) = report {
-            self.tell_report(now, &keepers, report, &mut told);
+            self.send_report(now, &keepers, report, &mut outgoing);
         }
         if keepers.first() == Some(&self.node) {
-            self.tell_domains(now, &mut told);
+            self.send_to_other_domains(now, &mut outgoing);
         }
-        told
+        outgoing
     }
 
     /// Takes in what another node tells, and answers what it is to be told.
-    pub(super) fn take(
+    pub(super) fn handle(
         &self,
         now: TimeMs,
         view: &View,
         from: &Name,
         message: AllowanceMessage,
-    ) -> Option<Told> {
+    ) -> Option<PeerMessage> {
         match message {
-            AllowanceMessage::Report(report) => self.take_report(now, from, &report),
-            AllowanceMessage::Word(word) => {
-                self.entry().take_word(now, &word);
+            AllowanceMessage::Report(report) => self.handle_report(now, from, &report),
+            AllowanceMessage::Word(answer) => {
+                self.entry().take_word(now, &answer);
                 None
             }
-            AllowanceMessage::Domain(news) => {
+            AllowanceMessage::Domain(usage) => {
                 let sender = view.nodes.get(from)?;
-                let mut keeping = self.keeping();
-                keeping.keeper.take_domain(now, &sender.domain, &news);
+                let mut keeper_state = self.keeper_state();
+                keeper_state.keeper.take_domain(now, &sender.domain, &usage);
                 None
             }
         }
     }
 
     /// Follows who is there and what is in force; answers the keepers of the own failure domain.
-    fn follow(&self, now: TimeMs, view: &View, in_force: &InForce) -> Vec<Name> {
-        let mut keeping = self.keeping();
-        if keeping.version != in_force.state.version {
-            keeping.version = in_force.state.version;
+    fn update_fleet(&self, now: TimeMs, view: &View, in_force: &InForce) -> Vec<Name> {
+        let mut keeper_state = self.keeper_state();
+        if keeper_state.version != in_force.state.version {
+            keeper_state.version = in_force.state.version;
             let allowances = allowances_of(in_force);
-            keeping.keeper.set_allowances(allowances);
+            keeper_state.keeper.set_allowances(allowances);
         }
-        if let Some(fleet) = keeping.fleet.follow(now, view, &self.domain) {
+        if let Some(fleet) = keeper_state.fleet.update(now, view, &self.domain) {
             self.nodes.store(fleet.nodes(), Ordering::Relaxed);
-            keeping.keeper.set_fleet(now, fleet);
+            keeper_state.keeper.set_fleet(now, fleet);
         }
-        keeping.fleet.keepers(&self.domain).to_vec()
+        keeper_state.fleet.keepers(&self.domain).to_vec()
     }
 
     /// Both keepers of the failure domain hear what is used, so that the second one knows all when the first
     /// is gone; the first one answers, and the second one if there was no word lately.
-    fn tell_report(&self, now: TimeMs, keepers: &[Name], report: Report, told: &mut Vec<Told>) {
+    fn send_report(
+        &self,
+        now: TimeMs,
+        keepers: &[Name],
+        report: Report,
+        outgoing: &mut Vec<PeerMessage>,
+    ) {
         let is_worded = self
             .worded()
             .is_some_and(|at| now.since(at) < EntryAllowances::WORD_MISSED_MS);
@@ -172,30 +178,30 @@
                 ..report.clone()
             };
             if *keeper != self.node {
-                told.push((keeper.clone(), AllowanceMessage::Report(report)));
+                outgoing.push((keeper.clone(), AllowanceMessage::Report(report)));
                 continue;
             }
-            let word = self.keeping().keeper.take_report(now, keeper, &report);
-            if let Some(word) = word {
-                self.entry().take_word(now, &word);
+            let answer = self.keeper_state().keeper.take_report(now, keeper, &report);
+            if let Some(answer) = answer {
+                self.entry().take_word(now, &answer);
             }
         }
     }
 
-    fn take_report(&self, now: TimeMs, from: &Name, report: &Report) -> Option<Told> {
-        let word = self.keeping().keeper.take_report(now, from, report)?;
-        Some((from.clone(), AllowanceMessage::Word(word)))
+    fn handle_report(&self, now: TimeMs, from: &Name, report: &Report) -> Option<PeerMessage> {
+        let answer = self.keeper_state().keeper.take_report(now, from, report)?;
+        Some((from.clone(), AllowanceMessage::Word(answer)))
     }
 
-    fn tell_domains(&self, now: TimeMs, told: &mut Vec<Told>) {
-        let mut keeping = self.keeping();
-        if now.since(keeping.told_domains) < DOMAINS_MS {
+    fn send_to_other_domains(&self, now: TimeMs, outgoing: &mut Vec<PeerMessage>) {
+        let mut keeper_state = self.keeper_state();
+        if now.since(keeper_state.last_domain_exchange) < DOMAIN_EXCHANGE_MS {
             return;
         }
-        keeping.told_domains = now;
-        let news = keeping.keeper.tell_domains(now);
-        for keeper in keeping.fleet.other_keepers(&self.domain) {
-            told.push((keeper.clone(), AllowanceMessage::Domain(news.clone())));
+        keeper_state.last_domain_exchange = now;
+        let usage = keeper_state.keeper.tell_domains(now);
+        for keeper in keeper_state.fleet.other_keepers(&self.domain) {
+            outgoing.push((keeper.clone(), AllowanceMessage::Domain(usage.clone())));
         }
     }
 
@@ -203,8 +209,10 @@
         self.entry.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn keeping(&self) -> MutexGuard<'_, Keeping> {
-        self.keeping.lock().unwrap_or_else(PoisonError::into_inner)
+    fn keeper_state(&self) -> MutexGuard<'_, KeeperState> {
+        self.keeper_state
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
--- a/src/traffic/announcement_cache.rs
+++ b/src/traffic/announcement_cache.rs
@@ -6,11 +6,11 @@
 use crate::wire::ServerWord;
 
 /// Backend servers whose words are remembered; beyond it the one that was heard of longest ago is forgotten.
-const MOST_TOLD: usize = 2_048;
+const MAX_ENTRIES: usize = 2_048;
 
 #[derive(Clone, Debug)]
-struct Told {
-    word: ServerWord,
+struct Entry {
+    announcement: ServerWord,
     at: TimeMs,
 }
 
@@ -21,53 +21,65 @@
 /// takes it over if it stands beside that incarnation. It does not depend on gossip, the store, or the
 /// node's being in the view.
 #[derive(Clone, Debug, Default)]
-pub struct ToldWords {
-    told: FastMap<Name, Told>,
+pub struct AnnouncementCache {
+    entries: FastMap<Name, Entry>,
 }
 
-impl ToldWords {
+impl AnnouncementCache {
     /// Takes in what came with an answer of the guard on `node`. `has_run` says that the backend server ran
     /// the call; without a word beside it, that one names no rate any more.
-    pub fn note(&mut self, now: TimeMs, node: &Name, word: Option<ServerWord>, has_run: bool) {
-        match word {
-            Some(word) => self.hold(now, node, word),
+    pub fn update(
+        &mut self,
+        now: TimeMs,
+        node: &Name,
+        announcement: Option<ServerWord>,
+        has_run: bool,
+    ) {
+        match announcement {
+            Some(announcement) => self.insert(now, node, announcement),
             None if has_run => self.forget_rate(node),
             None => {}
         }
     }
 
     /// What the backend server beside a node has said, if anything binds.
-    pub fn of(&self, node: &Name) -> Option<&ServerWord> {
-        self.told.get(node).map(|told| &told.word)
+    pub fn get(&self, node: &Name) -> Option<&ServerWord> {
+        self.entries.get(node).map(|entry| &entry.announcement)
     }
 
-    fn hold(&mut self, now: TimeMs, node: &Name, mut word: ServerWord) {
-        let before = self.of(node);
-        let is_same = |before: &&ServerWord| before.incarnation == word.incarnation;
+    fn insert(&mut self, now: TimeMs, node: &Name, mut announcement: ServerWord) {
+        let before = self.get(node);
+        let is_same = |before: &&ServerWord| before.incarnation == announcement.incarnation;
         let was_leaving = before.filter(is_same).is_some_and(|before| {
-            before.is_leaving && before.started_unix_ms >= word.started_unix_ms
+            before.is_leaving && before.started_unix_ms >= announcement.started_unix_ms
         });
-        word.is_leaving |= was_leaving;
-        if before.is_none() && self.told.len() >= MOST_TOLD {
-            self.forget_oldest();
+        announcement.is_leaving |= was_leaving;
+        if before.is_none() && self.entries.len() >= MAX_ENTRIES {
+            self.evict_oldest();
         }
-        self.told.insert(node.clone(), Told { word, at: now });
+        self.entries.insert(
+            node.clone(),
+            Entry {
+                announcement,
+                at: now,
+            },
+        );
     }
 
     fn forget_rate(&mut self, node: &Name) {
-        let Some(told) = self.told.get_mut(node) else {
+        let Some(entry) = self.entries.get_mut(node) else {
             return;
         };
-        told.word.rate_milli = None;
-        if !told.word.is_leaving {
-            self.told.remove(node);
+        entry.announcement.rate_milli = None;
+        if !entry.announcement.is_leaving {
+            self.entries.remove(node);
         }
     }
 
-    fn forget_oldest(&mut self) {
-        let oldest = self.told.iter().min_by_key(|(_, told)| told.at);
+    fn evict_oldest(&mut self) {
+        let oldest = self.entries.iter().min_by_key(|(_, entry)| entry.at);
         if let Some(node) = oldest.map(|(node, _)| node.clone()) {
-            self.told.remove(&node);
+            self.entries.remove(&node);
         }
     }
 }
--- a/src/traffic/attempt.rs
+++ b/src/traffic/attempt.rs
@@ -10,7 +10,7 @@
 
 /// What the guard said beside its answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct GuardNews {
+pub(super) struct GuardStatus {
     pub load: LoadReport,
     /// Which share of calls fails at the backend server, in thousandths.
     pub failing_permille: u32,
@@ -19,7 +19,7 @@
     /// Who uses the call's route.
     pub origin: Option<RouteOrigin>,
     /// What the backend server has said of itself, if it binds.
-    pub word: Option<ServerWord>,
+    pub announcement: Option<ServerWord>,
 }
 
 /// The end of an attempt.
@@ -29,7 +29,7 @@
     /// The backend server was sent the call, as far as is known.
     pub reached_backend: bool,
     /// `None` when the guard did not answer.
-    pub news: Option<GuardNews>,
+    pub guard_status: Option<GuardStatus>,
 }
 
 impl AttemptEnd {
@@ -38,7 +38,7 @@
         Self {
             result: Err(refusal),
             reached_backend,
-            news: None,
+            guard_status: None,
         }
     }
 
--- a/src/traffic/backend.rs
+++ b/src/traffic/backend.rs
@@ -19,7 +19,7 @@
 use crate::node::permit::Permit;
 use crate::poison::Running;
 use crate::traffic::backend_answer::check;
-use crate::traffic::backend_answer::is_for;
+use crate::traffic::backend_answer::matches_id;
 use crate::traffic::call::GuardedCall;
 use crate::traffic::call::Progress;
 use crate::traffic::guard::not_run;
@@ -78,9 +78,9 @@
         Err(refusal) if refusal.reason == RefusalReason::DeadlineExceeded => Verdict::Cancelled,
         Err(_) => Verdict::Failed,
     };
-    traffic.note_end(verdict != Verdict::Ok);
+    traffic.record_end(verdict != Verdict::Ok);
     if verdict == Verdict::Ok {
-        traffic.poison.note_success(&suspect);
+        traffic.poison.record_success(&suspect);
     }
     let service_us = traffic.clock.now_us().saturating_sub(permit.since_us);
     let seconds = service_us as f64 / 1e6;
@@ -108,13 +108,13 @@
     let Some(request) = request(traffic, call, incarnation, left_ms) else {
         return BackendEnd::not_sent(not_run(RefusalReason::BadRequest));
     };
-    progress.sent();
+    progress.mark_sent();
     traffic.metrics.backend_calls.inc();
     let sent_at = traffic.clock.now();
     let address = traffic.live().backend_address;
     let sent = traffic
         .backend
-        .send(address, request, |response| is_for(names, id, response))
+        .send(address, request, |response| matches_id(names, id, response))
         .await;
     match sent {
         Ok(mut answer) => {
@@ -156,10 +156,10 @@
 
 fn lost(traffic: &Traffic, incarnation: &Name, suspect: Running, error: &SendError) -> BackendEnd {
     if error.is_unsent() {
-        traffic.change_local(|local| local.note_refused(incarnation));
+        traffic.update_local(|local| local.mark_down(incarnation));
         return BackendEnd::not_sent(not_run(RefusalReason::BackendDown));
     }
-    traffic.poison.note_broken(suspect);
+    traffic.poison.record_broken(suspect);
     BackendEnd::sent(Err(unknown(RefusalReason::BackendBroke)))
 }
 
--- a/src/traffic/backend_answer.rs
+++ b/src/traffic/backend_answer.rs
@@ -14,7 +14,7 @@
 use crate::core::RefusalReason;
 use crate::core::TimeMs;
 use crate::traffic::HeaderNames;
-use crate::traffic::Reported;
+use crate::traffic::LocalChange;
 use crate::traffic::ServerReport;
 use crate::traffic::guard::not_run;
 use crate::traffic::traffic::Traffic;
@@ -24,7 +24,7 @@
 ///
 /// Guards against a second answer to an earlier request, which a faulty backend server sends when
 /// the next one is due: it would go to another caller. The connection is not used again.
-pub(super) fn is_for(
+pub(super) fn matches_id(
     names: &HeaderNames,
     id: Option<&HeaderValue>,
     response: &Response<Incoming>,
@@ -45,34 +45,34 @@
     answer: &WholeAnswer,
 ) -> Result<(), Refusal> {
     let names = &traffic.settings.header_names;
-    let words = names.words(&answer.headers);
+    let announcements = names.read_announcements(&answer.headers);
     if answer.status == StatusCode::MISDIRECTED_REQUEST {
-        if let Some(actual) = note_actual(traffic, incarnation, answer) {
-            note_words(traffic, &actual, sent_at, words);
+        if let Some(actual) = correct_incarnation(traffic, incarnation, answer) {
+            apply_announcements(traffic, &actual, sent_at, announcements);
         }
         return Err(not_run(RefusalReason::BackendReplaced));
     }
     if answer.headers.get(&names.request_id) != id {
         traffic.metrics.wrong_answers.inc();
         log::warn!("guard: an answer to another request was dropped");
-        return Err(broke());
+        return Err(broken_answer());
     }
-    let is_sound = is_sound(names, answer);
+    let is_valid = is_valid(names, answer);
     // A spoilt answer that says nothing is no word that nothing is to be said.
-    if is_sound || words.said().next().is_some() {
-        note_words(traffic, incarnation, sent_at, words);
+    if is_valid || announcements.said().next().is_some() {
+        apply_announcements(traffic, incarnation, sent_at, announcements);
     }
     if answer.headers.contains_key(&names.not_run) {
         return Err(not_run(RefusalReason::BackendShed));
     }
-    if !is_sound {
+    if !is_valid {
         traffic.metrics.broken_answers.inc();
-        return Err(broke());
+        return Err(broken_answer());
     }
     Ok(())
 }
 
-fn is_sound(names: &HeaderNames, answer: &WholeAnswer) -> bool {
+fn is_valid(names: &HeaderNames, answer: &WholeAnswer) -> bool {
     let headers = &answer.headers;
     let is_signed = headers.contains_key(&names.signature);
     !headers.contains_key(CONTENT_ENCODING) && (is_signed || !answer.status.is_success())
@@ -82,36 +82,36 @@
 ///
 /// A departure is the same fact as one that is reported, and is known here before the answer is passed on:
 /// whoever gets that answer relies on it.
-pub(super) fn note_words(
+pub(super) fn apply_announcements(
     traffic: &Traffic,
     incarnation: &Name,
     sent_at: TimeMs,
-    words: ServerWords,
+    announcements: ServerWords,
 ) {
-    words
+    announcements
         .said()
         .for_each(|word| traffic.metrics.count_word(word));
-    if words.rate == RateWord::Malformed {
+    if announcements.rate == RateWord::Malformed {
         log::warn!("local: a rate cannot be read, incarnation={incarnation}");
     }
     let now = traffic.clock.now();
-    if words.is_leaving {
+    if announcements.is_leaving {
         let departure = ServerReport::departure(incarnation.clone(), None);
-        traffic.change_local(|local| local.take(now, &departure));
+        traffic.update_local(|local| local.apply_report(now, &departure));
     }
     let mut change = RateChange::Unchanged;
-    traffic.change_local(|local| {
-        change = local.note_rate(now, incarnation, sent_at, words.rate);
+    traffic.update_local(|local| {
+        change = local.apply_rate(now, incarnation, sent_at, announcements.rate);
         match change {
-            RateChange::Unchanged => Reported::Nothing,
-            _ => Reported::News,
+            RateChange::Unchanged => LocalChange::NoChange,
+            _ => LocalChange::Changed,
         }
     });
-    tell_change(traffic, incarnation, change);
+    log_rate_change(traffic, incarnation, change);
 }
 
 /// One line for each beginning, change and end of a limit, with how many calls it has turned away so far.
-fn tell_change(traffic: &Traffic, incarnation: &Name, change: RateChange) {
+fn log_rate_change(traffic: &Traffic, incarnation: &Name, change: RateChange) {
     let turned_away = || traffic.gate.turned_away();
     match change {
         RateChange::Unchanged => {}
@@ -136,16 +136,16 @@
 }
 
 /// The incarnation that refused a call meant for another one, if it names itself.
-fn note_actual(traffic: &Traffic, expected: &Name, answer: &WholeAnswer) -> Option<Name> {
+fn correct_incarnation(traffic: &Traffic, expected: &Name, answer: &WholeAnswer) -> Option<Name> {
     let names = &traffic.settings.header_names;
     let actual = answer.headers.get(&names.incarnation)?.to_str().ok()?;
     let actual = Name::from(actual);
     log::info!("local: another incarnation answers, expected={expected} actual={actual}");
     let now = traffic.clock.now();
-    traffic.change_local(|local| local.note_actual(now, expected, &actual));
+    traffic.update_local(|local| local.correct_incarnation(now, expected, &actual));
     Some(actual)
 }
 
-fn broke() -> Refusal {
+fn broken_answer() -> Refusal {
     Refusal::unknown(RefusalReason::BackendBroke, 0)
 }
--- a/src/traffic/call.rs
+++ b/src/traffic/call.rs
@@ -86,7 +86,7 @@
 
 impl Progress {
     /// An attempt begins.
-    pub(super) fn begins(&self, target: &Name) {
+    pub(super) fn start_attempt(&self, target: &Name) {
         let mut trace = self.trace.lock().unwrap_or_else(PoisonError::into_inner);
         trace.attempts += 1;
         trace.target = Some(target.clone());
@@ -99,12 +99,12 @@
     }
 
     /// From now on it may run.
-    pub(super) fn sent(&self) {
+    pub(super) fn mark_sent(&self) {
         self.may_run.store(true, Ordering::Relaxed);
     }
 
     /// An attempt has ended without an answer.
-    pub(super) fn ended(&self, run_state: RunState) {
+    pub(super) fn end_attempt(&self, run_state: RunState) {
         self.may_run.store(false, Ordering::Relaxed);
         if run_state != RunState::NotRun {
             self.may_have_run.store(true, Ordering::Relaxed);
@@ -112,7 +112,7 @@
     }
 
     /// An attempt that has ended had sent the call to a backend server.
-    pub(super) fn note_reached_backend(&self) {
+    pub(super) fn mark_reached_backend(&self) {
         self.reached_backend.store(true, Ordering::Relaxed);
     }
 
@@ -122,7 +122,7 @@
     }
 
     /// Whether any attempt runs or may have run.
-    pub(super) fn is_in_doubt(&self) -> bool {
+    pub(super) fn may_have_run_anywhere(&self) -> bool {
         self.may_run.load(Ordering::Relaxed) || self.may_have_run.load(Ordering::Relaxed)
     }
 
@@ -130,7 +130,7 @@
     ///
     /// Guards against a refusal that says `not_run` for a call of which an earlier attempt was lost
     /// and may have run.
-    pub(super) fn of_all_attempts(&self, mut refusal: Refusal) -> Refusal {
+    pub(super) fn with_earlier_attempts(&self, mut refusal: Refusal) -> Refusal {
         if refusal.run_state == RunState::NotRun && self.may_have_run.load(Ordering::Relaxed) {
             refusal.run_state = RunState::Unknown;
         }
--- a/src/traffic/control_link.rs
+++ b/src/traffic/control_link.rs
@@ -19,15 +19,15 @@
 use crate::traffic::DesiredInForce;
 use crate::traffic::TrafficSettings;
 use crate::traffic::desired_task::AnnounceVersion;
-use crate::traffic::desired_task::AsksStore;
 use crate::traffic::desired_task::ConfirmVersion;
-use crate::traffic::peer_discovery::found_after_ms;
+use crate::traffic::desired_task::ShouldPollStore;
+use crate::traffic::peer_discovery::discovery_time_ms;
 use crate::traffic::poison_watch::PoisonWatch;
-use crate::traffic::poison_watch::take_report;
-use crate::traffic::route_origins::KnownOrigins;
-use crate::traffic::route_origins::RouteNews;
+use crate::traffic::poison_watch::apply_peer_report;
+use crate::traffic::route_origins::RouteOriginUpdate;
+use crate::traffic::route_origins::RouteOrigins;
 use crate::traffic::traffic::Traffic;
-use crate::traffic::version_fetch::VersionNews;
+use crate::traffic::version_fetch::VersionAnnouncement;
 
 /// What the control thread has to know of this node.
 pub(super) fn control_settings(
@@ -53,33 +53,33 @@
     settings: &TrafficSettings,
     desired: &Arc<DesiredInForce>,
     poison: &Arc<PoisonWatch>,
-    origins: &Arc<KnownOrigins>,
-    news: Sender<VersionNews>,
+    origins: &Arc<RouteOrigins>,
+    announcements: Sender<VersionAnnouncement>,
 ) -> ControlHandlers {
-    let asked = desired.clone();
-    let held = desired.clone();
+    let for_requests = desired.clone();
+    let for_announcements = desired.clone();
     let origins = origins.clone();
     let (poison, service) = (poison.clone(), settings.service.clone());
     ControlHandlers {
-        report_suspects: Arc::new(move |news| take_report(&poison, &service, &news)),
-        config_above: Arc::new(move |above| asked.document_above(above)),
+        report_suspects: Arc::new(move |report| apply_peer_report(&poison, &service, &report)),
+        config_above: Arc::new(move |above| for_requests.document_above(above)),
         config_news: Arc::new(move |from, version, is_near| {
-            let told = VersionNews {
+            let announced = VersionAnnouncement {
                 from,
                 version,
                 is_near,
             };
-            if version > held.version() && news.try_send(told).is_err() {
+            if version > for_announcements.version() && announcements.try_send(announced).is_err() {
                 log::debug!("config: news were dropped, version={version}");
             }
         }),
-        route_use: Arc::new(move |route, by| origins.take_news(route, by)),
+        route_use: Arc::new(move |route, by| origins.learn_from_peer(route, by)),
         ..ControlHandlers::default()
     }
 }
 
 /// Whether this node asks the store now; see [`asks_store`].
-pub(super) fn asks(traffic: &Arc<Traffic>, control: &Arc<ControlHandle>) -> AsksStore {
+pub(super) fn should_poll(traffic: &Arc<Traffic>, control: &Arc<ControlHandle>) -> ShouldPollStore {
     let (traffic, control) = (traffic.clone(), control.clone());
     let started = traffic.clock.now();
     Arc::new(move || {
@@ -88,8 +88,8 @@
         let known = Known {
             any: traffic.desired.version() > 0,
             found_for_ms: settings.is_first_start.then(|| {
-                let found_after_ms = found_after_ms(settings.store_rates);
-                now.since(started) as i64 - found_after_ms as i64
+                let discovery_time_ms = discovery_time_ms(settings.store_rates);
+                now.since(started) as i64 - discovery_time_ms as i64
             }),
             heard_ms_ago: now.since(control.freshness.heard()),
             confirmed_ms_ago: now.since(control.freshness.confirmed()),
@@ -120,30 +120,33 @@
 
 /// Tells all members what is known of the local backend server, at each change.
 pub(super) async fn announce_local(control: Arc<ControlHandle>, traffic: Arc<Traffic>) {
-    let mut news = traffic.local_news.subscribe();
+    let mut status = traffic.local_status.subscribe();
     loop {
-        let local = news.borrow_and_update().clone();
+        let local = status.borrow_and_update().clone();
         let state = if traffic.is_leaving.load(Ordering::Relaxed) {
             TargetState::Draining
         } else {
             local.state
         };
         control.announce(&local.service, local.slots, state);
-        if news.changed().await.is_err() {
+        if status.changed().await.is_err() {
             return;
         }
     }
 }
 
 /// Tells all members who uses which route, as this node finds it out.
-pub(super) async fn announce_routes(control: Arc<ControlHandle>, mut news: Receiver<RouteNews>) {
-    while let Some((route, by)) = news.recv().await {
+pub(super) async fn announce_routes(
+    control: Arc<ControlHandle>,
+    mut updates: Receiver<RouteOriginUpdate>,
+) {
+    while let Some((route, by)) = updates.recv().await {
         control.announce_route_use(route, by);
     }
 }
 
 /// Takes in an era of the store that another member has seen.
-pub(super) fn take_era(eras: &EraWatch) -> Arc<dyn Fn(u64) + Send + Sync> {
+pub(super) fn era_handler(eras: &EraWatch) -> Arc<dyn Fn(u64) + Send + Sync> {
     let eras = eras.clone();
     Arc::new(move |era| {
         eras.take(era);
--- a/src/traffic/cost_log.rs
+++ b/src/traffic/cost_log.rs
@@ -9,9 +9,9 @@
 use crate::traffic::traffic::Traffic;
 
 /// How often it is logged.
-const EVERY: Duration = Duration::from_secs(20);
+const LOG_INTERVAL: Duration = Duration::from_secs(20);
 /// The counters that make up what a node costs.
-const FAMILIES: [&str; 3] = [
+const COST_METRICS: [&str; 3] = [
     "sassafrasgap_store_calls_total",
     "sassafrasgap_store_failures_total",
     "sassafrasgap_control_bytes_total",
@@ -20,23 +20,23 @@
 /// Logs all that was counted since the start, every 20 s.
 pub(super) async fn log_costs(traffic: Arc<Traffic>) {
     loop {
-        tokio::time::sleep(EVERY).await;
+        tokio::time::sleep(LOG_INTERVAL).await;
         let families = traffic.metrics.registry().gather();
         let counted = families
             .iter()
-            .filter(|family| FAMILIES.contains(&family.name()));
-        let words: Vec<String> = counted.flat_map(words_of).collect();
-        log::info!("cost: since the start, {}", words.join(" "));
+            .filter(|family| COST_METRICS.contains(&family.name()));
+        let costs: Vec<String> = counted.flat_map(format_family).collect();
+        log::info!("cost: since the start, {}", costs.join(" "));
     }
 }
 
-fn words_of(family: &MetricFamily) -> Vec<String> {
+fn format_family(family: &MetricFamily) -> Vec<String> {
     let metrics = family.get_metric().iter();
-    metrics.map(word_of).collect()
+    metrics.map(format_metric).collect()
 }
 
 /// The labels' values joined by underscores, and the count.
-fn word_of(metric: &Metric) -> String {
+fn format_metric(metric: &Metric) -> String {
     let labels = metric.get_label().iter().map(|label| label.value());
     let labels: Vec<&str> = labels.collect();
     let count = metric.get_counter().get_value();
--- a/src/traffic/desired_in_force.rs
+++ b/src/traffic/desired_in_force.rs
@@ -54,7 +54,7 @@
     }
 
     /// Puts a desired state into force if its version is higher. Answers whether it was.
-    pub fn offer(&self, state: DesiredState) -> bool {
+    pub fn apply_if_newer(&self, state: DesiredState) -> bool {
         let _changing = self.changing.lock().unwrap_or_else(PoisonError::into_inner);
         if state.version <= self.version() {
             return false;
@@ -95,9 +95,9 @@
     }
 
     /// Takes in a document that a peer has in force.
-    pub fn offer_document(&self, document: &ConfigDocument) -> bool {
+    pub fn apply_document(&self, document: &ConfigDocument) -> bool {
         match serde_json::from_str(&document.document) {
-            Ok(state) => self.offer(state),
+            Ok(state) => self.apply_if_newer(state),
             Err(error) => {
                 log::error!(
                     "config: a peer's document cannot be read, version={} error={error}",
--- a/src/traffic/desired_task.rs
+++ b/src/traffic/desired_task.rs
@@ -38,7 +38,7 @@
 pub(super) type ConfirmVersion = Arc<dyn Fn(u64) + Send + Sync>;
 
 /// Whether this node asks the store now, rather than rely on what others tell.
-pub(super) type AsksStore = Arc<dyn Fn() -> bool + Send + Sync>;
+pub(super) type ShouldPollStore = Arc<dyn Fn() -> bool + Send + Sync>;
 
 /// Follows the operator's row.
 pub(super) struct StoreFollower {
@@ -47,9 +47,9 @@
     pub(super) desired: Arc<DesiredInForce>,
     pub(super) announce: AnnounceVersion,
     pub(super) confirm: ConfirmVersion,
-    pub(super) asks: AsksStore,
+    pub(super) should_poll: ShouldPollStore,
     /// Woken when others told of a version and could not hand it over.
-    pub(super) ask_now: Arc<Notify>,
+    pub(super) poll_now: Arc<Notify>,
     pub(super) reached: IntGauge,
     /// The version that the store holds, as it last said; `None` where that is unknown.
     pub(super) stored: Option<u64>,
@@ -63,16 +63,16 @@
         let mut pause = WatchPause::default();
         let mut was_reached = true;
         loop {
-            self.until_it_asks().await;
+            self.wait_until_polling().await;
             match watch.next(WATCH_WAIT_MS).await {
-                Ok(news) => {
+                Ok(changes) => {
                     pause.reset();
                     self.reached.set(1);
                     if !was_reached {
                         log::info!("store: reached again");
                     }
                     was_reached = true;
-                    self.take(&news);
+                    self.apply(&changes);
                 }
                 Err(error) => {
                     self.reached.set(0);
@@ -91,13 +91,16 @@
     ///
     /// Guards against a store that was restored from an older copy and shows an older state than the one in
     /// force: that stays, and the store's word says nothing of whether it is the newest.
-    fn take(&mut self, news: &TableNews) {
-        if news.is_whole {
+    fn apply(&mut self, changes: &TableNews) {
+        if changes.is_whole {
             self.stored = None;
         }
-        let of_operator = news.rows.iter().filter(|row| row.name == self.source.row);
+        let of_operator = changes
+            .rows
+            .iter()
+            .filter(|row| row.name == self.source.row);
         for row in of_operator {
-            self.stored = self.take_row(row);
+            self.stored = self.apply_row(row);
         }
         if self.stored == Some(self.desired.version()) {
             (self.confirm)(self.desired.version());
@@ -105,7 +108,7 @@
     }
 
     /// Answers which version the row holds.
-    fn take_row(&self, row: &RowChange) -> Option<u64> {
+    fn apply_row(&self, row: &RowChange) -> Option<u64> {
         let Some(value) = &row.value else {
             log::error!("config: the operator's row was dropped; the last version stays in force");
             return None;
@@ -113,7 +116,7 @@
         match (self.source.decode)(value) {
             Ok(state) => {
                 let version = state.version;
-                if self.desired.offer(state) {
+                if self.desired.apply_if_newer(state) {
                     (self.announce)(version);
                 }
                 Some(version)
@@ -125,12 +128,12 @@
         }
     }
 
-    async fn until_it_asks(&self) {
-        while !(self.asks)() {
-            let look = sleep(Duration::from_millis(WATCH_LOOK_MS));
+    async fn wait_until_polling(&self) {
+        while !(self.should_poll)() {
+            let poll = sleep(Duration::from_millis(WATCH_LOOK_MS));
             tokio::select! {
-                () = look => {}
-                () = self.ask_now.notified() => return,
+                () = poll => {}
+                () = self.poll_now.notified() => return,
             }
         }
     }
--- a/src/traffic/entry.rs
+++ b/src/traffic/entry.rs
@@ -33,22 +33,22 @@
 use crate::traffic::caller_response::refusal_response;
 use crate::traffic::caller_response::status_response;
 use crate::traffic::entry_account::account;
-use crate::traffic::entry_account::ask_allowance;
-use crate::traffic::entry_account::caller_of;
+use crate::traffic::entry_account::check_allowance;
 use crate::traffic::entry_account::class;
+use crate::traffic::entry_account::identify_caller;
 use crate::traffic::entry_account::priority;
 use crate::traffic::entry_account::strip_account;
 use crate::traffic::forward::forward;
 use crate::traffic::passed_headers::strip_request;
-use crate::traffic::request_log::EntryStory;
+use crate::traffic::request_log::EntryLog;
 use crate::traffic::traffic::Traffic;
 
 /// When to come back while nothing is known yet, in milliseconds.
-const LATER_MS: u64 = 500;
+const DEFAULT_RETRY_AFTER_MS: u64 = 500;
 /// The shortest time after which a request that was shed may come back, in milliseconds.
-const SHED_LEAST_MS: u64 = 300;
+const SHED_RETRY_AFTER_MS: u64 = 300;
 /// Over how long those that were shed together come back.
-const SHED_SPREAD_MS: u64 = 600;
+const SHED_RETRY_SPREAD_MS: u64 = 600;
 /// The deadline of a request that names none and whose route is not known either.
 const DEFAULT_DEADLINE_MS: u64 = 10_000;
 
@@ -69,33 +69,33 @@
     traffic.metrics.entry_calls.inc();
     let names = &traffic.settings.header_names;
     let id = request.headers().get(&names.request_id).cloned();
-    let mut story = EntryStory::new(&traffic, id);
+    let mut request_log = EntryLog::new(&traffic, id);
     let progress = Progress::default();
-    let response = match serve(&traffic, request, &mut story, &progress).await {
+    let response = match serve(&traffic, request, &mut request_log, &progress).await {
         Ok(answer) => {
-            story.answered(&traffic, answer.status, &progress);
-            note_route(&traffic, &story);
+            request_log.answered(&traffic, answer.status, &progress);
+            record_route_latency(&traffic, &request_log);
             answer_response(answer)
         }
         Err(Rejected::Refusal(refusal)) => {
-            story.refused(&traffic, &refusal, &progress);
-            refusal_response(&traffic, refusal, story.id())
+            request_log.refused(&traffic, &refusal, &progress);
+            refusal_response(&traffic, refusal, request_log.id())
         }
         Err(Rejected::Status(status)) => {
-            story.rejected(&traffic, status);
-            status_response(&traffic, status, story.id())
+            request_log.rejected(&traffic, status);
+            status_response(&traffic, status, request_log.id())
         }
     };
-    let took_us = traffic.clock.now_us() - story.started_us();
+    let took_us = traffic.clock.now_us() - request_log.started_us();
     traffic.metrics.entry_latency.observe(took_us as f64 / 1e6);
     response
 }
 
-fn note_route(traffic: &Traffic, story: &EntryStory) {
-    let Some(route) = story.route() else {
+fn record_route_latency(traffic: &Traffic, request_log: &EntryLog) {
+    let Some(route) = request_log.route() else {
         return;
     };
-    let took_us = traffic.clock.now_us() - story.started_us();
+    let took_us = traffic.clock.now_us() - request_log.started_us();
     let latencies = &traffic.metrics.route_latency;
     latencies.observe(route, took_us as f64 / 1e6);
 }
@@ -103,12 +103,12 @@
 async fn serve(
     traffic: &Arc<Traffic>,
     request: Request<Incoming>,
-    story: &mut EntryStory,
+    request_log: &mut EntryLog,
     progress: &Progress,
 ) -> Result<WholeAnswer, Rejected> {
-    let call = take(traffic, request).await?;
-    story.taken(&call);
-    let allowed = ask_allowance(traffic, &call).map_err(Rejected::Refusal)?;
+    let call = accept(traffic, request).await?;
+    request_log.classified(&call);
+    let allowed = check_allowance(traffic, &call).map_err(Rejected::Refusal)?;
     let answer = match admit_root(traffic, &call) {
         Ok(()) => forward(traffic, call, progress).await,
         Err(refusal) => Err(refusal),
@@ -134,37 +134,37 @@
     }
     if call.origin == Some(RouteOrigin::Backends) {
         let parents = traffic.running.all();
-        traffic.roots.note_child(now, &parents, service, route);
+        traffic.roots.record_child(now, &parents, service, route);
     }
     Ok(())
 }
 
 /// Takes in a whole request and classifies it.
-async fn take(traffic: &Arc<Traffic>, request: Request<Incoming>) -> Result<Call, Rejected> {
+async fn accept(traffic: &Arc<Traffic>, request: Request<Incoming>) -> Result<Call, Rejected> {
     let now = traffic.clock.now();
     let (mut parts, body) = request.into_parts();
     let in_force = traffic.desired.load();
-    let asked_ms = asked_deadline_ms(traffic, &parts.headers)?;
+    let requested_ms = requested_deadline_ms(traffic, &parts.headers)?;
     let found = in_force
         .as_ref()
         .and_then(|in_force| find(in_force, &parts.headers, parts.uri.path()).cloned());
-    let most_ms = found.as_ref().map(|found| found.route.timeout_ms);
-    let left_ms = shorter(asked_ms, most_ms).unwrap_or(DEFAULT_DEADLINE_MS);
+    let max_ms = found.as_ref().map(|found| found.route.timeout_ms);
+    let left_ms = shorter(requested_ms, max_ms).unwrap_or(DEFAULT_DEADLINE_MS);
     let deadline = now + left_ms;
-    let body = take_body(traffic, body, left_ms).await?;
+    let body = read_body(traffic, body, left_ms).await?;
     if traffic.entry_closed.load(Ordering::Relaxed) {
         return Err(not_run(RefusalReason::Draining));
     }
     let in_force = in_force.ok_or_else(|| not_run(RefusalReason::NoPreset))?;
     let found = found.ok_or(Rejected::Status(StatusCode::NOT_FOUND))?;
     let route = &found.route.name;
-    let caller = caller_of(traffic, &in_force, &found, &parts.headers);
+    let caller = identify_caller(traffic, &in_force, &found, &parts.headers);
     let caller = caller.map_err(Rejected::Refusal)?;
     let is_certain_origin = !matches!(caller, Caller::Anybody);
     let origin = match &caller {
         Caller::Account(..) => Some(RouteOrigin::Callers),
         Caller::Backend => Some(RouteOrigin::Backends),
-        Caller::Anybody => traffic.origins.of(route),
+        Caller::Anybody => traffic.origins.origin_of(route),
     };
     let class = class(&in_force.ranking, &found, origin, &caller);
     let priority = priority(traffic, class, &parts.headers);
@@ -213,24 +213,24 @@
     in_force.routes.find(host, path)
 }
 
-fn asked_deadline_ms(traffic: &Traffic, headers: &HeaderMap) -> Result<Option<u64>, Rejected> {
+fn requested_deadline_ms(traffic: &Traffic, headers: &HeaderMap) -> Result<Option<u64>, Rejected> {
     let Some(value) = headers.get(&traffic.settings.header_names.deadline_ms) else {
         return Ok(None);
     };
     let text = value.to_str().ok();
-    let asked_ms = text.and_then(|text| text.trim().parse::<f64>().ok());
-    asked_ms
+    let requested_ms = text.and_then(|text| text.trim().parse::<f64>().ok());
+    requested_ms
         .filter(|ms| ms.is_finite() && *ms >= 0.0)
         .map(|ms| Some(ms as u64))
         .ok_or(Rejected::Status(StatusCode::BAD_REQUEST))
 }
 
-async fn take_body(traffic: &Traffic, body: Incoming, left_ms: u64) -> Result<Bytes, Rejected> {
+async fn read_body(traffic: &Traffic, body: Incoming, left_ms: u64) -> Result<Bytes, Rejected> {
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
-    let most_bytes = traffic.desired.limits().max_body_bytes;
-    let reading = read_whole(body, most_bytes, &traffic.bodies);
+    let max_bytes = traffic.desired.limits().max_body_bytes;
+    let reading = read_whole(body, max_bytes, &traffic.bodies);
     match timeout(Duration::from_millis(left_ms), reading).await {
         Ok(Ok(body)) => Ok(body),
         Ok(Err(SendError::TooLong { .. })) => Err(Rejected::Status(StatusCode::PAYLOAD_TOO_LARGE)),
@@ -243,11 +243,11 @@
 /// A refusal before any work, because a service deep down is pressed. Callers come back spread over
 /// a while, early enough for an answer that is still worth something.
 fn shed() -> Refusal {
-    let retry_after_ms = SHED_LEAST_MS + fastrand::u64(..SHED_SPREAD_MS);
+    let retry_after_ms = SHED_RETRY_AFTER_MS + fastrand::u64(..SHED_RETRY_SPREAD_MS);
     Refusal::not_run(RefusalReason::ShedAtEntry, retry_after_ms)
 }
 
 fn not_run(reason: RefusalReason) -> Rejected {
-    let retry_after_ms = LATER_MS + fastrand::u64(..LATER_MS);
+    let retry_after_ms = DEFAULT_RETRY_AFTER_MS + fastrand::u64(..DEFAULT_RETRY_AFTER_MS);
     Rejected::Refusal(Refusal::not_run(reason, retry_after_ms))
 }
--- a/src/traffic/entry_account.rs
+++ b/src/traffic/entry_account.rs
@@ -18,18 +18,18 @@
 use crate::traffic::HeaderNames;
 use crate::traffic::InForce;
 use crate::traffic::call::Call;
-use crate::traffic::request_log::tell_beyond;
+use crate::traffic::request_log::log_over_allowance;
 use crate::traffic::traffic::Traffic;
 use crate::wire::CallAccount;
 
 /// When to come back while keys are not relied on, in milliseconds.
-const UNSURE_LATER_MS: u64 = 500;
+const KEY_REFUSAL_RETRY_AFTER_MS: u64 = 500;
 /// The class of calls of backend servers: work has been done for them already, so they go before
 /// every caller's own request.
-const DEEP_CLASS: u8 = 0;
+const BACKEND_CALL_CLASS: u8 = 0;
 
 /// Whose a request is, by its key.
-pub(super) fn caller_of(
+pub(super) fn identify_caller(
     traffic: &Traffic,
     in_force: &InForce,
     found: &RouteInForce,
@@ -42,12 +42,12 @@
         route_is_callers: traffic.keyed_routes.contains(&route.name),
         presented: presented(headers, &traffic.settings.header_names.account_key),
     };
-    let caller = identify(identity).map_err(not_allowed)?;
+    let caller = identify(identity).map_err(key_refusal)?;
     if matches!(caller, Caller::Account(..)) {
-        if !traffic.keys_hold() {
-            return Err(not_allowed(RefusalReason::AccountKeysUnsure));
+        if !traffic.keys_are_fresh() {
+            return Err(key_refusal(RefusalReason::AccountKeysUnsure));
         }
-        traffic.keyed_routes.note(&route.name);
+        traffic.keyed_routes.record(&route.name);
     }
     Ok(caller)
 }
@@ -86,14 +86,14 @@
     caller: &Caller,
 ) -> u8 {
     if origin == Some(RouteOrigin::Backends) {
-        return DEEP_CLASS;
+        return BACKEND_CALL_CLASS;
     }
-    let of_account = match caller {
+    let account_rank = match caller {
         Caller::Account(account, _) => account.rank,
         Caller::Backend | Caller::Anybody => None,
     };
-    let place = ranking.place(of_account, found.route.rank);
-    place.saturating_add(DEEP_CLASS + 1)
+    let place = ranking.place(account_rank, found.route.rank);
+    place.saturating_add(BACKEND_CALL_CLASS + 1)
 }
 
 /// Within a class, requests are ranked by their identifiers, so that every node keeps the same.
@@ -104,7 +104,10 @@
 }
 
 /// Turns a request away that is beyond its account's allowance. Answers from which account it took a part.
-pub(super) fn ask_allowance(traffic: &Traffic, call: &Call) -> Result<Option<AccountId>, Refusal> {
+pub(super) fn check_allowance(
+    traffic: &Traffic,
+    call: &Call,
+) -> Result<Option<AccountId>, Refusal> {
     let Some(account) = &call.account else {
         return Ok(None);
     };
@@ -117,14 +120,14 @@
         return Ok(None);
     };
     let id = AccountId::of(&account.name);
-    let asked = traffic.allowances.ask(traffic.clock.now(), id, allowance);
-    asked.map(|()| Some(id)).map_err(|beyond| {
-        tell_beyond(traffic, account, allowance, beyond);
-        Refusal::not_run(RefusalReason::AllowanceSpent, beyond.retry_after_ms)
+    let decision = traffic.allowances.ask(traffic.clock.now(), id, allowance);
+    decision.map(|()| Some(id)).map_err(|exceeded| {
+        log_over_allowance(traffic, account, allowance, exceeded);
+        Refusal::not_run(RefusalReason::AllowanceSpent, exceeded.retry_after_ms)
     })
 }
 
-fn not_allowed(reason: RefusalReason) -> Refusal {
-    let retry_after_ms = UNSURE_LATER_MS + fastrand::u64(..UNSURE_LATER_MS);
+fn key_refusal(reason: RefusalReason) -> Refusal {
+    let retry_after_ms = KEY_REFUSAL_RETRY_AFTER_MS + fastrand::u64(..KEY_REFUSAL_RETRY_AFTER_MS);
     Refusal::not_run(reason, retry_after_ms)
 }
--- a/src/traffic/fleet_watch.rs
+++ b/src/traffic/fleet_watch.rs
@@ -14,12 +14,12 @@
 const KEEPERS: usize = 2;
 /// A dead node counts as there for so long, in milliseconds: it may be alive behind a cut and go on using
 /// its share.
-const DEAD_COUNTS_MS: u64 = EntryAllowances::SHARE_HOLDS_MS;
+const DEAD_COUNTED_MS: u64 = EntryAllowances::SHARE_HOLDS_MS;
 
 /// Follows the view.
 #[derive(Clone, Debug, Default)]
 pub(super) struct FleetWatch {
-    at_change: Option<u64>,
+    view_change: Option<u64>,
     /// Since when nodes are dead.
     dead: FastMap<Name, TimeMs>,
     /// When the first of them counts no longer.
@@ -29,19 +29,19 @@
 
 impl FleetWatch {
     /// Who is there, if that has changed.
-    pub(super) fn follow(&mut self, now: TimeMs, view: &View, own: &Name) -> Option<Fleet> {
+    pub(super) fn update(&mut self, now: TimeMs, view: &View, own: &Name) -> Option<Fleet> {
         let has_expired = self.next_expiry.is_some_and(|expiry| now >= expiry);
-        if self.at_change == Some(view.changes) && !has_expired {
+        if self.view_change == Some(view.changes) && !has_expired {
             return None;
         }
-        self.note_dead(now, view);
-        self.at_change = Some(view.changes);
+        self.track_dead(now, view);
+        self.view_change = Some(view.changes);
         let mut present: BTreeMap<Name, Vec<Name>> = BTreeMap::new();
         let mut keepers: BTreeMap<Name, Vec<Name>> = BTreeMap::new();
         for node in view.nodes.values() {
             let is_counted = match node.state {
                 TargetState::Left => false,
-                TargetState::Dead => self.counts_though_dead(now, &node.node),
+                TargetState::Dead => self.is_recently_dead(now, &node.node),
                 _ => true,
             };
             if is_counted {
@@ -81,19 +81,19 @@
         others.flat_map(|(_, keepers)| keepers)
     }
 
-    fn counts_though_dead(&self, now: TimeMs, node: &Name) -> bool {
+    fn is_recently_dead(&self, now: TimeMs, node: &Name) -> bool {
         let since = self.dead.get(node);
-        since.is_some_and(|since| now.since(*since) < DEAD_COUNTS_MS)
+        since.is_some_and(|since| now.since(*since) < DEAD_COUNTED_MS)
     }
 
-    fn note_dead(&mut self, now: TimeMs, view: &View) {
+    fn track_dead(&mut self, now: TimeMs, view: &View) {
         let is_dead = |node: &Name| {
             let node = view.nodes.get(node);
             node.is_some_and(|node| node.state == TargetState::Dead)
         };
         self.dead.retain(|node, _| is_dead(node));
         // One that was dead before this node saw it alive counts no more.
-        let since = match self.at_change {
+        let since = match self.view_change {
             Some(_) => now,
             None => TimeMs::default(),
         };
@@ -101,7 +101,7 @@
         for node in dead {
             self.dead.entry(node.node.clone()).or_insert(since);
         }
-        let expiries = self.dead.values().map(|since| *since + DEAD_COUNTS_MS);
+        let expiries = self.dead.values().map(|since| *since + DEAD_COUNTED_MS);
         self.next_expiry = expiries.filter(|expiry| *expiry > now).min();
     }
 }
--- a/src/traffic/forward.rs
+++ b/src/traffic/forward.rs
@@ -21,13 +21,13 @@
 use crate::routing::TargetPressure;
 use crate::traffic::account_check::check_account;
 use crate::traffic::attempt::AttemptEnd;
-use crate::traffic::attempt::GuardNews;
+use crate::traffic::attempt::GuardStatus;
 use crate::traffic::call::Call;
 use crate::traffic::call::Progress;
 use crate::traffic::guard;
 use crate::traffic::hop;
-use crate::traffic::in_flight::InFlightAt;
-use crate::traffic::request_log::tell_retry;
+use crate::traffic::in_flight::InFlightAttempt;
+use crate::traffic::request_log::log_retry;
 use crate::traffic::traffic::Traffic;
 
 /// When to come back when no target takes work, in milliseconds.
@@ -36,12 +36,12 @@
 /// started hears of all targets within this time.
 const FIRST_TARGET_WAIT_MS: u64 = 1_000;
 /// How often it looks.
-const FIRST_TARGET_LOOK_MS: u64 = 50;
+const FIRST_TARGET_POLL_MS: u64 = 50;
 /// From this length on a body counts as large when it would cross between failure domains.
 const LARGE_BODY_BYTES: usize = 16 * 1024;
 /// Targets tried in vain at most, counting those that were never sent the call: each costs a round
 /// trip.
-const MOST_TRIED: usize = 6;
+const MAX_TARGETS_TRIED: usize = 6;
 
 /// Forwards a call until it is answered, given up, or its deadline has come.
 ///
@@ -53,20 +53,20 @@
     progress: &Progress,
 ) -> Result<WholeAnswer, Refusal> {
     let left_ms = call.deadline.since(traffic.clock.now());
-    let answering = attempts(traffic, &call, progress);
+    let answering = run_attempts(traffic, &call, progress);
     match timeout(Duration::from_millis(left_ms), answering).await {
-        Ok(result) => result.map_err(|refusal| progress.of_all_attempts(refusal)),
-        Err(_) if progress.is_in_doubt() => {
+        Ok(result) => result.map_err(|refusal| progress.with_earlier_attempts(refusal)),
+        Err(_) if progress.may_have_run_anywhere() => {
             Err(Refusal::unknown(RefusalReason::DeadlineExceeded, 0))
         }
         Err(_) => Err(Refusal::not_run(
             RefusalReason::DeadlineExceeded,
-            no_target_ms(),
+            no_target_retry_after_ms(),
         )),
     }
 }
 
-async fn attempts(
+async fn run_attempts(
     traffic: &Arc<Traffic>,
     call: &Call,
     progress: &Progress,
@@ -74,35 +74,35 @@
     let mut tried: Vec<Name> = Vec::new();
     let mut last: Option<Refusal> = None;
     let mut sends = 0;
-    note_first_attempt(traffic, call);
+    record_first_attempt(traffic, call);
     wait_for_first_target(traffic, call).await;
     loop {
         check_account(traffic, call.account.as_ref())?;
-        let Some(target) = choose(traffic, call, &tried) else {
+        let Some(target) = choose_target(traffic, call, &tried) else {
             return Err(last.unwrap_or_else(no_target));
         };
-        progress.begins(&target.node);
+        progress.start_attempt(&target.node);
         let end = attempt(traffic, call, &target, progress).await;
         if end.reached_backend {
             sends += 1;
-            progress.note_reached_backend();
+            progress.mark_reached_backend();
         }
         let refusal = match end.result {
             Ok(answer) => return Ok(answer),
             Err(refusal) => refusal,
         };
-        progress.ended(refusal.run_state);
+        progress.end_attempt(refusal.run_state);
         tried.push(target.node.clone());
         let Some(reason) = next_attempt(traffic, call, refusal, &tried, sends) else {
             return Err(refusal);
         };
         traffic.metrics.count_retry(reason);
-        tell_retry(traffic, call, &refusal, &target.node);
+        log_retry(traffic, call, &refusal, &target.node);
         last = Some(refusal);
     }
 }
 
-fn note_first_attempt(traffic: &Traffic, call: &Call) {
+fn record_first_attempt(traffic: &Traffic, call: &Call) {
     let now = traffic.clock.now();
     let repeated = f32::from(call.repeated_permille) / 1_000.0;
     let view = traffic.view.load();
@@ -114,16 +114,16 @@
 /// Guards against refusing everything for a moment after a start, before gossip has told of any
 /// target. It shows as a burst of refusals after each restart of a node.
 async fn wait_for_first_target(traffic: &Traffic, call: &Call) {
-    let latest = traffic.clock.now() + FIRST_TARGET_WAIT_MS;
+    let give_up_at = traffic.clock.now() + FIRST_TARGET_WAIT_MS;
     while traffic.view.load().targets(&call.service).is_empty() {
-        if traffic.clock.now() >= latest {
+        if traffic.clock.now() >= give_up_at {
             return;
         }
-        sleep(Duration::from_millis(FIRST_TARGET_LOOK_MS)).await;
+        sleep(Duration::from_millis(FIRST_TARGET_POLL_MS)).await;
     }
 }
 
-fn choose(traffic: &Traffic, call: &Call, tried: &[Name]) -> Option<Arc<Target>> {
+fn choose_target(traffic: &Traffic, call: &Call, tried: &[Name]) -> Option<Arc<Target>> {
     let view = traffic.view.load();
     let now = traffic.clock.now();
     let domain = &traffic.settings.domain;
@@ -143,25 +143,28 @@
     target: &Target,
     progress: &Progress,
 ) -> AttemptEnd {
-    let mut in_flight = InFlightAt::new(traffic.clone(), target.node.clone());
+    let mut in_flight = InFlightAttempt::new(traffic.clone(), target.node.clone());
     let end = if target.node == traffic.settings.node {
         guard::run_own(traffic, call, target, progress).await
     } else {
-        send_within_reach(traffic, call, target, progress).await
+        send_until_unreachable(traffic, call, target, progress).await
     };
     in_flight.ended(&end, &call.route);
-    if let Some(news) = &end.news {
+    if let Some(guard_status) = &end.guard_status {
         let now = traffic.clock.now();
         let has_run = end.reached_backend && end.result.is_ok();
-        traffic
-            .told_words()
-            .note(now, &target.node, news.word.clone(), has_run);
-        let pressure = service_pressure(traffic, call, target, news);
+        traffic.announcement_cache().update(
+            now,
+            &target.node,
+            guard_status.announcement.clone(),
+            has_run,
+        );
+        let pressure = service_pressure(traffic, call, target, guard_status);
         let is_root = call.origin == Some(RouteOrigin::Callers);
         traffic
             .roots
-            .note_answer(now, &call.service, &call.route, pressure.as_ref(), is_root);
-        traffic.origins.take(&call.route, news.origin);
+            .record_answer(now, &call.service, &call.route, pressure.as_ref(), is_root);
+        traffic.origins.learn(&call.route, guard_status.origin);
     }
     end
 }
@@ -172,7 +175,7 @@
 /// Guards against calls that were under way into a domain when it was cut off: their connections are
 /// open and silent, so they would wait for their deadline, though their own side could still run
 /// them. One that must not run twice has to wait for its answer all the same.
-async fn send_within_reach(
+async fn send_until_unreachable(
     traffic: &Arc<Traffic>,
     call: &Call,
     target: &Target,
@@ -184,7 +187,7 @@
     }
     tokio::select! {
         end = sending => end,
-        () = traffic.targets.out_of_reach(&target.domain) => hop::lost_in_silence(),
+        () = traffic.targets.out_of_reach(&target.domain) => hop::lost_unreachable(),
     }
 }
 
@@ -194,22 +197,25 @@
     traffic: &Traffic,
     call: &Call,
     target: &Target,
-    news: &GuardNews,
+    guard_status: &GuardStatus,
 ) -> Option<Pressure> {
-    let mut pressure = news.pressure.clone()?;
+    let mut pressure = guard_status.pressure.clone()?;
     if pressure.service == call.service {
         let view = traffic.view.load();
         let now = traffic.clock.now();
-        let told = TargetPressure {
+        let reported = TargetPressure {
             permille: pressure.permille,
             slots: target.slots,
         };
-        let rate = news.word.as_ref().and_then(|word| word.rate_milli);
+        let rate = guard_status
+            .announcement
+            .as_ref()
+            .and_then(|announcement| announcement.rate_milli);
         pressure.permille = traffic.targets.note_pressure(
             &view,
             &call.service,
             &target.node,
-            told,
+            reported,
             rate.is_some(),
             now,
         );
@@ -226,7 +232,7 @@
     tried: &[Name],
     sends: u32,
 ) -> Option<RetryReason> {
-    if tried.len() >= MOST_TRIED || sends >= call.max_attempts {
+    if tried.len() >= MAX_TARGETS_TRIED || sends >= call.max_attempts {
         return None;
     }
     let now = traffic.clock.now();
@@ -247,9 +253,9 @@
 }
 
 fn no_target() -> Refusal {
-    Refusal::not_run(RefusalReason::NoTarget, no_target_ms())
+    Refusal::not_run(RefusalReason::NoTarget, no_target_retry_after_ms())
 }
 
-fn no_target_ms() -> u64 {
+fn no_target_retry_after_ms() -> u64 {
     NO_TARGET_RETRY_AFTER_MS + fastrand::u64(..NO_TARGET_RETRY_AFTER_MS)
 }
--- a/src/traffic/gone_servers.rs
+++ b/src/traffic/gone_servers.rs
@@ -6,7 +6,7 @@
 use crate::traffic::ServerReport;
 
 /// Incarnations remembered, so that their late reports change nothing.
-const MOST_GONE: usize = 32;
+const MAX_GONE: usize = 32;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Gone {
@@ -22,14 +22,14 @@
 
 impl GoneServers {
     /// Remembers an incarnation, with the latest of its starts.
-    pub fn note(&mut self, incarnation: &Name, started_unix_ms: Option<u64>) {
+    pub fn record(&mut self, incarnation: &Name, started_unix_ms: Option<u64>) {
         let mut known = self.gone.iter_mut();
         let known = known.find(|gone| gone.incarnation == *incarnation);
         if let Some(known) = known {
             known.started_unix_ms = known.started_unix_ms.max(started_unix_ms);
             return;
         }
-        if self.gone.len() >= MOST_GONE {
+        if self.gone.len() >= MAX_GONE {
             self.gone.pop_front();
         }
         self.gone.push_back(Gone {
@@ -46,7 +46,7 @@
     }
 
     /// Whether a report is of one that is gone, and not of a later one under the same identifier.
-    pub fn has_sent(&self, report: &ServerReport) -> bool {
+    pub fn is_report_of_gone(&self, report: &ServerReport) -> bool {
         let is_same = |gone: &&Gone| gone.incarnation == report.incarnation;
         let mut same = self.gone.iter().filter(is_same);
         same.any(|gone| !is_later(report.started_unix_ms, gone.started_unix_ms))
--- a/src/traffic/guard.rs
+++ b/src/traffic/guard.rs
@@ -27,10 +27,10 @@
 use crate::core::Target;
 use crate::core::TimeMs;
 use crate::errors::SendError;
-use crate::traffic::Reported;
+use crate::traffic::LocalChange;
 use crate::traffic::account_check::check_account;
 use crate::traffic::attempt::AttemptEnd;
-use crate::traffic::attempt::GuardNews;
+use crate::traffic::attempt::GuardStatus;
 use crate::traffic::backend;
 use crate::traffic::backend::BackendEnd;
 use crate::traffic::call::Call;
@@ -38,19 +38,19 @@
 use crate::traffic::call::Message;
 use crate::traffic::call::Progress;
 use crate::traffic::caller_response::answer_response;
-use crate::traffic::hop::CERTAIN_PERMILLE;
+use crate::traffic::hop::CERTAIN_REPEAT_PERMILLE;
 use crate::traffic::hop::hop_call;
 use crate::traffic::poison_watch::as_suspect;
-use crate::traffic::request_log::GuardStory;
+use crate::traffic::request_log::GuardLog;
 use crate::traffic::traffic::Traffic;
 use crate::wire::HopAnswer;
 use crate::wire::HopCall;
 use crate::wire::headers;
 
 /// A root may wait for one part in this of its latency objective.
-const ROOT_WAIT_PART: u64 = 4;
+const ROOT_WAIT_DIVISOR: u64 = 4;
 /// When to come back after a refusal that says nothing about load, in milliseconds.
-const LATER_MS: u64 = 300;
+const DEFAULT_RETRY_AFTER_MS: u64 = 300;
 
 /// Serves one forwarded call. Dropped, it gives the call up.
 pub(super) async fn serve_peer(
@@ -59,7 +59,7 @@
 ) -> Response<Full<Bytes>> {
     let _in_progress = traffic.enter();
     traffic.metrics.guard_calls.inc();
-    let end = match take(&traffic, request).await {
+    let end = match read_call(&traffic, request).await {
         Ok(call) => run(&traffic, call, &Progress::default()).await,
         Err(refusal) => AttemptEnd::lost(refusal, false),
     };
@@ -82,7 +82,7 @@
     run(traffic, guarded, progress).await
 }
 
-async fn take(traffic: &Traffic, request: Request<Incoming>) -> Result<GuardedCall, Refusal> {
+async fn read_call(traffic: &Traffic, request: Request<Incoming>) -> Result<GuardedCall, Refusal> {
     let (mut parts, body) = request.into_parts();
     let hop = HopCall::from_headers(&parts.headers).map_err(|error| {
         log::warn!("guard: a call cannot be read, error={error}");
@@ -90,8 +90,8 @@
     })?;
     let left = Duration::from_millis(u64::from(hop.deadline_left_ms));
     let deadline = traffic.clock.now() + u64::from(hop.deadline_left_ms);
-    let most_bytes = traffic.desired.limits().max_body_bytes;
-    let body = timeout(left, read_whole(body, most_bytes, &traffic.bodies))
+    let max_bytes = traffic.desired.limits().max_body_bytes;
+    let body = timeout(left, read_whole(body, max_bytes, &traffic.bodies))
         .await
         .map_err(|_| not_run(RefusalReason::DeadlineExceeded))?
         .map_err(|error| match error {
@@ -128,9 +128,9 @@
 /// Waits for admission and runs the call.
 async fn run(traffic: &Arc<Traffic>, call: GuardedCall, progress: &Progress) -> AttemptEnd {
     let route = call.hop.route.clone();
-    let story = GuardStory::new(traffic, &call);
-    let origin = note_origin(traffic, &call.hop);
-    take_word(traffic, &call.hop);
+    let request_log = GuardLog::new(traffic, &call);
+    let origin = record_origin(traffic, &call.hop);
+    apply_announcement(traffic, &call.hop);
     let refusal = refuse_root(traffic, &call, origin).or_else(|| refuse_repeat(traffic, &call));
     let end = match refusal {
         Some(refusal) => BackendEnd::not_sent(refusal),
@@ -139,40 +139,40 @@
     let end = AttemptEnd {
         result: end.result,
         reached_backend: end.reached_backend,
-        news: Some(news(traffic, &route, origin)),
+        guard_status: Some(guard_status(traffic, &route, origin)),
     };
-    story.ended(traffic, &end);
+    request_log.ended(traffic, &end);
     end
 }
 
 /// Takes over what the caller's entry was told of the local backend server.
-fn take_word(traffic: &Traffic, hop: &HopCall) {
-    let Some(word) = &hop.word else {
+fn apply_announcement(traffic: &Traffic, hop: &HopCall) {
+    let Some(announcement) = &hop.word else {
         return;
     };
     let now = traffic.clock.now();
-    traffic.change_local(|local| {
-        let reported = local.take_word(now, word);
-        if reported == Reported::News {
+    traffic.update_local(|local| {
+        let change = local.apply_announcement(now, announcement);
+        if change == LocalChange::Changed {
             log::info!(
                 "local: told by an entry, incarnation={} leaving={} rate_milli={:?}",
-                word.incarnation,
-                word.is_leaving,
-                word.rate_milli
+                announcement.incarnation,
+                announcement.is_leaving,
+                announcement.rate_milli
             );
         }
-        reported
+        change
     });
 }
 
-fn note_origin(traffic: &Traffic, hop: &HopCall) -> Option<RouteOrigin> {
+fn record_origin(traffic: &Traffic, hop: &HopCall) -> Option<RouteOrigin> {
     if hop.is_certain_origin {
         return hop.origin;
     }
     let view = traffic.view.load();
     let origins = &traffic.origins;
-    let origin = origins.note(&view, &traffic.settings.domain, hop);
-    origins.take(&hop.route, origin);
+    let origin = origins.record_call(&view, &traffic.settings.domain, hop);
+    origins.learn(&hop.route, origin);
     origin
 }
 
@@ -188,23 +188,23 @@
         return None;
     }
     let wait_ms = traffic.gate.expected_wait_ms();
-    let most_ms = u64::from(call.hop.objective_ms) / ROOT_WAIT_PART;
-    if wait_ms <= most_ms {
+    let max_ms = u64::from(call.hop.objective_ms) / ROOT_WAIT_DIVISOR;
+    if wait_ms <= max_ms {
         return None;
     }
-    let later_ms = wait_ms + fastrand::u64(..wait_ms.max(1));
-    Some(Refusal::not_run(RefusalReason::Overloaded, later_ms))
+    let retry_after_ms = wait_ms + fastrand::u64(..wait_ms.max(1));
+    Some(Refusal::not_run(RefusalReason::Overloaded, retry_after_ms))
 }
 
 /// Refuses a repeat whose calls could not be paid for; see [`crate::retry::WindowBudget::has_left`].
 fn refuse_repeat(traffic: &Traffic, call: &GuardedCall) -> Option<Refusal> {
-    if call.hop.repeated_permille < CERTAIN_PERMILLE {
+    if call.hop.repeated_permille < CERTAIN_REPEAT_PERMILLE {
         return None;
     }
     let now = traffic.clock.now();
-    let behind = traffic.roots.services_behind(now, &call.hop.route);
+    let downstream = traffic.roots.downstream_services(now, &call.hop.route);
     let is_spent = |service: &Name| !traffic.budgets.has_left(now, service);
-    behind
+    downstream
         .iter()
         .any(is_spent)
         .then(|| not_run(RefusalReason::RepeatsSpent))
@@ -228,7 +228,7 @@
         deadline: call.deadline,
     };
     let arrived_us = traffic.clock.now_us();
-    traffic.follow_desired();
+    traffic.apply_desired_limits();
     let permit = match traffic.gate.admit(queued).await {
         Ok(permit) => permit,
         Err(refusal) => return BackendEnd::not_sent(refusal),
@@ -246,7 +246,7 @@
 fn may_run(traffic: &Traffic, call: &GuardedCall) -> Result<Name, Refusal> {
     check_account(traffic, call.hop.account.as_ref())?;
     let incarnation = incarnation(traffic, call)?;
-    if traffic.poison.is_harmless(&call.suspect) {
+    if traffic.poison.is_allowed(&call.suspect) {
         return Ok(incarnation);
     }
     log::warn!(
@@ -268,38 +268,40 @@
     {
         return Err(not_run(RefusalReason::NoTarget));
     }
-    match local.takes_work(&call.hop.service) {
+    match local.accepting_incarnation(&call.hop.service) {
         Some(incarnation) => Ok(incarnation.clone()),
         None if local.leaving().is_some() => Err(not_run(RefusalReason::Draining)),
         None => Err(not_run(RefusalReason::BackendDown)),
     }
 }
 
-fn news(traffic: &Traffic, route: &str, origin: Option<RouteOrigin>) -> GuardNews {
+fn guard_status(traffic: &Traffic, route: &str, origin: Option<RouteOrigin>) -> GuardStatus {
     let now = traffic.clock.now();
     let own = Pressure {
         service: traffic.settings.service.clone(),
         permille: traffic.gate.pressure_permille(),
     };
-    GuardNews {
+    GuardStatus {
         load: traffic.gate.load(),
         failing_permille: traffic.failing_permille(now),
         pressure: traffic.roots.on_answer(now, route, own),
         origin,
-        word: traffic.local().word(),
+        announcement: traffic.local().announcement(),
     }
 }
 
 fn response(traffic: &Traffic, end: AttemptEnd) -> Response<Full<Bytes>> {
-    let news = end.news.unwrap_or_else(|| news(traffic, "", None));
+    let guard_status = end
+        .guard_status
+        .unwrap_or_else(|| guard_status(traffic, "", None));
     let header = HopAnswer {
         refusal: end.result.as_ref().err().copied(),
         reached_backend: end.reached_backend,
-        pressure: news.pressure,
-        origin: news.origin,
-        load: news.load,
-        failing_permille: news.failing_permille,
-        word: news.word,
+        pressure: guard_status.pressure,
+        origin: guard_status.origin,
+        load: guard_status.load,
+        failing_permille: guard_status.failing_permille,
+        word: guard_status.announcement,
     };
     let refused = || WholeAnswer {
         status: StatusCode::SERVICE_UNAVAILABLE,
@@ -317,5 +319,8 @@
 }
 
 pub(super) fn not_run(reason: RefusalReason) -> Refusal {
-    Refusal::not_run(reason, LATER_MS + fastrand::u64(..LATER_MS))
+    Refusal::not_run(
+        reason,
+        DEFAULT_RETRY_AFTER_MS + fastrand::u64(..DEFAULT_RETRY_AFTER_MS),
+    )
 }
--- a/src/traffic/header_names.rs
+++ b/src/traffic/header_names.rs
@@ -34,7 +34,7 @@
 
 impl HeaderNames {
     /// What a backend server says of itself in an answer.
-    pub fn words(&self, headers: &HeaderMap) -> ServerWords {
+    pub fn read_announcements(&self, headers: &HeaderMap) -> ServerWords {
         ServerWords::of(&self.rate_limit, &self.leaving, headers)
     }
 }
--- a/src/traffic/hop.rs
+++ b/src/traffic/hop.rs
@@ -15,7 +15,7 @@
 use crate::core::Target;
 use crate::errors::SendError;
 use crate::traffic::attempt::AttemptEnd;
-use crate::traffic::attempt::GuardNews;
+use crate::traffic::attempt::GuardStatus;
 use crate::traffic::call::Call;
 use crate::traffic::call::Progress;
 use crate::traffic::traffic::Traffic;
@@ -30,7 +30,7 @@
 const LOST_RETRY_AFTER_MS: u64 = 200;
 
 /// A call that is certainly a repeat.
-pub(super) const CERTAIN_PERMILLE: u16 = 1_000;
+pub(super) const CERTAIN_REPEAT_PERMILLE: u16 = 1_000;
 
 /// The context of a call for the guard of its target.
 ///
@@ -53,12 +53,12 @@
         priority: call.priority,
         objective_ms: call.objective_ms,
         repeated_permille: if is_repeat {
-            CERTAIN_PERMILLE
+            CERTAIN_REPEAT_PERMILLE
         } else {
             call.repeated_permille
         },
         deadline_left_ms: deadline.since(traffic.clock.now()) as u32,
-        word: traffic.told_words().of(&target.node).cloned(),
+        word: traffic.announcement_cache().get(&target.node).cloned(),
     }
 }
 
@@ -73,7 +73,7 @@
     let Some(request) = request(traffic, call, target, is_repeat) else {
         return AttemptEnd::lost(Refusal::not_run(RefusalReason::BadRequest, 0), false);
     };
-    progress.sent();
+    progress.mark_sent();
     let is_guard = |response: &http::Response<hyper::body::Incoming>| {
         response.headers().contains_key(headers::HOP_ANSWER)
     };
@@ -126,12 +126,12 @@
     AttemptEnd {
         result,
         reached_backend: hop.reached_backend,
-        news: Some(GuardNews {
+        guard_status: Some(GuardStatus {
             load: hop.load,
             failing_permille: hop.failing_permille,
             pressure: hop.pressure,
             origin: hop.origin,
-            word: hop.word,
+            announcement: hop.word,
         }),
     }
 }
@@ -146,7 +146,7 @@
 }
 
 /// The end of an attempt at a target that cannot be reached any more; it may have run.
-pub(super) fn lost_in_silence() -> AttemptEnd {
+pub(super) fn lost_unreachable() -> AttemptEnd {
     AttemptEnd::lost(unknown(), true)
 }
 
--- a/src/traffic/in_flight.rs
+++ b/src/traffic/in_flight.rs
@@ -10,16 +10,16 @@
 use crate::traffic::traffic::Traffic;
 
 /// Counted from the choice of the target on.
-pub(super) struct InFlightAt {
+pub(super) struct InFlightAttempt {
     traffic: Arc<Traffic>,
     target: Name,
     since: TimeMs,
-    news: AttemptNews,
+    outcome: AttemptNews,
     /// The route of the call, once it ran well.
     ran: Option<Name>,
 }
 
-impl InFlightAt {
+impl InFlightAttempt {
     /// The choice has already counted the attempt at its target.
     pub(super) fn new(traffic: Arc<Traffic>, target: Name) -> Self {
         traffic.metrics.entry_in_flight.inc();
@@ -27,20 +27,26 @@
             since: traffic.clock.now(),
             traffic,
             target,
-            news: AttemptNews::default(),
+            outcome: AttemptNews::default(),
             ran: None,
         }
     }
 
     /// Notes how the attempt of a call of this route ended.
     pub(super) fn ended(&mut self, end: &AttemptEnd, route: &Name) {
-        self.news.report = end.news.as_ref().map(|news| news.load);
-        self.news.failing_permille = end.news.as_ref().map_or(0, |news| news.failing_permille);
-        self.news.took_ms = self.traffic.clock.now().since(self.since);
+        self.outcome.report = end.guard_status.as_ref().map(|status| status.load);
+        self.outcome.failing_permille = end
+            .guard_status
+            .as_ref()
+            .map_or(0, |status| status.failing_permille);
+        self.outcome.took_ms = self.traffic.clock.now().since(self.since);
         self.ran = end.ran_well().then(|| route.clone());
-        self.news.is_lost = end.reason() == Some(RefusalReason::PeerLost);
-        let word = end.news.as_ref().and_then(|news| news.word.as_ref());
-        let is_leaving = word.is_some_and(|word| word.is_leaving);
+        self.outcome.is_lost = end.reason() == Some(RefusalReason::PeerLost);
+        let announcement = end
+            .guard_status
+            .as_ref()
+            .and_then(|status| status.announcement.as_ref());
+        let is_leaving = announcement.is_some_and(|announcement| announcement.is_leaving);
         let is_closed = matches!(
             end.reason(),
             Some(
@@ -50,15 +56,15 @@
                     | RefusalReason::NoTarget
             )
         );
-        self.news.is_closed = is_closed || is_leaving;
+        self.outcome.is_closed = is_closed || is_leaving;
     }
 }
 
-impl Drop for InFlightAt {
+impl Drop for InFlightAttempt {
     fn drop(&mut self) {
         self.traffic.metrics.entry_in_flight.dec();
         let now = self.traffic.clock.now();
         let targets = &self.traffic.targets;
-        targets.ended(&self.target, self.news, self.ran.as_ref(), now);
+        targets.ended(&self.target, self.outcome, self.ran.as_ref(), now);
     }
 }
--- a/src/traffic/keyed_routes.rs
+++ b/src/traffic/keyed_routes.rs
@@ -8,7 +8,7 @@
 use crate::core::Name;
 
 /// Routes remembered at most; beyond it all are forgotten and seen anew.
-const MOST_ROUTES: usize = 4_096;
+const MAX_ROUTES: usize = 4_096;
 
 /// Routes on which a request with a valid key was seen at this entry. Read by every request and seldom
 /// changed.
@@ -24,13 +24,13 @@
     }
 
     /// A valid key was seen on the route.
-    pub(super) fn note(&self, route: &Name) {
+    pub(super) fn record(&self, route: &Name) {
         if self.contains(route) {
             return;
         }
         self.routes.rcu(|routes| {
             let mut routes = FastSet::clone(routes);
-            if routes.len() >= MOST_ROUTES {
+            if routes.len() >= MAX_ROUTES {
                 routes.clear();
             }
             routes.insert(route.clone());
--- a/src/traffic/listeners.rs
+++ b/src/traffic/listeners.rs
@@ -70,8 +70,8 @@
 }
 
 /// The address with the real port when any was asked for.
-pub(super) fn local_address(listener: &TcpListener, asked: SocketAddr) -> SocketAddr {
-    listener.local_addr().unwrap_or(asked)
+pub(super) fn local_address(listener: &TcpListener, requested: SocketAddr) -> SocketAddr {
+    listener.local_addr().unwrap_or(requested)
 }
 
 /// Serves until the task is dropped.
--- a/src/traffic/local_server.rs
+++ b/src/traffic/local_server.rs
@@ -26,7 +26,7 @@
 
 /// The incarnation that stands at the backend server's address.
 #[derive(Clone, Debug, PartialEq)]
-struct Present {
+struct CurrentServer {
     incarnation: Name,
     started_unix_ms: Option<u64>,
     service: Name,
@@ -42,9 +42,9 @@
 
 /// Whether a report brought news.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reported {
-    News,
-    Nothing,
+pub enum LocalChange {
+    Changed,
+    NoChange,
 }
 
 /// The backend server beside this node, as far as is known.
@@ -57,7 +57,7 @@
 #[derive(Clone, Debug)]
 pub struct LocalServer {
     heartbeat_ms: u64,
-    present: Option<Present>,
+    current: Option<CurrentServer>,
     gone: GoneServers,
 }
 
@@ -66,7 +66,7 @@
     pub fn new(heartbeat_ms: u64) -> Self {
         Self {
             heartbeat_ms,
-            present: None,
+            current: None,
             gone: GoneServers::default(),
         }
     }
@@ -77,17 +77,17 @@
     }
 
     /// An incarnation is known to have said that it leaves, from before this process started.
-    pub fn note_gone(&mut self, incarnation: &Name, started_unix_ms: Option<u64>) {
-        self.gone.note(incarnation, started_unix_ms);
+    pub fn mark_gone(&mut self, incarnation: &Name, started_unix_ms: Option<u64>) {
+        self.gone.record(incarnation, started_unix_ms);
     }
 
     /// Takes over what is known from before this process started, once the backend server has said
     /// itself that it still is that incarnation. Reports go before it.
-    pub fn recall(&mut self, now: TimeMs, known: &KnownServer) -> Reported {
-        if self.present.is_some() || self.gone.contains(&known.incarnation) {
-            return Reported::Nothing;
+    pub fn restore(&mut self, now: TimeMs, known: &KnownServer) -> LocalChange {
+        if self.current.is_some() || self.gone.contains(&known.incarnation) {
+            return LocalChange::NoChange;
         }
-        self.present = Some(Present {
+        self.current = Some(CurrentServer {
             incarnation: known.incarnation.clone(),
             started_unix_ms: known.started_unix_ms,
             service: known.service.clone(),
@@ -98,35 +98,35 @@
             heard_at: now,
             rate: NamedRate::default(),
         });
-        Reported::News
+        LocalChange::Changed
     }
 
     /// What to keep over a restart of this process: the incarnation that takes work.
     pub fn known(&self) -> Option<KnownServer> {
-        let present = self.present.as_ref()?;
-        (!present.is_leaving).then(|| KnownServer {
-            incarnation: present.incarnation.clone(),
-            started_unix_ms: present.started_unix_ms,
-            service: present.service.clone(),
-            slots: present.slots,
+        let current = self.current.as_ref()?;
+        (!current.is_leaving).then(|| KnownServer {
+            incarnation: current.incarnation.clone(),
+            started_unix_ms: current.started_unix_ms,
+            service: current.service.clone(),
+            slots: current.slots,
         })
     }
 
     /// Takes in a report.
-    pub fn take(&mut self, now: TimeMs, report: &ServerReport) -> Reported {
-        let is_present = |present: &Present| present.incarnation == report.incarnation;
-        if self.present.as_ref().is_some_and(is_present) {
-            return self.take_present(now, report);
+    pub fn apply_report(&mut self, now: TimeMs, report: &ServerReport) -> LocalChange {
+        let is_current = |current: &CurrentServer| current.incarnation == report.incarnation;
+        if self.current.as_ref().is_some_and(is_current) {
+            return self.apply_current_report(now, report);
         }
         if report.state == ReportedState::Left {
-            self.note_gone(&report.incarnation, report.started_unix_ms);
-            return Reported::Nothing;
+            self.mark_gone(&report.incarnation, report.started_unix_ms);
+            return LocalChange::NoChange;
         }
-        if self.gone.has_sent(report) || !self.may_replace(now, report) {
-            return Reported::Nothing;
+        if self.gone.is_report_of_gone(report) || !self.may_replace(now, report) {
+            return LocalChange::NoChange;
         }
         self.replace(now, report);
-        Reported::News
+        LocalChange::Changed
     }
 
     /// Takes in a report under the identifier of the present incarnation.
@@ -134,52 +134,52 @@
     /// Guards against a backend server that crashes and comes back under the same identifier: its
     /// sequence starts anew, so all its reports looked late, and it got no more work. It holds because
     /// such a start is told by its time, or, without one, by first reports of one that was down.
-    fn take_present(&mut self, now: TimeMs, report: &ServerReport) -> Reported {
+    fn apply_current_report(&mut self, now: TimeMs, report: &ServerReport) -> LocalChange {
         let silent_ms = self.silent_ms();
-        let Some(present) = self.present.as_mut() else {
-            return Reported::Nothing;
+        let Some(current) = self.current.as_mut() else {
+            return LocalChange::NoChange;
         };
-        let is_silent = present.is_down || now.since(present.heard_at) > silent_ms;
+        let is_silent = current.is_down || now.since(current.heard_at) > silent_ms;
         let is_ready = report.state == ReportedState::Ready;
-        let starts_anew = match (report.started_unix_ms, present.started_unix_ms) {
+        let starts_anew = match (report.started_unix_ms, current.started_unix_ms) {
             // The clock of the machine may have been set back meanwhile.
             (Some(theirs), Some(ours)) if theirs < ours => is_silent && is_ready,
             (Some(theirs), Some(ours)) => theirs > ours,
             _ => {
                 let is_first = |sequence| sequence <= FIRST_SEQUENCES;
-                let lower = |sequence: u64| sequence < present.sequence;
-                let sequence = report.sequence.filter(|_| is_ready && present.is_down);
+                let lower = |sequence: u64| sequence < current.sequence;
+                let sequence = report.sequence.filter(|_| is_ready && current.is_down);
                 sequence.is_some_and(|sequence| is_first(sequence) && lower(sequence))
             }
         };
         if starts_anew {
             self.replace(now, report);
-            return Reported::News;
+            return LocalChange::Changed;
         }
-        if is_later(present.started_unix_ms, report.started_unix_ms) {
-            return Reported::Nothing;
+        if is_later(current.started_unix_ms, report.started_unix_ms) {
+            return LocalChange::NoChange;
         }
-        let before = present.clone();
-        present.started_unix_ms = present.started_unix_ms.or(report.started_unix_ms);
-        present.is_leaving |= report.state != ReportedState::Ready;
+        let before = current.clone();
+        current.started_unix_ms = current.started_unix_ms.or(report.started_unix_ms);
+        current.is_leaving |= report.state != ReportedState::Ready;
         if report
             .sequence
-            .is_some_and(|sequence| sequence > present.sequence)
+            .is_some_and(|sequence| sequence > current.sequence)
         {
-            present.sequence = report.sequence.unwrap_or(present.sequence);
-            present.heard_at = now;
-            present.slots = report.slots.unwrap_or(present.slots);
-            present.service = report.service.clone().unwrap_or(present.service.clone());
-            present.is_down = false;
+            current.sequence = report.sequence.unwrap_or(current.sequence);
+            current.heard_at = now;
+            current.slots = report.slots.unwrap_or(current.slots);
+            current.service = report.service.clone().unwrap_or(current.service.clone());
+            current.is_down = false;
         }
-        let is_news = before.is_leaving != present.is_leaving
-            || before.is_down != present.is_down
-            || before.slots != present.slots
-            || before.service != present.service;
+        let is_news = before.is_leaving != current.is_leaving
+            || before.is_down != current.is_down
+            || before.slots != current.slots
+            || before.service != current.service;
         if is_news {
-            Reported::News
+            LocalChange::Changed
         } else {
-            Reported::Nothing
+            LocalChange::NoChange
         }
     }
 
@@ -189,24 +189,24 @@
     }
 
     fn may_replace(&self, now: TimeMs, report: &ServerReport) -> bool {
-        let Some(present) = &self.present else {
+        let Some(current) = &self.current else {
             return true;
         };
-        present.is_leaving
-            || present.is_down
-            || now.since(present.heard_at) > self.silent_ms()
+        current.is_leaving
+            || current.is_down
+            || now.since(current.heard_at) > self.silent_ms()
             || report
                 .sequence
                 .is_some_and(|sequence| sequence <= FIRST_SEQUENCES)
     }
 
     fn replace(&mut self, now: TimeMs, report: &ServerReport) {
-        let before = self.present.take();
+        let before = self.current.take();
         if let Some(before) = before.filter(|before| before.incarnation != report.incarnation) {
-            self.note_gone(&before.incarnation, before.started_unix_ms);
+            self.mark_gone(&before.incarnation, before.started_unix_ms);
         }
         self.gone.forget(&report.incarnation);
-        self.present = Some(Present {
+        self.current = Some(CurrentServer {
             incarnation: report.incarnation.clone(),
             started_unix_ms: report.started_unix_ms,
             service: report.service.clone().unwrap_or_else(|| Name::from("")),
@@ -220,140 +220,150 @@
     }
 
     /// The backend server itself said which incarnation it is, when another one was meant.
-    pub fn note_actual(&mut self, now: TimeMs, expected: &Name, actual: &Name) -> Reported {
-        let Some(present) = self.present.as_mut() else {
-            return Reported::Nothing;
+    pub fn correct_incarnation(
+        &mut self,
+        now: TimeMs,
+        expected: &Name,
+        actual: &Name,
+    ) -> LocalChange {
+        let Some(current) = self.current.as_mut() else {
+            return LocalChange::NoChange;
         };
-        if present.incarnation != *expected || expected == actual {
-            return Reported::Nothing;
+        if current.incarnation != *expected || expected == actual {
+            return LocalChange::NoChange;
         }
-        let before = std::mem::replace(&mut present.incarnation, actual.clone());
-        let started_unix_ms = present.started_unix_ms.take();
-        present.sequence = 0;
-        present.heard_at = now;
-        present.rate = NamedRate::default();
-        present.is_leaving = self.gone.contains(actual);
-        self.note_gone(&before, started_unix_ms);
-        Reported::News
+        let before = std::mem::replace(&mut current.incarnation, actual.clone());
+        let started_unix_ms = current.started_unix_ms.take();
+        current.sequence = 0;
+        current.heard_at = now;
+        current.rate = NamedRate::default();
+        current.is_leaving = self.gone.contains(actual);
+        self.mark_gone(&before, started_unix_ms);
+        LocalChange::Changed
     }
 
     /// The backend server took no connection: it is down until it reports again.
-    pub fn note_refused(&mut self, incarnation: &Name) -> Reported {
-        let present = self.present.as_mut();
-        match present.filter(|present| present.incarnation == *incarnation && !present.is_down) {
-            Some(present) => {
-                present.is_down = true;
-                Reported::News
+    pub fn mark_down(&mut self, incarnation: &Name) -> LocalChange {
+        let current = self.current.as_mut();
+        match current.filter(|current| current.incarnation == *incarnation && !current.is_down) {
+            Some(current) => {
+                current.is_down = true;
+                LocalChange::Changed
             }
-            None => Reported::Nothing,
+            None => LocalChange::NoChange,
         }
     }
 
     /// Takes in what an answer of an incarnation, to a request sent at `sent_at`, says of the rate.
-    pub fn note_rate(
+    pub fn apply_rate(
         &mut self,
         now: TimeMs,
         incarnation: &Name,
         sent_at: TimeMs,
-        word: RateWord,
+        announcement: RateWord,
     ) -> RateChange {
-        let present = self.present.as_mut();
-        match present.filter(|present| present.incarnation == *incarnation) {
-            Some(present) => present.rate.note(now, sent_at, word),
+        let current = self.current.as_mut();
+        match current.filter(|current| current.incarnation == *incarnation) {
+            Some(current) => current.rate.note(now, sent_at, announcement),
             None => RateChange::Unchanged,
         }
     }
 
     /// Takes in what a peer was told of a backend server, perhaps before this process started.
-    pub fn take_word(&mut self, now: TimeMs, word: &ServerWord) -> Reported {
-        let present = self.present.as_ref();
-        let present = present.filter(|present| present.incarnation == word.incarnation);
-        if present.is_some_and(|present| is_later(present.started_unix_ms, word.started_unix_ms)) {
-            return Reported::Nothing;
+    pub fn apply_announcement(&mut self, now: TimeMs, announcement: &ServerWord) -> LocalChange {
+        let current = self.current.as_ref();
+        let current = current.filter(|current| current.incarnation == announcement.incarnation);
+        if current
+            .is_some_and(|current| is_later(current.started_unix_ms, announcement.started_unix_ms))
+        {
+            return LocalChange::NoChange;
         }
-        let incarnation = word.incarnation.clone();
-        let left = if word.is_leaving {
-            self.take(
+        let incarnation = announcement.incarnation.clone();
+        let left = if announcement.is_leaving {
+            self.apply_report(
                 now,
-                &ServerReport::departure(incarnation, word.started_unix_ms),
+                &ServerReport::departure(incarnation, announcement.started_unix_ms),
             )
         } else {
-            Reported::Nothing
+            LocalChange::NoChange
         };
-        let is_meant = |present: &&mut Present| present.incarnation == word.incarnation;
-        let present = self.present.as_mut().filter(is_meant);
-        let change = present.zip(word.rate_milli).map(|(present, rate_milli)| {
-            let per_s = rate_milli as f64 / MILLI;
-            present.rate.take_over(now, per_s)
-        });
+        let is_meant =
+            |current: &&mut CurrentServer| current.incarnation == announcement.incarnation;
+        let current = self.current.as_mut().filter(is_meant);
+        let change = current
+            .zip(announcement.rate_milli)
+            .map(|(current, rate_milli)| {
+                let per_s = rate_milli as f64 / MILLI;
+                current.rate.take_over(now, per_s)
+            });
         match change {
             None | Some(RateChange::Unchanged) => left,
-            Some(_) => Reported::News,
+            Some(_) => LocalChange::Changed,
         }
     }
 
     /// What the incarnation that stands there has said of itself, if it binds whoever sends it requests.
-    pub fn word(&self) -> Option<ServerWord> {
-        let present = self.present.as_ref()?;
-        let rate_milli = present.rate.per_s().map(|per_s| (per_s * MILLI) as u64);
-        (present.is_leaving || rate_milli.is_some()).then(|| ServerWord {
-            incarnation: present.incarnation.clone(),
-            started_unix_ms: present.started_unix_ms,
-            is_leaving: present.is_leaving,
+    pub fn announcement(&self) -> Option<ServerWord> {
+        let current = self.current.as_ref()?;
+        let rate_milli = current.rate.per_s().map(|per_s| (per_s * MILLI) as u64);
+        (current.is_leaving || rate_milli.is_some()).then(|| ServerWord {
+            incarnation: current.incarnation.clone(),
+            started_unix_ms: current.started_unix_ms,
+            is_leaving: current.is_leaving,
             rate_milli,
         })
     }
 
     /// How many requests a second it says it takes, if it says so.
     pub fn rate_per_s(&self) -> Option<f64> {
-        self.present.as_ref()?.rate.per_s()
+        self.current.as_ref()?.rate.per_s()
     }
 
     /// The incarnation to which requests for `service` may be sent.
-    pub fn takes_work(&self, service: &str) -> Option<&Name> {
-        let present = self.present.as_ref()?;
-        let may = !present.is_leaving && !present.is_down && &*present.service == service;
-        may.then_some(&present.incarnation)
+    pub fn accepting_incarnation(&self, service: &str) -> Option<&Name> {
+        let current = self.current.as_ref()?;
+        let may = !current.is_leaving && !current.is_down && &*current.service == service;
+        may.then_some(&current.incarnation)
     }
 
     /// What other nodes are told.
     pub fn state(&self) -> TargetState {
-        match &self.present {
+        match &self.current {
             None => TargetState::Starting,
-            Some(present) if present.is_leaving => TargetState::Draining,
-            Some(present) if present.is_down => TargetState::Starting,
+            Some(current) if current.is_leaving => TargetState::Draining,
+            Some(current) if current.is_down => TargetState::Starting,
             Some(_) => TargetState::Up,
         }
     }
 
     /// Which incarnation stands there, whatever its state.
     pub fn incarnation(&self) -> Option<&Name> {
-        self.present.as_ref().map(|present| &present.incarnation)
+        self.current.as_ref().map(|current| &current.incarnation)
     }
 
     /// When the incarnation that stands there started, if it has said so.
     pub fn started_unix_ms(&self) -> Option<u64> {
-        self.present.as_ref()?.started_unix_ms
+        self.current.as_ref()?.started_unix_ms
     }
 
     /// Whether it takes no connections.
     pub fn is_down(&self) -> bool {
-        self.present.as_ref().is_some_and(|present| present.is_down)
+        self.current.as_ref().is_some_and(|current| current.is_down)
     }
 
     /// The service that it says it belongs to.
     pub fn service(&self) -> Option<&Name> {
-        self.present.as_ref().map(|present| &present.service)
+        self.current.as_ref().map(|current| &current.service)
     }
 
     /// How many requests it says it runs at once; 0 while unknown.
     pub fn slots(&self) -> u32 {
-        self.present.as_ref().map_or(0, |present| present.slots)
+        self.current.as_ref().map_or(0, |current| current.slots)
     }
 
     /// The incarnation, if it has said that it leaves.
     pub fn leaving(&self) -> Option<&Name> {
-        let present = self.present.as_ref()?;
-        present.is_leaving.then_some(&present.incarnation)
+        let current = self.current.as_ref()?;
+        current.is_leaving.then_some(&current.incarnation)
     }
 }
--- a/src/traffic/maintenance.rs
+++ b/src/traffic/maintenance.rs
@@ -6,13 +6,13 @@
 use crate::traffic::traffic::Traffic;
 
 /// How often admission looks at the time while calls wait.
-const BUSY_GATE_LOOK: Duration = Duration::from_millis(20);
+const BUSY_GATE_POLL: Duration = Duration::from_millis(20);
 /// The same while none waits.
-const IDLE_GATE_LOOK: Duration = Duration::from_millis(100);
+const IDLE_GATE_POLL: Duration = Duration::from_millis(100);
 /// From this pressure on a service that the backend server calls counts as the bottleneck.
 const DEEP_PRESSED_PERMILLE: u32 = 900;
 /// How often admission of roots is logged while some are refused.
-const ADMISSION_LOG: Duration = Duration::from_secs(1);
+const ADMISSION_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 fn note_deep_pressure(traffic: &Traffic) {
     let running = traffic.running.all();
@@ -28,8 +28,8 @@
 /// waits at the guard while anything does.
 pub(super) async fn log_admission(traffic: Arc<Traffic>) {
     loop {
-        tokio::time::sleep(ADMISSION_LOG).await;
-        traffic.roots.log_closed();
+        tokio::time::sleep(ADMISSION_LOG_INTERVAL).await;
+        traffic.roots.log_restricted();
         let load = traffic.gate.load();
         if load.queued > 0 {
             log::info!(
@@ -47,14 +47,14 @@
 /// what runs there.
 pub(super) async fn poll_gate(traffic: Arc<Traffic>) {
     loop {
-        traffic.follow_desired();
+        traffic.apply_desired_limits();
         let is_busy = traffic.gate.load().queued > 0;
-        let look = if is_busy {
-            BUSY_GATE_LOOK
+        let interval = if is_busy {
+            BUSY_GATE_POLL
         } else {
-            IDLE_GATE_LOOK
+            IDLE_GATE_POLL
         };
-        tokio::time::sleep(look).await;
+        tokio::time::sleep(interval).await;
         note_deep_pressure(&traffic);
         traffic.gate.poll();
     }
--- a/src/traffic/mod.rs
+++ b/src/traffic/mod.rs
@@ -57,13 +57,13 @@
 
 pub use admin_protocol::AdminProtocol;
 pub use admin_protocol::AdminRequest;
-pub use announcement_cache::ToldWords;
+pub use announcement_cache::AnnouncementCache;
 pub use desired_in_force::DesiredInForce;
 pub use desired_in_force::InForce;
 pub use desired_task::DesiredSource;
 pub use header_names::HeaderNames;
+pub use local_server::LocalChange;
 pub use local_server::LocalServer;
-pub use local_server::Reported;
 pub use process::TrafficInputs;
 pub use process::TrafficProcess;
 pub use reload::Reloaded;
--- a/src/traffic/peer_discovery.rs
+++ b/src/traffic/peer_discovery.rs
@@ -22,22 +22,22 @@
 /// is for nodes that are gone.
 const SAMPLE_ROWS: usize = 16;
 /// With fewer rows than this up to the end of a part, the next part is read as well.
-const LEAST_ROWS: usize = 8;
+const MIN_ROWS: usize = 8;
 /// Parts read for one sample at most.
-const MOST_READS: usize = 4;
+const MAX_READS: usize = 4;
 /// After these pauses in milliseconds the nodes found are asked who is there: at once, and again, for
 /// nodes that start together know few when they are asked first. From then on gossip tells of others.
-const ASK_AGAIN_MS: [u64; 2] = [0, 600];
+const ASK_DELAYS_MS: [u64; 2] = [0, 600];
 /// Nodes that start together begin to read within this time for each part of the table, in milliseconds:
 /// whom others have found by then need not read, and a store of many parts is one for many nodes.
 const READ_SPREAD_MS: u64 = 200;
 /// In this time after a first start rows are written, and those who have read them have asked, in
 /// milliseconds.
-const WRITTEN_MS: u64 = 5_000;
+const FIRST_WRITES_MS: u64 = 5_000;
 /// A node that knows so many others, itself included, has been found.
 const FOUND_NODES: usize = 12;
 /// So long after their reading a few nodes of each failure domain read once more, in milliseconds.
-const SECOND_LOOK_MS: u64 = 3_000;
+const SECOND_READ_DELAY_MS: u64 = 3_000;
 
 /// Reads rows of other nodes, a sample at a time.
 ///
@@ -48,7 +48,7 @@
 ///
 /// Guards against a fleet that starts in two parts which never hear of each other. It holds because of
 /// each part the first ones of every failure domain read another sample a little later.
-pub(super) struct FindOthers {
+pub(super) struct PeerDiscovery {
     pub(super) store: Arc<dyn Store>,
     pub(super) control: Arc<ControlHandle>,
     pub(super) table: Name,
@@ -62,8 +62,8 @@
 }
 
 /// After how long nodes that start together for the first time have found each other, in milliseconds.
-pub(super) fn found_after_ms(rates: StoreRates) -> u64 {
-    WRITTEN_MS + READ_SPREAD_MS * rates.parts()
+pub(super) fn discovery_time_ms(rates: StoreRates) -> u64 {
+    FIRST_WRITES_MS + READ_SPREAD_MS * rates.parts()
 }
 
 /// Where the next sample begins.
@@ -72,23 +72,23 @@
     from: Name,
 }
 
-impl FindOthers {
+impl PeerDiscovery {
     /// Runs until other nodes are known.
     pub(super) async fn run(self) {
-        let mut cursor = self.begin();
+        let mut cursor = self.start_cursor();
         if self.is_first_start {
             let spread_ms = fastrand::u64(..READ_SPREAD_MS * self.rates.parts());
             sleep(Duration::from_millis(spread_ms)).await;
         }
-        if !self.is_found() {
+        if !self.has_found_peers() {
             let seeds = self.next_sample(&mut cursor).await;
-            for pause_ms in ASK_AGAIN_MS {
+            for pause_ms in ASK_DELAYS_MS {
                 sleep(Duration::from_millis(pause_ms)).await;
                 self.control.add_seeds(seeds.clone());
             }
         }
         if self.is_first_start {
-            self.look_again(&mut cursor).await;
+            self.read_second_sample(&mut cursor).await;
         }
         // A node that knows nobody after that has started during an outage, or read of nodes that are
         // gone: it asks on.
@@ -102,7 +102,7 @@
 
     /// Behind the own row. Where all start together, in any part: rows are few yet, and nodes of all
     /// parts have to hear of each other.
-    fn begin(&self) -> Cursor {
+    fn start_cursor(&self) -> Cursor {
         if self.is_first_start && self.rates.parts() > 1 {
             return Cursor {
                 part: fastrand::u64(..self.rates.parts()),
@@ -115,12 +115,12 @@
         }
     }
 
-    fn is_found(&self) -> bool {
+    fn has_found_peers(&self) -> bool {
         self.is_first_start && self.control.view.load().nodes.len() >= FOUND_NODES
     }
 
-    async fn look_again(&self, cursor: &mut Cursor) {
-        sleep(Duration::from_millis(SECOND_LOOK_MS)).await;
+    async fn read_second_sample(&self, cursor: &mut Cursor) {
+        sleep(Duration::from_millis(SECOND_READ_DELAY_MS)).await;
         let view = self.control.view.load_full();
         if !is_watcher(&view, &self.node, &self.domain) {
             return;
@@ -158,7 +158,7 @@
     async fn read(&self, cursor: &mut Cursor) -> Result<Vec<StoredRow>, StoreError> {
         let mut rows = Vec::new();
         // With one part, its end and then its beginning.
-        let reads = MOST_READS.min(self.rates.parts() as usize + 1);
+        let reads = MAX_READS.min(self.rates.parts() as usize + 1);
         for _ in 0..reads {
             let part = part_name(cursor.part);
             let from = cursor.from.clone();
@@ -173,7 +173,7 @@
                 }
             }
             rows.extend(read);
-            if rows.len() >= LEAST_ROWS {
+            if rows.len() >= MIN_ROWS {
                 break;
             }
         }
--- a/src/traffic/poison_watch.rs
+++ b/src/traffic/poison_watch.rs
@@ -28,10 +28,10 @@
 /// So many crashes refuse a content. One more than at the product's own interface: there a report is
 /// out before any answer, here it waits until it is certain that there was a crash, and a call whose
 /// target crashed is sent to a second one meanwhile.
-const CRASHES: usize = 3;
+const CRASHES_TO_REFUSE: usize = 3;
 
 #[derive(Debug)]
-struct Known {
+struct WatchState {
     suspects: Suspects,
     broken: BrokenCalls,
 }
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 pub(super) struct PoisonWatch {
     clock: Clock,
-    known: Mutex<Known>,
+    state: Mutex<WatchState>,
     reports: Sender<CrashReport>,
 }
 
@@ -48,13 +48,13 @@
     /// Nobody is suspected. Reports for other guards go to `reports`.
     pub(super) fn new(clock: Clock, reports: Sender<CrashReport>) -> Self {
         let settings = PoisonSettings {
-            crashes: CRASHES,
-            crashes_non_idempotent: CRASHES,
+            crashes: CRASHES_TO_REFUSE,
+            crashes_non_idempotent: CRASHES_TO_REFUSE,
             ..PoisonSettings::default()
         };
         Self {
             clock,
-            known: Mutex::new(Known {
+            state: Mutex::new(WatchState {
                 suspects: Suspects::new(settings),
                 broken: BrokenCalls::default(),
             }),
@@ -63,33 +63,33 @@
     }
 
     /// Whether a call may run.
-    pub(super) fn is_harmless(&self, call: &Running) -> bool {
+    pub(super) fn is_allowed(&self, call: &Running) -> bool {
         let now = self.clock.now();
-        let known = self.lock();
+        let state = self.lock();
         let (request, fingerprint) = (call.request, call.fingerprint);
-        known.suspects.verdict(now, request, fingerprint, false) == Verdict::Allowed
+        state.suspects.verdict(now, request, fingerprint, false) == Verdict::Allowed
     }
 
     /// A call came to its end.
-    pub(super) fn note_success(&self, call: &Running) {
-        let mut known = self.lock();
-        if !known.suspects.is_empty() && known.suspects.note_success(call.fingerprint) {
+    pub(super) fn record_success(&self, call: &Running) {
+        let mut state = self.lock();
+        if !state.suspects.is_empty() && state.suspects.note_success(call.fingerprint) {
             log::info!("poison: cleared, fingerprint={:016x}", call.fingerprint);
         }
     }
 
     /// The connection of a call to the backend server broke.
-    pub(super) fn note_broken(&self, call: Running) {
+    pub(super) fn record_broken(&self, call: Running) {
         let now = self.clock.now();
         self.lock().broken.note(now, call);
     }
 
     /// The backend server has ended, one way or another: calls that broke just before were running
     /// when it did.
-    pub(super) fn note_ended(&self) {
+    pub(super) fn record_backend_exit(&self) {
         let now = self.clock.now();
-        let mut known = self.lock();
-        let running = known.broken.take(now);
+        let mut state = self.lock();
+        let running = state.broken.take(now);
         if running.is_empty() {
             return;
         }
@@ -97,7 +97,7 @@
             "poison: the backend server crashed, running={}",
             running.len()
         );
-        let report = known.suspects.note_crash(now, CrashId::random(), &running);
+        let report = state.suspects.note_crash(now, CrashId::random(), &running);
         if self.reports.try_send(report).is_err() {
             log::warn!("poison: a report was dropped, too many wait");
         }
@@ -109,8 +109,8 @@
         self.lock().suspects.merge(now, report);
     }
 
-    fn lock(&self) -> MutexGuard<'_, Known> {
-        self.known.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, WatchState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -126,31 +126,31 @@
 }
 
 /// Passes reports on to the other targets of the local service.
-pub(super) async fn tell_targets(
+pub(super) async fn forward_reports(
     mut reports: Receiver<CrashReport>,
     traffic: Arc<Traffic>,
     control: Arc<ControlHandle>,
 ) {
     while let Some(report) = reports.recv().await {
-        tell(&traffic, &control, report).await;
+        send_report(&traffic, &control, report).await;
     }
 }
 
-async fn tell(traffic: &Arc<Traffic>, control: &Arc<ControlHandle>, report: CrashReport) {
+async fn send_report(traffic: &Arc<Traffic>, control: &Arc<ControlHandle>, report: CrashReport) {
     let service = &traffic.settings.service;
     let view = traffic.view.load_full();
     let others = view.targets(service).iter();
     let others = others.filter(|target| target.node != traffic.settings.node);
-    let told = others.map(|target| {
-        let news = SuspectsNews {
+    let deliveries = others.map(|target| {
+        let notice = SuspectsNews {
             service: service.clone(),
             report: report.clone(),
         };
-        let told = control
+        let deliveries = control
             .clients
-            .report_suspects(target.control_address, news);
+            .report_suspects(target.control_address, notice);
         async {
-            if let Err(error) = told.await {
+            if let Err(error) = deliveries.await {
                 log::warn!(
                     "poison: a report was not taken in, peer={} error={error}",
                     target.node
@@ -158,17 +158,17 @@
             }
         }
     });
-    join_all(told).await;
+    join_all(deliveries).await;
 }
 
 /// The service that a report is about is the local one, or its sender is mistaken.
-pub(super) fn take_report(watch: &PoisonWatch, local_service: &str, news: &SuspectsNews) {
-    if &*news.service == local_service {
-        watch.merge(&news.report);
+pub(super) fn apply_peer_report(watch: &PoisonWatch, local_service: &str, notice: &SuspectsNews) {
+    if &*notice.service == local_service {
+        watch.merge(&notice.report);
     } else {
         log::warn!(
             "poison: a report for another service, service={}",
-            news.service
+            notice.service
         );
     }
 }
--- a/src/traffic/process.rs
+++ b/src/traffic/process.rs
@@ -22,18 +22,18 @@
 use crate::traffic::DesiredInForce;
 use crate::traffic::DesiredSource;
 use crate::traffic::TrafficSettings;
-use crate::traffic::allowance_task::keep_allowances;
-use crate::traffic::allowance_task::take_allowances;
+use crate::traffic::allowance_task::allowance_handler;
+use crate::traffic::allowance_task::run_allowances;
 use crate::traffic::allowances::Allowances;
 use crate::traffic::control_link::announce_eras;
 use crate::traffic::control_link::announce_local;
 use crate::traffic::control_link::announce_routes;
 use crate::traffic::control_link::announce_version;
-use crate::traffic::control_link::asks;
 use crate::traffic::control_link::confirm_version;
 use crate::traffic::control_link::control_settings;
+use crate::traffic::control_link::era_handler;
 use crate::traffic::control_link::handlers;
-use crate::traffic::control_link::take_era;
+use crate::traffic::control_link::should_poll;
 use crate::traffic::cost_log::log_costs;
 use crate::traffic::desired_task::StoreFollower;
 use crate::traffic::listeners::Listeners;
@@ -44,21 +44,21 @@
 use crate::traffic::maintenance::log_admission;
 use crate::traffic::maintenance::poll_gate;
 use crate::traffic::poison_watch::PoisonWatch;
-use crate::traffic::poison_watch::tell_targets;
+use crate::traffic::poison_watch::forward_reports;
 use crate::traffic::roster::Roster;
-use crate::traffic::route_origins::KnownOrigins;
+use crate::traffic::route_origins::RouteOrigins;
 use crate::traffic::traffic::SharedParts;
 use crate::traffic::traffic::Traffic;
 use crate::traffic::version_fetch::VersionFetch;
 
 /// News of versions that wait; more are dropped, since gossip repeats them.
-const MOST_WAITING_NEWS: usize = 64;
+const VERSION_QUEUE_LENGTH: usize = 64;
 /// Reports of crashes that wait to be passed on; a backend server does not crash more often.
-const MOST_WAITING_REPORTS: usize = 16;
+const CRASH_QUEUE_LENGTH: usize = 16;
 /// What others tell of allowances and waits; more is dropped, for counts are told again.
-const MOST_WAITING_ALLOWANCES: usize = 1_024;
+const ALLOWANCE_QUEUE_LENGTH: usize = 1_024;
 /// News of routes that wait to be told; more are dropped, since others find them out as well.
-const MOST_WAITING_ROUTES: usize = 256;
+const ROUTE_QUEUE_LENGTH: usize = 256;
 /// Classes of priority: calls of backend servers, and callers' requests by rank.
 const CLASSES: usize = 16;
 
@@ -93,11 +93,11 @@
         let peer_address = local_address(&listeners.peers, settings.peer_address);
         let metrics = Arc::new(Metrics::new());
         let desired = Arc::new(DesiredInForce::default());
-        let (news_sender, news) = channel(MOST_WAITING_NEWS);
-        let (crash_sender, crashes) = channel(MOST_WAITING_REPORTS);
+        let (version_sender, version_announcements) = channel(VERSION_QUEUE_LENGTH);
+        let (crash_sender, crashes) = channel(CRASH_QUEUE_LENGTH);
         let poison = Arc::new(PoisonWatch::new(inputs.clock, crash_sender));
-        let (route_sender, route_news) = channel(MOST_WAITING_ROUTES);
-        let origins = Arc::new(KnownOrigins::new(route_sender));
+        let (route_sender, route_updates) = channel(ROUTE_QUEUE_LENGTH);
+        let origins = Arc::new(RouteOrigins::new(route_sender));
         let allowances = Arc::new(Allowances::new(
             settings.node.clone(),
             settings.domain.clone(),
@@ -105,12 +105,12 @@
             settings.is_first_start,
             inputs.clock.now(),
         ));
-        let (told_sender, told) = channel(MOST_WAITING_ALLOWANCES);
+        let (allowance_sender, allowance_messages) = channel(ALLOWANCE_QUEUE_LENGTH);
         let eras = EraWatch::new();
         let handlers = ControlHandlers {
-            allowances: take_allowances(told_sender),
-            store_era: take_era(&eras),
-            ..handlers(&settings, &desired, &poison, &origins, news_sender)
+            allowances: allowance_handler(allowance_sender),
+            store_era: era_handler(&eras),
+            ..handlers(&settings, &desired, &poison, &origins, version_sender)
         };
         let control_settings = control_settings(&settings, peer_address, inputs.clock);
         let control_metrics = ControlMetrics::new(metrics.registry())?;
@@ -131,15 +131,15 @@
         let runtime = &control.runtime;
         let counted = CountedStore::new(inputs.store, traffic.metrics.store.clone());
         let store = Arc::new(EraStore::new(counted, eras.clone()));
-        let ask_now = Arc::new(Notify::new());
+        let poll_now = Arc::new(Notify::new());
         let follower = StoreFollower {
             store: store.clone(),
             source: inputs.source,
             desired: desired.clone(),
             announce: announce.clone(),
             confirm: confirm_version(&control),
-            asks: asks(&traffic, &control),
-            ask_now: ask_now.clone(),
+            should_poll: should_poll(&traffic, &control),
+            poll_now: poll_now.clone(),
             reached: traffic.metrics.store_reached.clone(),
             stored: None,
         };
@@ -149,13 +149,17 @@
             domain: traffic.settings.domain.clone(),
             desired: desired.clone(),
             announce,
-            ask_now,
+            poll_now,
         };
-        runtime.spawn(fetch.run(news));
+        runtime.spawn(fetch.run(version_announcements));
         runtime.spawn(announce_local(control.clone(), traffic.clone()));
-        runtime.spawn(announce_routes(control.clone(), route_news));
-        runtime.spawn(keep_allowances(traffic.clone(), control.clone(), told));
-        runtime.spawn(tell_targets(crashes, traffic.clone(), control.clone()));
+        runtime.spawn(announce_routes(control.clone(), route_updates));
+        runtime.spawn(run_allowances(
+            traffic.clone(),
+            control.clone(),
+            allowance_messages,
+        ));
+        runtime.spawn(forward_reports(crashes, traffic.clone(), control.clone()));
         let roster = Roster {
             store,
             eras: eras.clone(),
--- a/src/traffic/request_log.rs
+++ b/src/traffic/request_log.rs
@@ -21,7 +21,7 @@
 use crate::wire::CallAccount;
 
 /// Writes a line at the level of a failure or a success; `None` where it is not to be written.
-macro_rules! tell {
+macro_rules! log_outcome {
     ($is_sampled:expr, $has_failed:expr, $($message:tt)+) => {
         match ($is_sampled, $has_failed) {
             (true, _) => log::info!(target: SAMPLED, $($message)+),
@@ -33,7 +33,7 @@
 
 /// What is known of a request at its entry.
 #[derive(Clone, Debug)]
-pub(super) struct EntryStory {
+pub(super) struct EntryLog {
     id: Option<HeaderValue>,
     started_us: u64,
     is_sampled: bool,
@@ -43,7 +43,7 @@
     deadline: Option<TimeMs>,
 }
 
-impl EntryStory {
+impl EntryLog {
     /// A request has arrived.
     pub(super) fn new(traffic: &Traffic, id: Option<HeaderValue>) -> Self {
         Self {
@@ -73,7 +73,7 @@
     }
 
     /// It was taken in and classified.
-    pub(super) fn taken(&mut self, call: &Call) {
+    pub(super) fn classified(&mut self, call: &Call) {
         self.route = Some(call.route.clone());
         self.service = Some(call.service.clone());
         self.account = call.account.as_ref().map(|account| account.name.clone());
@@ -87,7 +87,7 @@
             return;
         }
         let trace = progress.trace();
-        tell!(
+        log_outcome!(
             self.is_sampled,
             has_failed,
             "entry: answered, request={} route={} service={} account={} status={} took_ms={} \
@@ -110,7 +110,7 @@
         let left_ms = self
             .deadline
             .map_or(0, |deadline| deadline.since(traffic.clock.now()));
-        tell!(
+        log_outcome!(
             self.is_sampled,
             true,
             "entry: refused, request={} route={} service={} account={} reason={} outcome={} \
@@ -132,7 +132,7 @@
 
     /// It cannot be served, now or later.
     pub(super) fn rejected(&self, traffic: &Traffic, status: StatusCode) {
-        tell!(
+        log_outcome!(
             self.is_sampled,
             true,
             "entry: rejected, request={} status={} took_ms={} config={}",
@@ -148,7 +148,7 @@
         let (Some(service), Some(route)) = (&self.service, &self.route) else {
             return String::new();
         };
-        match traffic.roots.pressed_behind(service, route) {
+        match traffic.roots.pressed_service_for(service, route) {
             Some(pressed) => format!(
                 " pressed={} pressure_permille={} admitted_percent={}",
                 pressed.service, pressed.pressure_permille, pressed.admitted_percent
@@ -164,7 +164,7 @@
 
 /// What is known of a call at its guard.
 #[derive(Clone, Debug)]
-pub(super) struct GuardStory {
+pub(super) struct GuardLog {
     id: Option<HeaderValue>,
     is_sampled: bool,
     route: Name,
@@ -172,7 +172,7 @@
     deadline: TimeMs,
 }
 
-impl GuardStory {
+impl GuardLog {
     /// A call has arrived.
     pub(super) fn new(traffic: &Traffic, call: &GuardedCall) -> Self {
         let names = &traffic.settings.header_names;
@@ -199,7 +199,7 @@
         if !self.is_sampled && !has_failed {
             return;
         }
-        tell!(
+        log_outcome!(
             self.is_sampled,
             has_failed,
             "guard: ran, request={} route={} status={} took_ms={} incarnation={}",
@@ -214,7 +214,7 @@
     fn refused(&self, traffic: &Traffic, refusal: &Refusal, reached_backend: bool) {
         let load = traffic.gate.load();
         let now = traffic.clock.now();
-        tell!(
+        log_outcome!(
             self.is_sampled,
             true,
             "guard: refused, request={} route={} reason={} outcome={} took_ms={} left_ms={} \
@@ -241,30 +241,30 @@
 }
 
 /// A request is beyond its account's allowance. The key is never told.
-pub(super) fn tell_beyond(
+pub(super) fn log_over_allowance(
     traffic: &Traffic,
     account: &CallAccount,
     allowance: Allowance,
-    beyond: Beyond,
+    exceeded: Beyond,
 ) {
-    let told = beyond.told_ms_ago;
-    let told = told.map_or_else(|| "-".to_owned(), |ms| ms.to_string());
+    let age = exceeded.told_ms_ago;
+    let age = age.map_or_else(|| "-".to_owned(), |ms| ms.to_string());
     log::info!(
         "account: beyond its allowance, account={} rate_per_s={} burst={} part_permille={} \
-         told_ms_ago={told} config={}",
+         told_ms_ago={age} config={}",
         account.name,
         allowance.rate_per_s,
         allowance.burst,
-        beyond.part_permille,
+        exceeded.part_permille,
         traffic.desired.version(),
     );
 }
 
 /// A further attempt begins.
-pub(super) fn tell_retry(traffic: &Traffic, call: &Call, after: &Refusal, target: &str) {
+pub(super) fn log_retry(traffic: &Traffic, call: &Call, after: &Refusal, target: &str) {
     let names = &traffic.settings.header_names;
     let id = text_of(call.message.headers.get(&names.request_id));
-    tell!(
+    log_outcome!(
         is_sampled(id),
         true,
         "entry: tries again, request={id} route={} service={} after={} outcome={} target={target} \
--- a/src/traffic/retry_budgets.rs
+++ b/src/traffic/retry_budgets.rs
@@ -17,10 +17,10 @@
 /// The part of the fixed allowance that is used: a node may know of fewer others than there are.
 const USED_SLACK_PART: f32 = 0.5;
 /// Services for which budgets are kept; beyond it those the view does not know go.
-const MOST_SERVICES: usize = 1_024;
+const MAX_SERVICES: usize = 1_024;
 
 #[derive(Debug)]
-struct Known {
+struct BudgetState {
     /// That of the whole system.
     bound: RetryBound,
     /// How many nodes share the fixed allowance.
@@ -31,32 +31,32 @@
 /// Shared by all calls of the entry.
 #[derive(Debug)]
 pub(super) struct RetryBudgets {
-    known: Mutex<Known>,
+    state: Mutex<BudgetState>,
 }
 
 impl RetryBudgets {
     /// Nothing is spent yet.
     pub(super) fn new(bound: RetryBound) -> Self {
-        let known = Mutex::new(Known {
+        let state = Mutex::new(BudgetState {
             bound,
             nodes: usize::MAX,
             budgets: FastMap::default(),
         });
-        Self { known }
+        Self { state }
     }
 
     /// Changes the bound of the whole system; see [`WindowBudget::set_share`].
     pub(super) fn set_bound(&self, bound: RetryBound) {
-        let mut known = self.lock();
-        known.bound = bound;
-        known.share_anew();
+        let mut state = self.lock();
+        state.bound = bound;
+        state.update_shares();
     }
 
     /// Notes a call that is sent for the first time; see [`WindowBudget::first_attempt`].
     pub(super) fn first_attempt(&self, now: TimeMs, view: &View, service: &Name, repeated: f32) {
-        let mut known = self.lock();
-        known.follow(view);
-        known.budget_of(service).first_attempt(now, repeated);
+        let mut state = self.lock();
+        state.update_nodes(view);
+        state.budget_of(service).first_attempt(now, repeated);
     }
 
     /// Pays for a repeat; false when none is left.
@@ -69,12 +69,12 @@
         self.lock().budget_of(service).has_left(now)
     }
 
-    fn lock(&self) -> MutexGuard<'_, Known> {
-        self.known.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, BudgetState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Known {
+impl BudgetState {
     /// This node's part.
     fn share(&self) -> RetryBound {
         RetryBound {
@@ -84,19 +84,19 @@
         }
     }
 
-    fn follow(&mut self, view: &View) {
+    fn update_nodes(&mut self, view: &View) {
         let nodes = view.nodes.len().max(1);
         if nodes != self.nodes {
             self.nodes = nodes;
-            self.share_anew();
+            self.update_shares();
         }
-        if self.budgets.len() > MOST_SERVICES {
+        if self.budgets.len() > MAX_SERVICES {
             self.budgets
                 .retain(|service, _| view.services.contains_key(service));
         }
     }
 
-    fn share_anew(&mut self) {
+    fn update_shares(&mut self) {
         let share = self.share();
         for budget in self.budgets.values_mut() {
             budget.set_share(share);
--- a/src/traffic/root_admission.rs
+++ b/src/traffic/root_admission.rs
@@ -13,7 +13,7 @@
 use crate::core::TimeMs;
 
 #[derive(Debug, Default)]
-struct Learnt {
+struct PressureState {
     pressures: Pressures,
     control: RootControl,
 }
@@ -21,12 +21,12 @@
 /// Shared by entry and guard. Both parts bound themselves.
 #[derive(Debug, Default)]
 pub(super) struct RootAdmission {
-    learnt: Mutex<Learnt>,
+    state: Mutex<PressureState>,
 }
 
 impl RootAdmission {
     /// Takes in what an answer of a service said; `is_root` when the call was a caller's own.
-    pub(super) fn note_answer(
+    pub(super) fn record_answer(
         &self,
         now: TimeMs,
         service: &Name,
@@ -34,19 +34,19 @@
         pressure: Option<&Pressure>,
         is_root: bool,
     ) {
-        let mut learnt = self.lock();
-        learnt.pressures.note(now, service, route, pressure);
+        let mut state = self.lock();
+        state.pressures.note(now, service, route, pressure);
         if !is_root {
             return;
         }
         match pressure {
             Some(pressure) => {
                 let (service, permille) = (&pressure.service, pressure.permille);
-                learnt.control.note(now, service, permille);
+                state.control.note(now, service, permille);
             }
             None => {
-                if let Some(service) = learnt.pressures.pressed_service(service, route).cloned() {
-                    learnt.control.note(now, &service, 0);
+                if let Some(service) = state.pressures.pressed_service(service, route).cloned() {
+                    state.control.note(now, &service, 0);
                 }
             }
         }
@@ -54,16 +54,16 @@
 
     /// Notes a call of the local backend server: each of the routes that run there may have led to
     /// it.
-    pub(super) fn note_child(
+    pub(super) fn record_child(
         &self,
         now: TimeMs,
         parents: &[Name],
         service: &Name,
         child_route: &str,
     ) {
-        let mut learnt = self.lock();
+        let mut state = self.lock();
         for parent in parents {
-            learnt
+            state
                 .pressures
                 .note_child(now, parent, service, child_route);
         }
@@ -77,19 +77,19 @@
         route: &str,
         priority: Priority,
     ) -> bool {
-        let mut learnt = self.lock();
-        let Some(pressed) = learnt.pressures.pressed_service(service, route).cloned() else {
+        let mut state = self.lock();
+        let Some(pressed) = state.pressures.pressed_service(service, route).cloned() else {
             return true;
         };
-        learnt.control.may_pass(now, &pressed, priority)
+        state.control.may_pass(now, &pressed, priority)
     }
 
     /// The service for whose sake requests on a route are refused; `None` while all are let in.
-    pub(super) fn pressed_behind(&self, service: &str, route: &str) -> Option<PressedService> {
-        let learnt = self.lock();
-        let behind = learnt.pressures.pressed_service(service, route)?;
-        let mut pressed = learnt.control.pressed();
-        pressed.find(|pressed| pressed.service == *behind)
+    pub(super) fn pressed_service_for(&self, service: &str, route: &str) -> Option<PressedService> {
+        let state = self.lock();
+        let downstream = state.pressures.pressed_service(service, route)?;
+        let mut pressed = state.control.pressed();
+        pressed.find(|pressed| pressed.service == *downstream)
     }
 
     /// All services for whose sake requests are refused.
@@ -103,7 +103,7 @@
     }
 
     /// The services that work on `route` of the local service may call.
-    pub(super) fn services_behind(&self, now: TimeMs, route: &str) -> Vec<Name> {
+    pub(super) fn downstream_services(&self, now: TimeMs, route: &str) -> Vec<Name> {
         self.lock().pressures.services_behind(now, route)
     }
 
@@ -113,7 +113,7 @@
     }
 
     /// Logs for whose sake requests are refused at present.
-    pub(super) fn log_closed(&self) {
+    pub(super) fn log_restricted(&self) {
         for pressed in self.pressed() {
             log::info!(
                 "entry: refuses roots, service={} pressure_permille={} admitted_percent={}",
@@ -124,7 +124,7 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Learnt> {
-        self.learnt.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, PressureState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/src/traffic/roster.rs
+++ b/src/traffic/roster.rs
@@ -20,21 +20,21 @@
 use crate::store::Store;
 use crate::store::WatchPause;
 use crate::store::part_name;
-use crate::traffic::peer_discovery::FindOthers;
+use crate::traffic::peer_discovery::PeerDiscovery;
 use crate::traffic::roster_row::RosterRow;
 use crate::traffic::roster_row::roster_key;
 use crate::traffic::row_checks::RowChecks;
-use crate::traffic::server_restore::recall_server;
-use crate::traffic::traffic::LocalNews;
+use crate::traffic::server_restore::restore_server;
+use crate::traffic::traffic::LocalServerStatus;
 use crate::traffic::traffic::Traffic;
 
 /// The table with a row for each node.
 const TABLE: &str = "nodes";
 /// How long what is known from before a restart is waited for.
-const OWN_ROW_WITHIN: Duration = Duration::from_millis(1_500);
+const OWN_ROW_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// How long a first row waits for the first report of the backend server, which comes within a heartbeat of
 /// its own start: each write is paid for, and it would be written anew a moment later.
-const FIRST_REPORT_WITHIN: Duration = Duration::from_millis(4_500);
+const FIRST_REPORT_TIMEOUT: Duration = Duration::from_millis(4_500);
 
 /// Keeps the own row and finds others.
 pub(super) struct Roster {
@@ -56,9 +56,9 @@
             key: own_key.clone(),
         };
         let mut keeper = RowKeeper::new(self.store.clone(), name);
-        // Holds true once others may be looked for; see [`FindOthers`].
-        let (may_find, mut is_time) = watch::channel(!is_first_start);
-        let others = FindOthers {
+        // Holds true once others may be looked for; see [`PeerDiscovery`].
+        let (allow_discovery, mut is_allowed) = watch::channel(!is_first_start);
+        let others = PeerDiscovery {
             store: self.store.clone(),
             control: self.control.clone(),
             table: Name::from(TABLE),
@@ -68,21 +68,21 @@
             own_key,
             is_first_start,
         };
-        let finding = async {
+        let discovery = async {
             // The sender lives as long as this does.
-            drop(is_time.wait_for(|is_time| *is_time).await);
+            drop(is_allowed.wait_for(|is_allowed| *is_allowed).await);
             others.run().await;
         };
         let own = async {
             let before = if is_first_start {
                 self.write_first(&mut keeper).await
             } else {
-                self.recall(&mut keeper).await
+                self.read_own_row(&mut keeper).await
             };
-            may_find.send_replace(true);
+            allow_discovery.send_replace(true);
             self.keep(&mut keeper, before).await;
         };
-        tokio::join!(own, finding);
+        tokio::join!(own, discovery);
     }
 
     /// Writes a first row. Answers what the row holds.
@@ -90,14 +90,15 @@
     /// Nothing is stored of a node when the whole system starts for the first time, so nothing is read.
     /// Should there be a row all the same, the write says so, and what it holds counts.
     async fn write_first(&self, keeper: &mut RowKeeper) -> Option<RosterRow> {
-        let mut news = self.traffic.local_news.subscribe();
-        let is_known = |news: &LocalNews| news.known.is_some() || news.leaving.is_some();
-        drop(timeout(FIRST_REPORT_WITHIN, news.wait_for(is_known)).await);
+        let mut status = self.traffic.local_status.subscribe();
+        let is_known =
+            |status: &LocalServerStatus| status.known.is_some() || status.leaving.is_some();
+        drop(timeout(FIRST_REPORT_TIMEOUT, status.wait_for(is_known)).await);
         keeper.take_as_absent();
-        let wanted = self.wanted(None);
+        let wanted = self.wanted_row(None);
         match keeper.write(&wanted.encode()).await {
             KeptRow::Written => Some(wanted),
-            KeptRow::Again(StoreError::Conflict { .. }) => self.recall(keeper).await,
+            KeptRow::Again(StoreError::Conflict { .. }) => self.read_own_row(keeper).await,
             KeptRow::Again(error) => {
                 log::debug!("roster: the own row was not written, error={error}");
                 None
@@ -109,8 +110,8 @@
     /// report from before that, arriving late, would have it sent new work.
     ///
     /// Answers what the row holds.
-    async fn recall(&self, keeper: &mut RowKeeper) -> Option<RosterRow> {
-        let row = match timeout(OWN_ROW_WITHIN, keeper.read()).await {
+    async fn read_own_row(&self, keeper: &mut RowKeeper) -> Option<RosterRow> {
+        let row = match timeout(OWN_ROW_TIMEOUT, keeper.read()).await {
             Ok(Ok(row)) => row,
             Ok(Err(error)) => {
                 log::warn!("roster: the own row cannot be read, error={error}");
@@ -124,7 +125,7 @@
         let before = row.as_ref().and_then(RosterRow::decode)?;
         if let Some(leaving) = &before.leaving {
             let started_unix_ms = before.leaving_started_unix_ms;
-            self.traffic.local().note_gone(leaving, started_unix_ms);
+            self.traffic.local().mark_gone(leaving, started_unix_ms);
         }
         Some(before)
     }
@@ -132,30 +133,30 @@
     /// Keeps the row as it has to be. `before` is what it holds, if that is known.
     async fn keep(&self, keeper: &mut RowKeeper, before: Option<RosterRow>) {
         let known = before.as_ref().and_then(|before| before.known.clone());
-        let asking = async {
+        let restoring = async {
             if let Some(known) = known {
-                recall_server(self.traffic.clone(), known).await;
+                restore_server(self.traffic.clone(), known).await;
             }
         };
-        tokio::join!(asking, self.keep_own(keeper, before));
+        tokio::join!(restoring, self.maintain_row(keeper, before));
     }
 
-    async fn keep_own(&self, keeper: &mut RowKeeper, before: Option<RosterRow>) {
-        let mut held = before.clone();
-        let mut news = self.traffic.local_news.subscribe();
+    async fn maintain_row(&self, keeper: &mut RowKeeper, before: Option<RosterRow>) {
+        let mut written = before.clone();
+        let mut status = self.traffic.local_status.subscribe();
         let mut checks = RowChecks::new(&self.eras);
         let mut pause = WatchPause::default();
         loop {
-            news.mark_unchanged();
-            let wanted = self.wanted(before.as_ref());
-            if held.as_ref() == Some(&wanted) {
+            status.mark_unchanged();
+            let wanted = self.wanted_row(before.as_ref());
+            if written.as_ref() == Some(&wanted) {
                 tokio::select! {
-                    changed = news.changed() => if changed.is_err() {
+                    changed = status.changed() => if changed.is_err() {
                         return;
                     },
                     () = checks.due() => {
                         keeper.forget();
-                        held = None;
+                        written = None;
                     }
                 }
                 continue;
@@ -163,10 +164,10 @@
             match keeper.write(&wanted.encode()).await {
                 KeptRow::Written => {
                     pause.reset();
-                    held = Some(wanted);
+                    written = Some(wanted);
                 }
                 KeptRow::Again(error) => {
-                    held = None;
+                    written = None;
                     log::debug!("roster: the own row was not written, error={error}");
                     sleep(Duration::from_millis(pause.after_failure(fastrand::f64()))).await;
                 }
@@ -174,9 +175,9 @@
         }
     }
 
-    fn wanted(&self, before: Option<&RosterRow>) -> RosterRow {
-        let news = self.traffic.local_news.borrow();
+    fn wanted_row(&self, before: Option<&RosterRow>) -> RosterRow {
+        let status = self.traffic.local_status.borrow();
         let domain = &self.traffic.settings.domain;
-        RosterRow::of(self.control.address, domain, &news, before)
+        RosterRow::of(self.control.address, domain, &status, before)
     }
 }
--- a/src/traffic/roster_row.rs
+++ b/src/traffic/roster_row.rs
@@ -9,7 +9,7 @@
 use crate::core::stable_hash;
 use crate::store::StoredRow;
 use crate::traffic::KnownServer;
-use crate::traffic::traffic::LocalNews;
+use crate::traffic::traffic::LocalServerStatus;
 
 /// How many bytes of the hash stand before a node's name in its key: enough for thousands of nodes to
 /// be spread evenly.
@@ -52,23 +52,23 @@
     pub(super) fn of(
         control_address: SocketAddr,
         domain: &Name,
-        news: &LocalNews,
+        status: &LocalServerStatus,
         before: Option<&Self>,
     ) -> Self {
-        let told = Self {
+        let current = Self {
             control_address: Some(control_address),
             domain: Some(domain.clone()),
-            leaving: news.leaving.clone(),
-            leaving_started_unix_ms: news.leaving_started_unix_ms,
-            known: news.known.clone(),
+            leaving: status.leaving.clone(),
+            leaving_started_unix_ms: status.leaving_started_unix_ms,
+            known: status.known.clone(),
         };
         match before {
-            Some(before) if told.leaving.is_none() && told.known.is_none() => Self {
-                control_address: told.control_address,
-                domain: told.domain,
+            Some(before) if current.leaving.is_none() && current.known.is_none() => Self {
+                control_address: current.control_address,
+                domain: current.domain,
                 ..before.clone()
             },
-            _ => told,
+            _ => current,
         }
     }
 
--- a/src/traffic/route_origins.rs
+++ b/src/traffic/route_origins.rs
@@ -17,11 +17,11 @@
 use crate::wire::HopCall;
 
 /// Routes remembered at an entry at most; beyond it all are forgotten and told anew.
-const MOST_ROUTES: usize = 4_096;
+const MAX_ROUTES: usize = 4_096;
 
 /// What a guard has found out.
 #[derive(Debug, Default)]
-struct Seen {
+struct GuardState {
     origins: OriginsByDomain,
     callers: Callers,
 }
@@ -35,33 +35,41 @@
 }
 
 /// Who uses a route, found out here first.
-pub(super) type RouteNews = (Name, RouteOrigin);
+pub(super) type RouteOriginUpdate = (Name, RouteOrigin);
 
 /// Both sides' knowledge.
 #[derive(Debug)]
-pub(super) struct KnownOrigins {
-    seen: Mutex<Seen>,
-    told: Mutex<FastMap<Name, RouteOrigin>>,
+pub(super) struct RouteOrigins {
+    guard_state: Mutex<GuardState>,
+    learned: Mutex<FastMap<Name, RouteOrigin>>,
     /// Takes what is new here, for the other nodes.
-    news: Sender<RouteNews>,
+    updates: Sender<RouteOriginUpdate>,
 }
 
-impl KnownOrigins {
+impl RouteOrigins {
     /// Nothing is known yet.
-    pub(super) fn new(news: Sender<RouteNews>) -> Self {
+    pub(super) fn new(updates: Sender<RouteOriginUpdate>) -> Self {
         Self {
-            seen: Mutex::default(),
-            told: Mutex::default(),
-            news,
+            guard_state: Mutex::default(),
+            learned: Mutex::default(),
+            updates,
         }
     }
 
     /// Counts a call at the guard, and answers what is known of its route.
-    pub(super) fn note(&self, view: &View, domain: &str, call: &HopCall) -> Option<RouteOrigin> {
-        let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
-        let Seen { origins, callers } = &mut *seen;
-        callers.follow(view, domain);
-        let heard = HeardCall {
+    pub(super) fn record_call(
+        &self,
+        view: &View,
+        domain: &str,
+        call: &HopCall,
+    ) -> Option<RouteOrigin> {
+        let mut guard_state = self
+            .guard_state
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let GuardState { origins, callers } = &mut *guard_state;
+        callers.update(view, domain);
+        let observed = HeardCall {
             route: &call.route,
             caller_service: &call.caller_service,
             is_near: call.is_near && callers.near.len() > 1,
@@ -71,44 +79,44 @@
             near: &callers.near,
             all: &callers.all,
         };
-        origins.note(heard, services)
+        origins.note(observed, services)
     }
 
     /// Takes in what a guard said of a route, of this node or another one.
-    pub(super) fn take(&self, route: &Name, origin: Option<RouteOrigin>) {
+    pub(super) fn learn(&self, route: &Name, origin: Option<RouteOrigin>) {
         let Some(origin) = origin else {
             return;
         };
-        let mut told = self.told.lock().unwrap_or_else(PoisonError::into_inner);
-        if told.get(route) == Some(&origin) {
+        let mut learned = self.learned.lock().unwrap_or_else(PoisonError::into_inner);
+        if learned.get(route) == Some(&origin) {
             return;
         }
-        if told.len() >= MOST_ROUTES {
-            told.clear();
+        if learned.len() >= MAX_ROUTES {
+            learned.clear();
         }
         log::info!("entry: a route is used by, route={route} origin={origin:?}");
-        let is_first = told.insert(route.clone(), origin).is_none();
-        if is_first && self.news.try_send((route.clone(), origin)).is_err() {
+        let is_first = learned.insert(route.clone(), origin).is_none();
+        if is_first && self.updates.try_send((route.clone(), origin)).is_err() {
             log::debug!("entry: news of a route were dropped, route={route}");
         }
     }
 
     /// Takes in what another node has found out, unless something is known already.
-    pub(super) fn take_news(&self, route: &Name, origin: RouteOrigin) {
-        if self.of(route).is_none() {
-            self.take(route, Some(origin));
+    pub(super) fn learn_from_peer(&self, route: &Name, origin: RouteOrigin) {
+        if self.origin_of(route).is_none() {
+            self.learn(route, Some(origin));
         }
     }
 
     /// Who uses a route, if any guard has said so.
-    pub(super) fn of(&self, route: &Name) -> Option<RouteOrigin> {
-        let told = self.told.lock().unwrap_or_else(PoisonError::into_inner);
-        told.get(route).copied()
+    pub(super) fn origin_of(&self, route: &Name) -> Option<RouteOrigin> {
+        let learned = self.learned.lock().unwrap_or_else(PoisonError::into_inner);
+        learned.get(route).copied()
     }
 }
 
 impl Callers {
-    fn follow(&mut self, view: &View, domain: &str) {
+    fn update(&mut self, view: &View, domain: &str) {
         if self.at_change == view.changes && !self.all.is_empty() {
             return;
         }
--- a/src/traffic/row_checks.rs
+++ b/src/traffic/row_checks.rs
@@ -13,7 +13,7 @@
 const SPREAD_MS: u64 = 2_000;
 /// And once more so long after that, in milliseconds: a write of before, whose answer was lost, may be
 /// performed seconds later.
-const AGAIN_MS: u64 = 8_000;
+const RECHECK_MS: u64 = 8_000;
 
 /// The times at which the row is to be read back.
 ///
@@ -25,7 +25,7 @@
 pub(super) struct RowChecks {
     newest: watch::Receiver<Option<u64>>,
     /// The era that was known when nothing was due yet.
-    known: Option<u64>,
+    known_era: Option<u64>,
     due: VecDeque<Instant>,
 }
 
@@ -34,7 +34,7 @@
     pub(super) fn new(eras: &EraWatch) -> Self {
         Self {
             newest: eras.subscribe(),
-            known: eras.newest(),
+            known_era: eras.newest(),
             due: VecDeque::new(),
         }
     }
@@ -45,7 +45,7 @@
             let next = self.due.front().copied();
             tokio::select! {
                 changed = self.newest.changed() => match changed {
-                    Ok(()) => self.plan(),
+                    Ok(()) => self.schedule(),
                     // There will be no later era.
                     Err(_) => std::future::pending().await,
                 },
@@ -57,15 +57,15 @@
         }
     }
 
-    fn plan(&mut self) {
+    fn schedule(&mut self) {
         let newest = *self.newest.borrow_and_update();
         // The first era that is heard of is the one in which the row was written.
-        if self.known.is_none() {
-            self.known = newest;
+        if self.known_era.is_none() {
+            self.known_era = newest;
             return;
         }
         let spread = Duration::from_millis(fastrand::u64(..SPREAD_MS));
         let first = Instant::now() + spread;
-        self.due = VecDeque::from([first, first + Duration::from_millis(AGAIN_MS)]);
+        self.due = VecDeque::from([first, first + Duration::from_millis(RECHECK_MS)]);
     }
 }
--- a/src/traffic/server_restore.rs
+++ b/src/traffic/server_restore.rs
@@ -14,15 +14,15 @@
 use tokio::time::timeout;
 
 use crate::core::Name;
-use crate::traffic::backend_answer::note_words;
+use crate::traffic::backend_answer::apply_announcements;
 use crate::traffic::traffic::Traffic;
 use crate::wire::ServerWords;
 
 /// How long the backend server may take to answer. Its reports come every second or two, so a later
 /// answer is of no use.
-const ANSWER_WITHIN: Duration = Duration::from_millis(1_000);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// How often it is looked whether a desired state, which names the path to ask, is known.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A backend server as it last reported, kept over a restart of the node beside it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -42,31 +42,31 @@
 /// its service every call tree through it fails. It shows as refusals `backend_down` or `no_target`
 /// after each restart of a node. It holds because the backend server's own word names its incarnation,
 /// and says that it is not leaving; of another one nothing is known, so its report is waited for.
-pub(super) async fn recall_server(traffic: Arc<Traffic>, known: KnownServer) {
+pub(super) async fn restore_server(traffic: Arc<Traffic>, known: KnownServer) {
     let sent_at = traffic.clock.now();
-    let asking = ask(&traffic, &known.service);
-    let Ok(Some(checked)) = timeout(ANSWER_WITHIN, asking).await else {
+    let checking = check_health(&traffic, &known.service);
+    let Ok(Some(checked)) = timeout(ANSWER_TIMEOUT, checking).await else {
         return;
     };
     if checked.incarnation != known.incarnation {
         return;
     }
     let now = traffic.clock.now();
-    if checked.is_well {
-        traffic.change_local(|local| local.recall(now, &known));
+    if checked.is_healthy {
+        traffic.update_local(|local| local.restore(now, &known));
     }
-    note_words(&traffic, &known.incarnation, sent_at, checked.words);
+    apply_announcements(&traffic, &known.incarnation, sent_at, checked.announcements);
 }
 
 /// What a health check told.
-struct Checked {
+struct HealthCheck {
     incarnation: Name,
-    is_well: bool,
-    words: ServerWords,
+    is_healthy: bool,
+    announcements: ServerWords,
 }
 
 /// Asks the backend server's health check.
-async fn ask(traffic: &Traffic, service: &Name) -> Option<Checked> {
+async fn check_health(traffic: &Traffic, service: &Name) -> Option<HealthCheck> {
     let path = health_check_path(traffic, service).await?;
     let address = traffic.live().backend_address;
     let request = Request::builder()
@@ -84,10 +84,10 @@
         .ok()?;
     let names = &traffic.settings.header_names;
     let incarnation = answer.headers.get(&names.incarnation)?.to_str().ok()?;
-    Some(Checked {
+    Some(HealthCheck {
         incarnation: Name::from(incarnation),
-        is_well: answer.status.is_success(),
-        words: names.words(&answer.headers),
+        is_healthy: answer.status.is_success(),
+        announcements: names.read_announcements(&answer.headers),
     })
 }
 
@@ -95,7 +95,7 @@
     let in_force = loop {
         match traffic.desired.load() {
             Some(in_force) => break in_force,
-            None => sleep(LOOK_EVERY).await,
+            None => sleep(POLL_INTERVAL).await,
         }
     };
     let services = &in_force.state.services;
--- a/src/traffic/stop.rs
+++ b/src/traffic/stop.rs
@@ -12,32 +12,32 @@
 
 /// How long the node is still told to others as one that takes calls: its backend server works on,
 /// and its slots would be missing for the whole stop.
-const UNTOLD: Duration = Duration::from_millis(1_400);
+const DRAINING_ANNOUNCED_AFTER: Duration = Duration::from_millis(1_400);
 /// How long the guard goes on taking calls: until other nodes have heard that it stops.
-const GUARD_OPEN: Duration = Duration::from_millis(2_200);
+const GUARD_CLOSED_AFTER: Duration = Duration::from_millis(2_200);
 /// How long the entry goes on taking requests: until readiness has been asked for twice and callers
 /// go elsewhere. Those that come still are refused, for they could not be finished any more.
-const ENTRY_OPEN: Duration = Duration::from_millis(2_900);
+const ENTRY_CLOSED_AFTER: Duration = Duration::from_millis(2_900);
 /// For how long nothing must have been in progress, so that the last answers have left.
-const QUIET: Duration = Duration::from_millis(250);
+const IDLE_BEFORE_EXIT: Duration = Duration::from_millis(250);
 /// How often requests in progress are counted.
-const LOOK: Duration = Duration::from_millis(25);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 impl TrafficProcess {
     /// Stops as planned, within the time of the settings.
     pub async fn stop(self) {
         log::info!("node: stops");
         let started = Instant::now();
-        let latest = started + Duration::from_millis(self.traffic.live().stop_within_ms);
+        let deadline = started + Duration::from_millis(self.traffic.live().stop_within_ms);
         self.traffic.stopping.send_replace(true);
-        sleep(UNTOLD).await;
+        sleep(DRAINING_ANNOUNCED_AFTER).await;
         self.traffic.is_leaving.store(true, Ordering::Relaxed);
         self.control.set_state(TargetState::Draining);
-        sleep(GUARD_OPEN - UNTOLD).await;
+        sleep(GUARD_CLOSED_AFTER - DRAINING_ANNOUNCED_AFTER).await;
         self.traffic.guard_closed.send_replace(true);
-        sleep(ENTRY_OPEN.saturating_sub(started.elapsed())).await;
+        sleep(ENTRY_CLOSED_AFTER.saturating_sub(started.elapsed())).await;
         self.traffic.entry_closed.store(true, Ordering::Relaxed);
-        self.finish(started, latest).await;
+        self.finish(started, deadline).await;
         log::info!(
             "node: leaves, in_progress={}",
             self.traffic.requests_in_progress()
@@ -51,18 +51,19 @@
         }
     }
 
-    async fn finish(&self, started: Instant, latest: Instant) {
+    async fn finish(&self, started: Instant, deadline: Instant) {
         let mut last_busy = started;
         loop {
             let now = Instant::now();
             if self.traffic.requests_in_progress() > 0 {
                 last_busy = now;
             }
-            let is_quiet = now - last_busy >= QUIET && now - started >= ENTRY_OPEN;
-            if is_quiet || now >= latest {
+            let is_quiet =
+                now - last_busy >= IDLE_BEFORE_EXIT && now - started >= ENTRY_CLOSED_AFTER;
+            if is_quiet || now >= deadline {
                 return;
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
--- a/src/traffic/traffic.rs
+++ b/src/traffic/traffic.rs
@@ -29,19 +29,19 @@
 use crate::routing::FailingShare;
 use crate::routing::PickerConf;
 use crate::routing::Spill;
+use crate::traffic::AnnouncementCache;
 use crate::traffic::DesiredInForce;
 use crate::traffic::KnownServer;
 use crate::traffic::LiveSettings;
+use crate::traffic::LocalChange;
 use crate::traffic::LocalServer;
-use crate::traffic::Reported;
-use crate::traffic::ToldWords;
 use crate::traffic::TrafficSettings;
 use crate::traffic::allowances::Allowances;
 use crate::traffic::keyed_routes::KeyedRoutes;
 use crate::traffic::poison_watch::PoisonWatch;
 use crate::traffic::retry_budgets::RetryBudgets;
 use crate::traffic::root_admission::RootAdmission;
-use crate::traffic::route_origins::KnownOrigins;
+use crate::traffic::route_origins::RouteOrigins;
 use crate::traffic::running_routes::RunningRoutes;
 
 /// How long a new connection to another node may take, in milliseconds. A round trip between
@@ -94,7 +94,7 @@
 
 /// What nodes are told of the local backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct LocalNews {
+pub(super) struct LocalServerStatus {
     pub service: Name,
     /// How many calls it can run at once: what it says, or what it can use of that at the rate that it names.
     pub slots: u32,
@@ -113,7 +113,7 @@
     pub view: Arc<Published<View>>,
     pub desired: Arc<DesiredInForce>,
     pub poison: Arc<PoisonWatch>,
-    pub origins: Arc<KnownOrigins>,
+    pub origins: Arc<RouteOrigins>,
     pub allowances: Arc<Allowances>,
     pub freshness: Arc<Freshness>,
 }
@@ -129,7 +129,7 @@
     pub targets: Targets,
     pub budgets: RetryBudgets,
     pub roots: RootAdmission,
-    pub origins: Arc<KnownOrigins>,
+    pub origins: Arc<RouteOrigins>,
     pub keyed_routes: KeyedRoutes,
     pub allowances: Arc<Allowances>,
     /// How fresh what gossip tells is.
@@ -148,14 +148,14 @@
     pub is_leaving: AtomicBool,
     /// Holds true once the entry takes no more requests in a planned stop.
     pub entry_closed: AtomicBool,
-    pub local_news: watch::Sender<LocalNews>,
+    pub local_status: watch::Sender<LocalServerStatus>,
     live: Published<LiveSettings>,
     local: Mutex<LocalServer>,
-    told_words: Mutex<ToldWords>,
+    announcement_cache: Mutex<AnnouncementCache>,
     failing: Mutex<FailingShare>,
     requests: AtomicUsize,
     /// The version of the desired state by which the gate is bounded.
-    bounded_at: AtomicU64,
+    limits_version: AtomicU64,
 }
 
 impl Traffic {
@@ -169,7 +169,7 @@
             };
             ConnectionPool::new(conf, clock, bodies.clone())
         };
-        let unknown = LocalNews {
+        let unknown = LocalServerStatus {
             service: settings.service.clone(),
             slots: 0,
             state: TargetState::Starting,
@@ -195,12 +195,12 @@
             guard_closed: watch::Sender::new(false),
             is_leaving: AtomicBool::new(false),
             entry_closed: AtomicBool::new(false),
-            local_news: watch::Sender::new(unknown),
+            local_status: watch::Sender::new(unknown),
             failing: Mutex::default(),
             local: Mutex::new(LocalServer::new(settings.live.heartbeat_ms)),
-            told_words: Mutex::default(),
+            announcement_cache: Mutex::default(),
             requests: AtomicUsize::new(0),
-            bounded_at: AtomicU64::new(0),
+            limits_version: AtomicU64::new(0),
             live: Published::from_pointee(settings.live),
             settings,
             clock,
@@ -231,7 +231,7 @@
     /// Guards, where the operator asks for it, against a node that is cut off and goes on serving by keys
     /// that were taken away meanwhile. It holds because the store's word that nothing is newer, which gossip
     /// carries with its age, must not be older than the operator says.
-    pub(super) fn keys_hold(&self) -> bool {
+    pub(super) fn keys_are_fresh(&self) -> bool {
         let Some(hold_ms) = self.live().keys_hold_ms else {
             return true;
         };
@@ -245,14 +245,14 @@
     }
 
     /// What backend servers have said in answers that came through here. Never held across an await.
-    pub(super) fn told_words(&self) -> MutexGuard<'_, ToldWords> {
-        self.told_words
+    pub(super) fn announcement_cache(&self) -> MutexGuard<'_, AnnouncementCache> {
+        self.announcement_cache
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Notes the end of a call at the local backend server.
-    pub(super) fn note_end(&self, has_failed: bool) {
+    pub(super) fn record_end(&self, has_failed: bool) {
         let now = self.clock.now();
         self.failing().note(now, has_failed);
     }
@@ -267,22 +267,22 @@
     }
 
     /// Changes what is known of the local backend server, and tells the others if it is news.
-    pub(super) fn change_local(&self, change: impl FnOnce(&mut LocalServer) -> Reported) {
-        let news = {
+    pub(super) fn update_local(&self, change: impl FnOnce(&mut LocalServer) -> LocalChange) {
+        let status = {
             let mut local = self.local();
             let start_of =
                 |local: &LocalServer| (local.incarnation().cloned(), local.started_unix_ms());
             let before = start_of(&local);
-            if change(&mut local) == Reported::Nothing {
+            if change(&mut local) == LocalChange::NoChange {
                 return;
             }
             if local.is_down() || start_of(&local) != before {
-                self.poison.note_ended();
+                self.poison.record_backend_exit();
             }
-            self.bound_slots(&local);
+            self.limit_slots(&local);
             let rate = local.rate_per_s();
             let usable = self.gate.set_rate(rate);
-            LocalNews {
+            LocalServerStatus {
                 service: local
                     .service()
                     .cloned()
@@ -294,30 +294,30 @@
                 leaving_started_unix_ms: local.leaving().and(local.started_unix_ms()),
             }
         };
-        self.tell_others(news);
+        self.publish_local_status(status);
     }
 
     /// Guards against news to all nodes with each answer of a backend server that names a slightly different rate
     /// each time: what others are told is what it can run at once, which hardly changes.
-    fn tell_others(&self, news: LocalNews) {
-        self.local_news.send_if_modified(|told| {
-            if *told == news {
+    fn publish_local_status(&self, status: LocalServerStatus) {
+        self.local_status.send_if_modified(|published| {
+            if *published == status {
                 return false;
             }
             log::info!(
                 "local: backend server, service={} state={:?} slots={}",
-                news.service,
-                news.state,
-                news.slots
+                status.service,
+                status.state,
+                status.slots
             );
-            *told = news;
+            *published = status;
             true
         });
     }
 
     /// Bounds what runs at the local backend server by what may have changed: the slots that it announces, or the
     /// connections that the operator says it accepts. Each call that runs there takes one of both.
-    pub(super) fn bound_slots(&self, local: &LocalServer) {
+    pub(super) fn limit_slots(&self, local: &LocalServer) {
         let usable = usable_slots(local.slots());
         let accepted = local
             .service()
@@ -328,10 +328,10 @@
 
     /// Bounds what runs anew if another desired state is in force since: by the first call that meets it, for the
     /// next look at the gate may come too late.
-    pub(super) fn follow_desired(&self) {
+    pub(super) fn apply_desired_limits(&self) {
         let version = self.desired.version();
-        if self.bounded_at.swap(version, Ordering::Relaxed) != version {
-            self.bound_slots(&self.local());
+        if self.limits_version.swap(version, Ordering::Relaxed) != version {
+            self.limit_slots(&self.local());
         }
     }
 
--- a/src/traffic/version_fetch.rs
+++ b/src/traffic/version_fetch.rs
@@ -19,14 +19,14 @@
 
 /// How long a peer may take to hand over what it has in force, in milliseconds. Its answer takes a few;
 /// after that the store is asked, while the time in which a change has to be in force goes on.
-const FETCH_WITHIN_MS: u64 = 400;
+const FETCH_TIMEOUT_MS: u64 = 400;
 /// How long a node waits for a peer of its own failure domain to have a version that one of another domain
 /// has told of, in milliseconds.
-const NEAR_WITHIN_MS: u64 = 300;
+const SAME_DOMAIN_WAIT_MS: u64 = 300;
 
 /// News that a peer has a version in force.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct VersionNews {
+pub(super) struct VersionAnnouncement {
     pub from: SocketAddr,
     pub version: u64,
     /// The peer is of the own failure domain.
@@ -47,63 +47,63 @@
     pub(super) domain: Name,
     pub(super) desired: Arc<DesiredInForce>,
     pub(super) announce: AnnounceVersion,
-    pub(super) ask_now: Arc<Notify>,
+    pub(super) poll_now: Arc<Notify>,
 }
 
 impl VersionFetch {
     /// Runs until the news end.
-    pub(super) async fn run(self, mut news: Receiver<VersionNews>) {
+    pub(super) async fn run(self, mut announcements: Receiver<VersionAnnouncement>) {
         // What another failure domain has told of, and until when a near peer may have it.
-        let mut waiting: Option<(VersionNews, Instant)> = None;
+        let mut waiting: Option<(VersionAnnouncement, Instant)> = None;
         loop {
             let until = waiting.map(|(_, until)| until);
-            let told = tokio::select! {
-                told = news.recv() => match told {
-                    Some(told) => told,
+            let announced = tokio::select! {
+                announced = announcements.recv() => match announced {
+                    Some(announced) => announced,
                     None => return,
                 },
                 () = sleep_until(until.unwrap_or_else(Instant::now)), if until.is_some() => {
-                    if let Some((told, _)) = waiting.take() {
-                        self.fetch(told).await;
+                    if let Some((announced, _)) = waiting.take() {
+                        self.fetch(announced).await;
                     }
                     continue;
                 }
             };
-            if told.is_near || self.goes_across() {
+            if announced.is_near || self.may_fetch_across() {
                 waiting = None;
-                self.fetch(told).await;
+                self.fetch(announced).await;
             } else if waiting.is_none() {
-                let until = Instant::now() + Duration::from_millis(NEAR_WITHIN_MS);
-                waiting = Some((told, until));
+                let until = Instant::now() + Duration::from_millis(SAME_DOMAIN_WAIT_MS);
+                waiting = Some((announced, until));
             }
         }
     }
 
-    fn goes_across(&self) -> bool {
+    fn may_fetch_across(&self) -> bool {
         let view = self.control.view.load();
         fetches_across(&view, &self.domain, fastrand::f64())
     }
 
-    async fn fetch(&self, told: VersionNews) {
-        let VersionNews { from, version, .. } = told;
+    async fn fetch(&self, announced: VersionAnnouncement) {
+        let VersionAnnouncement { from, version, .. } = announced;
         if version <= self.desired.version() {
             return;
         }
-        let asking = self
+        let fetching = self
             .control
             .clients
             .config_above(from, self.desired.version());
-        let asking = timeout(Duration::from_millis(FETCH_WITHIN_MS), asking);
-        match asking.await.unwrap_or(Err(PeerCallError::Timeout)) {
+        let fetching = timeout(Duration::from_millis(FETCH_TIMEOUT_MS), fetching);
+        match fetching.await.unwrap_or(Err(PeerCallError::Timeout)) {
             Ok(Some(document)) => {
-                if self.desired.offer_document(&document) {
+                if self.desired.apply_document(&document) {
                     (self.announce)(document.version);
                 }
             }
             Ok(None) => {}
             Err(error) => {
                 log::debug!("config: a peer gave no answer, peer={from} error={error}");
-                self.ask_now.notify_one();
+                self.poll_now.notify_one();
             }
         }
     }
--- a/tests/traffic_local_server.rs
+++ b/tests/traffic_local_server.rs
@@ -4,8 +4,8 @@
 use sassafrasgap::core::Name;
 use sassafrasgap::core::TargetState;
 use sassafrasgap::core::TimeMs;
+use sassafrasgap::traffic::LocalChange;
 use sassafrasgap::traffic::LocalServer;
-use sassafrasgap::traffic::Reported;
 use sassafrasgap::traffic::ReportedState;
 use sassafrasgap::traffic::ServerReport;
 
@@ -25,12 +25,14 @@
 fn started() -> LocalServer {
     let mut server = LocalServer::new(HEARTBEAT_MS);
     let first = report("one", ReportedState::Ready, 7);
-    assert_eq!(server.take(TimeMs(0), &first), Reported::News);
+    assert_eq!(server.apply_report(TimeMs(0), &first), LocalChange::Changed);
     server
 }
 
-fn takes(server: &LocalServer) -> Option<&str> {
-    server.takes_work("s").map(|incarnation| &**incarnation)
+fn accepting(server: &LocalServer) -> Option<&str> {
+    server
+        .accepting_incarnation("s")
+        .map(|incarnation| &**incarnation)
 }
 
 /// A departure is never taken back, whatever arrives later and however high its sequence.
@@ -39,11 +41,11 @@
 #[case(ReportedState::Left)]
 fn a_departure_holds(#[case] state: ReportedState) {
     let mut server = started();
-    assert_eq!(takes(&server), Some("one"));
-    server.take(TimeMs(10), &report("one", state, 8));
+    assert_eq!(accepting(&server), Some("one"));
+    server.apply_report(TimeMs(10), &report("one", state, 8));
     for sequence in [3, 8, 9, 100] {
-        server.take(TimeMs(20), &report("one", ReportedState::Ready, sequence));
-        assert_eq!(takes(&server), None);
+        server.apply_report(TimeMs(20), &report("one", ReportedState::Ready, sequence));
+        assert_eq!(accepting(&server), None);
         assert_eq!(server.state(), TargetState::Draining);
     }
 }
@@ -52,11 +54,11 @@
 #[rstest]
 fn a_late_report_of_a_crashed_incarnation_changes_nothing() {
     let mut server = started();
-    server.take(TimeMs(100), &report("two", ReportedState::Ready, 0));
-    assert_eq!(takes(&server), Some("two"));
-    server.take(TimeMs(200), &report("one", ReportedState::Ready, 9));
-    server.take(TimeMs(9_000), &report("one", ReportedState::Ready, 10));
-    assert_eq!(takes(&server), Some("two"));
+    server.apply_report(TimeMs(100), &report("two", ReportedState::Ready, 0));
+    assert_eq!(accepting(&server), Some("two"));
+    server.apply_report(TimeMs(200), &report("one", ReportedState::Ready, 9));
+    server.apply_report(TimeMs(9_000), &report("one", ReportedState::Ready, 10));
+    assert_eq!(accepting(&server), Some("two"));
 }
 
 /// A report of an incarnation that this process never heard of, not among its first, does not
@@ -64,45 +66,61 @@
 #[rstest]
 #[case(1_000, "one")]
 #[case(3_000, "two")]
-fn only_silence_lets_a_stranger_in(#[case] at_ms: u64, #[case] expected: &str) {
+fn an_unknown_incarnation_replaces_only_a_silent_one(#[case] at_ms: u64, #[case] expected: &str) {
     let mut server = started();
-    server.take(TimeMs(at_ms), &report("two", ReportedState::Ready, 40));
-    assert_eq!(takes(&server), Some(expected));
+    server.apply_report(TimeMs(at_ms), &report("two", ReportedState::Ready, 40));
+    assert_eq!(accepting(&server), Some(expected));
 }
 
 /// A backend server that takes no connection is down until it reports again.
 #[rstest]
-fn a_refused_connection_holds_until_the_next_report() {
+fn a_refused_connection_means_down_until_the_next_report() {
     let mut server = started();
-    assert_eq!(server.note_refused(&Name::from("other")), Reported::Nothing);
-    assert_eq!(server.note_refused(&Name::from("one")), Reported::News);
-    assert_eq!(takes(&server), None);
-    server.take(TimeMs(50), &report("one", ReportedState::Ready, 7));
-    assert_eq!(takes(&server), None, "a late report says nothing new");
-    server.take(TimeMs(60), &report("one", ReportedState::Ready, 8));
-    assert_eq!(takes(&server), Some("one"));
+    assert_eq!(
+        server.mark_down(&Name::from("other")),
+        LocalChange::NoChange
+    );
+    assert_eq!(server.mark_down(&Name::from("one")), LocalChange::Changed);
+    assert_eq!(accepting(&server), None);
+    server.apply_report(TimeMs(50), &report("one", ReportedState::Ready, 7));
+    assert_eq!(accepting(&server), None, "a late report says nothing new");
+    server.apply_report(TimeMs(60), &report("one", ReportedState::Ready, 8));
+    assert_eq!(accepting(&server), Some("one"));
 }
 
 /// The backend server says itself who it is. One that is known to leave gets nothing even so.
 #[rstest]
-fn the_answering_incarnation_is_believed() {
+fn the_answering_incarnation_is_adopted() {
     let mut server = started();
     let (one, two) = (Name::from("one"), Name::from("two"));
-    assert_eq!(server.note_actual(TimeMs(5), &two, &one), Reported::Nothing);
-    assert_eq!(server.note_actual(TimeMs(5), &one, &two), Reported::News);
-    assert_eq!(takes(&server), Some("two"));
-    assert_eq!(server.note_actual(TimeMs(6), &two, &one), Reported::News);
-    assert_eq!(takes(&server), None, "one was taken for gone");
+    assert_eq!(
+        server.correct_incarnation(TimeMs(5), &two, &one),
+        LocalChange::NoChange
+    );
+    assert_eq!(
+        server.correct_incarnation(TimeMs(5), &one, &two),
+        LocalChange::Changed
+    );
+    assert_eq!(accepting(&server), Some("two"));
+    assert_eq!(
+        server.correct_incarnation(TimeMs(6), &two, &one),
+        LocalChange::Changed
+    );
+    assert_eq!(accepting(&server), None, "one was taken for gone");
 }
 
 /// Requests for another service are never sent to this backend server.
 #[rstest]
 fn another_service_is_never_served() {
-    assert!(started().takes_work("t").is_none());
-    assert!(LocalServer::new(HEARTBEAT_MS).takes_work("s").is_none());
+    assert!(started().accepting_incarnation("t").is_none());
+    assert!(
+        LocalServer::new(HEARTBEAT_MS)
+            .accepting_incarnation("s")
+            .is_none()
+    );
 }
 
-fn born(started_unix_ms: u64, state: ReportedState, sequence: u64) -> ServerReport {
+fn report_with_start(started_unix_ms: u64, state: ReportedState, sequence: u64) -> ServerReport {
     ServerReport {
         started_unix_ms: Some(started_unix_ms),
         ..report("one", state, sequence)
@@ -112,16 +130,22 @@
 /// A backend server that has sent 40 reports crashes, refuses a connection, and comes back under the
 /// identifier that it had. Its sequence starts anew, so its reports looked late and it stayed out.
 #[rstest]
-fn one_that_comes_back_under_its_identifier_gets_work() {
+fn a_restart_under_the_same_identifier_gets_work() {
     let mut server = LocalServer::new(HEARTBEAT_MS);
-    server.take(TimeMs(0), &born(500, ReportedState::Ready, 40));
-    server.note_refused(&Name::from("one"));
-    assert_eq!(takes(&server), None);
-    server.take(TimeMs(100), &born(900, ReportedState::Ready, 1));
-    assert_eq!(takes(&server), Some("one"));
-    server.take(TimeMs(150), &born(500, ReportedState::Draining, 41));
+    server.apply_report(TimeMs(0), &report_with_start(500, ReportedState::Ready, 40));
+    server.mark_down(&Name::from("one"));
+    assert_eq!(accepting(&server), None);
+    server.apply_report(
+        TimeMs(100),
+        &report_with_start(900, ReportedState::Ready, 1),
+    );
+    assert_eq!(accepting(&server), Some("one"));
+    server.apply_report(
+        TimeMs(150),
+        &report_with_start(500, ReportedState::Draining, 41),
+    );
     assert_eq!(
-        takes(&server),
+        accepting(&server),
         Some("one"),
         "a late report of its former life"
     );
@@ -132,33 +156,39 @@
 #[rstest]
 #[case(1, Some("one"))]
 #[case(39, None)]
-fn one_that_comes_back_without_a_start_gets_work(
-    #[case] sequence: u64,
-    #[case] expected: Option<&str>,
-) {
+fn a_restart_without_a_start_time_gets_work(#[case] sequence: u64, #[case] expected: Option<&str>) {
     let mut server = LocalServer::new(HEARTBEAT_MS);
-    server.take(TimeMs(0), &report("one", ReportedState::Ready, 40));
-    server.note_refused(&Name::from("one"));
-    server.take(TimeMs(100), &report("one", ReportedState::Ready, sequence));
-    assert_eq!(takes(&server), expected);
+    server.apply_report(TimeMs(0), &report("one", ReportedState::Ready, 40));
+    server.mark_down(&Name::from("one"));
+    server.apply_report(TimeMs(100), &report("one", ReportedState::Ready, sequence));
+    assert_eq!(accepting(&server), expected);
 }
 
 /// It leaves, ends, and is started once more under its identifier; its old reports still arrive. A
 /// departure holds for the life that it was said in, also over a restart of the node.
 #[rstest]
-fn a_departure_holds_for_one_life() {
+fn a_departure_ends_with_its_run() {
     let mut server = LocalServer::new(HEARTBEAT_MS);
-    server.take(TimeMs(0), &born(500, ReportedState::Draining, 40));
-    server.take(TimeMs(10), &born(500, ReportedState::Ready, 41));
-    assert_eq!(takes(&server), None);
-    server.take(TimeMs(20), &born(900, ReportedState::Ready, 0));
-    assert_eq!(takes(&server), Some("one"));
+    server.apply_report(
+        TimeMs(0),
+        &report_with_start(500, ReportedState::Draining, 40),
+    );
+    server.apply_report(
+        TimeMs(10),
+        &report_with_start(500, ReportedState::Ready, 41),
+    );
+    assert_eq!(accepting(&server), None);
+    server.apply_report(TimeMs(20), &report_with_start(900, ReportedState::Ready, 0));
+    assert_eq!(accepting(&server), Some("one"));
     let mut restarted = LocalServer::new(HEARTBEAT_MS);
-    restarted.note_gone(&Name::from("one"), Some(500));
-    restarted.take(TimeMs(30), &born(500, ReportedState::Ready, 42));
-    assert_eq!(takes(&restarted), None);
-    restarted.take(TimeMs(40), &born(900, ReportedState::Ready, 3));
-    assert_eq!(takes(&restarted), Some("one"));
+    restarted.mark_gone(&Name::from("one"), Some(500));
+    restarted.apply_report(
+        TimeMs(30),
+        &report_with_start(500, ReportedState::Ready, 42),
+    );
+    assert_eq!(accepting(&restarted), None);
+    restarted.apply_report(TimeMs(40), &report_with_start(900, ReportedState::Ready, 3));
+    assert_eq!(accepting(&restarted), Some("one"));
 }
 
 /// Its first start was told from the future, by a clock that has been set right since. While it still
@@ -166,10 +196,19 @@
 #[rstest]
 #[case(100, Some(9_000))]
 #[case(5_000, Some(900))]
-fn a_clock_that_was_set_back_shuts_nobody_out(#[case] at_ms: u64, #[case] expected: Option<u64>) {
+fn a_clock_set_back_does_not_exclude_a_restarted_server(
+    #[case] at_ms: u64,
+    #[case] expected: Option<u64>,
+) {
     let mut server = LocalServer::new(HEARTBEAT_MS);
-    server.take(TimeMs(0), &born(9_000, ReportedState::Ready, 40));
-    server.take(TimeMs(at_ms), &born(900, ReportedState::Ready, 1));
+    server.apply_report(
+        TimeMs(0),
+        &report_with_start(9_000, ReportedState::Ready, 40),
+    );
+    server.apply_report(
+        TimeMs(at_ms),
+        &report_with_start(900, ReportedState::Ready, 1),
+    );
     assert_eq!(server.started_unix_ms(), expected);
-    assert_eq!(takes(&server), Some("one"));
+    assert_eq!(accepting(&server), Some("one"));
 }
