--- a/tests/traffic_rate_fleet.rs
+++ b/tests/traffic_rate_fleet.rs
@@ -15,23 +15,23 @@
 use sassafrasgap::core::Name;
 use sassafrasgap::core::Priority;
 use sassafrasgap::core::TimeMs;
+use sassafrasgap::traffic::AnnouncementCache;
 use sassafrasgap::traffic::LocalServer;
 use sassafrasgap::traffic::ReportedState;
 use sassafrasgap::traffic::ServerReport;
-use sassafrasgap::traffic::ToldWords;
 use sassafrasgap::wire::ServerWord;
 
 const WINDOW_MS: u64 = 4_000;
 /// An entry is bound by what it passed on this long before.
-const TOLD_FOR_MS: u64 = 500;
-const WAY_MS: u64 = 2;
+const ANNOUNCED_FOR_MS: u64 = 500;
+const HOP_MS: u64 = 2;
 const RUN_MS: u64 = 60;
 /// Requests a second that choose this backend server, and during a surge.
 const USUAL_PER_S: f64 = 75.0;
 const SURGE_PER_S: f64 = 225.0;
 /// When the backend server begins to name its rate, and when the rule binds.
-const NAMED_MS: u64 = 4_000;
-const BINDS_MS: u64 = NAMED_MS + 3_000;
+const ANNOUNCED_MS: u64 = 4_000;
+const ENFORCED_MS: u64 = ANNOUNCED_MS + 3_000;
 const ENDS_MS: u64 = 60_000;
 
 #[derive(Clone, Debug)]
@@ -61,7 +61,7 @@
         let mut admission = Admission::new(conf, seed);
         admission.set_slots(100);
         let mut local = LocalServer::new(1_500);
-        local.take(now, &ready());
+        local.apply_report(now, &ready());
         Self {
             local,
             admission,
@@ -81,16 +81,16 @@
     }
 }
 
-struct World {
+struct Simulation {
     random: Rng,
     now: TimeMs,
     events: BTreeMap<(TimeMs, u64), Event>,
     order: u64,
     guard: Guard,
-    entries: Vec<ToldWords>,
+    entries: Vec<AnnouncementCache>,
     /// When each entry passed on an answer with the rate first, since it was started.
-    told_at: Vec<Option<TimeMs>>,
-    is_cut: Vec<bool>,
+    announced_at: Vec<Option<TimeMs>>,
+    is_cut_off: Vec<bool>,
     /// Arrivals at the backend server, and whether their entries were bound.
     arrived: Vec<(TimeMs, bool)>,
     next_ticket: u64,
@@ -99,7 +99,7 @@
     per_s: f64,
 }
 
-impl World {
+impl Simulation {
     fn new(entries: usize, per_s: f64, seed: u64) -> Self {
         Self {
             random: Rng::with_seed(seed),
@@ -107,9 +107,9 @@
             events: BTreeMap::new(),
             order: 0,
             guard: Guard::started(TimeMs(0), seed),
-            entries: vec![ToldWords::default(); entries],
-            told_at: vec![None; entries],
-            is_cut: vec![false; entries],
+            entries: vec![AnnouncementCache::default(); entries],
+            announced_at: vec![None; entries],
+            is_cut_off: vec![false; entries],
             arrived: Vec::new(),
             next_ticket: 0,
             node: Name::from("n"),
@@ -117,13 +117,13 @@
         }
     }
 
-    fn at(&mut self, in_ms: u64, event: Event) {
+    fn schedule(&mut self, in_ms: u64, event: Event) {
         self.order += 1;
         self.events.insert((self.now + in_ms, self.order), event);
     }
 
-    fn names_rate(&self) -> bool {
-        self.now >= TimeMs(NAMED_MS)
+    fn announces_rate(&self) -> bool {
+        self.now >= TimeMs(ANNOUNCED_MS)
     }
 
     fn step(&mut self, per_s: f64) {
@@ -135,15 +135,15 @@
             .is_some_and(|((at, _), _)| *at <= due)
         {
             let (_, event) = self.events.pop_first().unwrap();
-            self.take(event);
+            self.handle(event);
         }
         let mut expected = per_s / 1_000.0;
         while self.random.f64() < expected {
             expected -= 1.0;
             let entry = self.random.usize(..self.entries.len());
-            if !self.is_cut[entry] {
-                let word = self.entries[entry].of(&self.node).cloned();
-                self.at(WAY_MS, Event::Reaches(entry, word));
+            if !self.is_cut_off[entry] {
+                let announcement = self.entries[entry].get(&self.node).cloned();
+                self.schedule(HOP_MS, Event::Reaches(entry, announcement));
             }
         }
         if self.now.0.is_multiple_of(20) {
@@ -151,26 +151,26 @@
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Reaches(entry, word) => self.reaches(entry, word),
+            Event::Reaches(entry, announcement) => self.reaches(entry, announcement),
             Event::Answers(ticket, entry) => self.answers(ticket, entry),
-            Event::Returns(entry, word, has_run) => {
-                if self.is_cut[entry] {
+            Event::Returns(entry, announcement, has_run) => {
+                if self.is_cut_off[entry] {
                     return;
                 }
-                if has_run && word.is_some() && self.told_at[entry].is_none() {
-                    self.told_at[entry] = Some(self.now);
+                if has_run && announcement.is_some() && self.announced_at[entry].is_none() {
+                    self.announced_at[entry] = Some(self.now);
                 }
-                self.entries[entry].note(self.now, &self.node, word, has_run);
+                self.entries[entry].update(self.now, &self.node, announcement, has_run);
             }
         }
     }
 
-    fn reaches(&mut self, entry: usize, word: Option<ServerWord>) {
+    fn reaches(&mut self, entry: usize, announcement: Option<ServerWord>) {
         let now = self.now;
-        if let Some(word) = word {
-            self.guard.local.take_word(now, &word);
+        if let Some(announcement) = announcement {
+            self.guard.local.apply_announcement(now, &announcement);
             self.guard
                 .admission
                 .set_rate(now, self.guard.local.rate_per_s());
@@ -194,8 +194,8 @@
                 self.guard.calls.insert(ticket, (entry, None));
             }
             Offer::Refuse(_) => {
-                let word = self.guard.local.word();
-                self.at(WAY_MS, Event::Returns(entry, word, false));
+                let announcement = self.guard.local.announcement();
+                self.schedule(HOP_MS, Event::Returns(entry, announcement, false));
             }
         }
         self.poll();
@@ -207,8 +207,8 @@
                 Action::Start(ticket) => self.start(ticket),
                 Action::Refuse(ticket, _) => {
                     let (entry, _) = self.guard.calls.remove(&ticket).unwrap();
-                    let word = self.guard.local.word();
-                    self.at(WAY_MS, Event::Returns(entry, word, false));
+                    let announcement = self.guard.local.announcement();
+                    self.schedule(HOP_MS, Event::Returns(entry, announcement, false));
                 }
             }
         }
@@ -219,9 +219,9 @@
         let call = self.guard.calls.get_mut(&ticket).unwrap();
         call.1 = Some(now);
         let entry = call.0;
-        let is_bound = self.told_at[entry].is_some_and(|at| now.since(at) >= TOLD_FOR_MS);
+        let is_bound = self.announced_at[entry].is_some_and(|at| now.since(at) >= ANNOUNCED_FOR_MS);
         self.arrived.push((now, is_bound));
-        self.at(RUN_MS, Event::Answers(ticket, entry));
+        self.schedule(RUN_MS, Event::Answers(ticket, entry));
     }
 
     fn answers(&mut self, ticket: u64, entry: usize) {
@@ -230,13 +230,15 @@
         let Some((_, Some(sent_at))) = self.guard.calls.remove(&ticket) else {
             return;
         };
-        let word = if self.names_rate() {
+        let announcement = if self.announces_rate() {
             RateWord::PerS(self.per_s)
         } else {
             RateWord::Absent
         };
         let incarnation = Name::from("i-1");
-        self.guard.local.note_rate(now, &incarnation, sent_at, word);
+        self.guard
+            .local
+            .apply_rate(now, &incarnation, sent_at, announcement);
         let admission = &mut self.guard.admission;
         admission.set_rate(now, self.guard.local.rate_per_s());
         let completion = Completion {
@@ -245,8 +247,8 @@
             verdict: Verdict::Ok,
         };
         admission.complete(now, ticket, completion);
-        let word = self.guard.local.word();
-        self.at(WAY_MS, Event::Returns(entry, word, true));
+        let announcement = self.guard.local.announcement();
+        self.schedule(HOP_MS, Event::Returns(entry, announcement, true));
         self.poll();
     }
 
@@ -255,12 +257,12 @@
     }
 
     fn restart_entry(&mut self, entry: usize) {
-        self.entries[entry] = ToldWords::default();
-        self.told_at[entry] = None;
+        self.entries[entry] = AnnouncementCache::default();
+        self.announced_at[entry] = None;
     }
 
     /// The most arrivals of bound entries in a window that ends after the rule binds.
-    fn most_in_a_window(&self) -> usize {
+    fn max_arrivals_in_window(&self) -> usize {
         let bound: Vec<TimeMs> = self
             .arrived
             .iter()
@@ -272,75 +274,75 @@
             bound[first..].iter().take_while(|at| **at < last).count()
         };
         let windows =
-            (0..bound.len()).filter(|first| bound[*first] + WINDOW_MS >= TimeMs(BINDS_MS));
+            (0..bound.len()).filter(|first| bound[*first] + WINDOW_MS >= TimeMs(ENFORCED_MS));
         windows.map(within).max().unwrap_or(0)
     }
 }
 
 /// What happens beside the surge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Trouble {
+enum Fault {
     None,
     GuardKilled,
     GuardKilledOften,
-    EntryCut,
-    DomainCut,
+    EntryCutOff,
+    DomainCutOff,
     AllRestarted,
 }
 
 /// Guards against a fleet that brings a backend server more than it named: by its size, a surge, a cut, or
 /// processes that were restarted and forgot.
 #[rstest]
-fn no_window_is_beyond_the_bound_over_a_fleet(
+fn no_window_exceeds_the_limit_across_entries(
     #[values(13, 81, 986, 1_972)] entries: usize,
     #[values(
-        Trouble::None,
-        Trouble::GuardKilled,
-        Trouble::GuardKilledOften,
-        Trouble::EntryCut,
-        Trouble::DomainCut,
-        Trouble::AllRestarted
+        Fault::None,
+        Fault::GuardKilled,
+        Fault::GuardKilledOften,
+        Fault::EntryCutOff,
+        Fault::DomainCutOff,
+        Fault::AllRestarted
     )]
-    trouble: Trouble,
+    fault: Fault,
     #[values(25.0, 1.0)] per_s: f64,
     #[values(1, 2, 3)] seed: u64,
 ) {
-    let mut world = World::new(entries, per_s, seed);
+    let mut simulation = Simulation::new(entries, per_s, seed);
     for ms in 1..ENDS_MS {
-        let is_surge = (20_000..32_000).contains(&ms) || ms < NAMED_MS;
-        match (trouble, ms) {
-            (Trouble::GuardKilled, 24_000) => world.restart_guard(),
-            (Trouble::GuardKilledOften, ms) if ms > 20_000 && ms.is_multiple_of(1_700) => {
-                world.restart_guard()
+        let is_surge = (20_000..32_000).contains(&ms) || ms < ANNOUNCED_MS;
+        match (fault, ms) {
+            (Fault::GuardKilled, 24_000) => simulation.restart_guard(),
+            (Fault::GuardKilledOften, ms) if ms > 20_000 && ms.is_multiple_of(1_700) => {
+                simulation.restart_guard()
             }
-            (Trouble::EntryCut, 22_000 | 30_000) => world.is_cut[0] = ms == 22_000,
-            (Trouble::DomainCut, 22_000 | 34_000) => {
+            (Fault::EntryCutOff, 22_000 | 30_000) => simulation.is_cut_off[0] = ms == 22_000,
+            (Fault::DomainCutOff, 22_000 | 34_000) => {
                 let third = entries / 3;
-                world.is_cut[..third].fill(ms == 22_000);
+                simulation.is_cut_off[..third].fill(ms == 22_000);
             }
-            (Trouble::AllRestarted, 26_000) => {
-                world.restart_guard();
-                (0..entries).for_each(|entry| world.restart_entry(entry));
+            (Fault::AllRestarted, 26_000) => {
+                simulation.restart_guard();
+                (0..entries).for_each(|entry| simulation.restart_entry(entry));
             }
             _ => {}
         }
-        world.step(if is_surge { SURGE_PER_S } else { USUAL_PER_S });
+        simulation.step(if is_surge { SURGE_PER_S } else { USUAL_PER_S });
     }
-    let most = world.most_in_a_window() as f64;
+    let most = simulation.max_arrivals_in_window() as f64;
     let allowed = 1.5 * WINDOW_MS as f64 / 1_000.0 * per_s + 5.0;
     assert!(most <= allowed, "{most} of {allowed}");
-    let calm = world
+    let after_surge = simulation
         .arrived
         .iter()
         .filter(|(at, _)| at.0 >= 40_000)
         .count() as f64;
     let named = per_s * (ENDS_MS - 40_000) as f64 / 1_000.0;
-    if trouble != Trouble::GuardKilledOften {
-        assert!(calm >= named * 0.9 - 1.0, "{calm} of {named}");
+    if fault != Fault::GuardKilledOften {
+        assert!(after_surge >= named * 0.9 - 1.0, "{calm} of {named}");
     }
 }
 
-fn word(incarnation: &str, is_leaving: bool, rate_milli: Option<u64>) -> ServerWord {
+fn announcement(incarnation: &str, is_leaving: bool, rate_milli: Option<u64>) -> ServerWord {
     ServerWord {
         incarnation: Name::from(incarnation),
         started_unix_ms: None,
@@ -351,44 +353,67 @@
 
 /// Guards against an entry that forgets what binds it because a guard that knows nothing refused it.
 #[test]
-fn a_refusal_without_a_word_takes_nothing_back() {
+fn a_refusal_without_an_announcement_keeps_the_cached_one() {
     let node = Name::from("n");
-    let mut told = ToldWords::default();
-    told.note(
+    let mut cache = AnnouncementCache::default();
+    cache.update(
         TimeMs(1),
         &node,
-        Some(word("i-1", false, Some(2_000))),
+        Some(announcement("i-1", false, Some(2_000))),
         true,
     );
-    told.note(TimeMs(2), &node, None, false);
-    assert_eq!(told.of(&node), Some(&word("i-1", false, Some(2_000))));
-    told.note(TimeMs(3), &node, None, true);
-    assert_eq!(told.of(&node), None);
+    cache.update(TimeMs(2), &node, None, false);
+    assert_eq!(
+        cache.get(&node),
+        Some(&announcement("i-1", false, Some(2_000)))
+    );
+    cache.update(TimeMs(3), &node, None, true);
+    assert_eq!(cache.get(&node), None);
 }
 
 /// Guards against a departure that is taken back by an answer without it.
 #[test]
 fn a_departure_is_kept_within_its_incarnation() {
     let node = Name::from("n");
-    let mut told = ToldWords::default();
-    told.note(TimeMs(1), &node, Some(word("i-1", true, Some(2_000))), true);
-    told.note(TimeMs(2), &node, None, true);
-    assert_eq!(told.of(&node), Some(&word("i-1", true, None)));
-    told.note(TimeMs(3), &node, Some(word("i-1", false, Some(1))), true);
-    assert_eq!(told.of(&node), Some(&word("i-1", true, Some(1))));
-    told.note(TimeMs(4), &node, Some(word("i-2", false, Some(1))), true);
-    assert_eq!(told.of(&node), Some(&word("i-2", false, Some(1))));
+    let mut cache = AnnouncementCache::default();
+    cache.update(
+        TimeMs(1),
+        &node,
+        Some(announcement("i-1", true, Some(2_000))),
+        true,
+    );
+    cache.update(TimeMs(2), &node, None, true);
+    assert_eq!(cache.get(&node), Some(&announcement("i-1", true, None)));
+    cache.update(
+        TimeMs(3),
+        &node,
+        Some(announcement("i-1", false, Some(1))),
+        true,
+    );
+    assert_eq!(cache.get(&node), Some(&announcement("i-1", true, Some(1))));
+    cache.update(
+        TimeMs(4),
+        &node,
+        Some(announcement("i-2", false, Some(1))),
+        true,
+    );
+    assert_eq!(cache.get(&node), Some(&announcement("i-2", false, Some(1))));
 }
 
 /// Guards against memory that grows with every backend server that ever named a rate.
 #[test]
-fn the_oldest_word_is_forgotten_beyond_the_bound() {
-    let mut told = ToldWords::default();
+fn the_oldest_entry_is_evicted_when_the_cache_is_full() {
+    let mut cache = AnnouncementCache::default();
     for order in 0..3_000 {
         let node = Name::from(format!("n-{order}"));
-        told.note(TimeMs(order), &node, Some(word("i", false, Some(1))), true);
+        cache.update(
+            TimeMs(order),
+            &node,
+            Some(announcement("i", false, Some(1))),
+            true,
+        );
     }
-    let held = (0..3_000).filter(|order| told.of(&format!("n-{order}").into()).is_some());
+    let held = (0..3_000).filter(|order| cache.get(&format!("n-{order}").into()).is_some());
     let held: Vec<u64> = held.collect();
     assert_eq!((held.len(), held[0]), (2_048, 952));
 }
