--- a/src/traffic/account_check.rs
+++ b/src/traffic/account_check.rs
@@ -1,15 +1,16 @@
-//! Whether a request that was let in by a key is still allowed by the desired state in force.
+//! Checks whether a request admitted by an account key is still allowed by the desired state in
+//! force.
 
 use crate::core::Refusal;
 use crate::core::RefusalReason;
 use crate::traffic::traffic::Traffic;
 use crate::wire::CallAccount;
 
-/// Refuses a request whose key was taken away since its entry let it in.
+/// Refuses a request whose key was revoked after its entry admitted it.
 ///
-/// Guards against a request that waits, at its entry for a target or at a guard for a slot, while its key
-/// is taken away. It holds because whoever knows a later desired state than the one that let the request
-/// in asks it once more before sending; one who knows an earlier state knows nothing better.
+/// A key can be revoked while a request waits, at its entry for a target or at a guard for a slot.
+/// So a node checks the key again before it sends the request, if it has a later desired state than
+/// the one by which the request was admitted. An earlier state has no newer information.
 pub(super) fn check_account(
     traffic: &Traffic,
     account: Option<&CallAccount>,
@@ -29,7 +30,7 @@
         return Ok(());
     }
     log::info!(
-        "account: a key was taken away while a request waited, account={} let_in_by={} version={}",
+        "account: key revoked while a request waited, account={} let_in_by={} version={}",
         account.name,
         account.version,
         traffic.desired.version()
--- a/src/traffic/admin.rs
+++ b/src/traffic/admin.rs
@@ -1,4 +1,4 @@
-//! Readiness, reports of the backend server, and metrics.
+//! Serves readiness checks, reports of the backend server, and metrics.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,12 +22,12 @@
 use crate::traffic::ServerReport;
 use crate::traffic::traffic::Traffic;
 
-/// The longest body of a request here; a report has a few hundred bytes.
+/// Maximum body length of a request to these listeners; a report has a few hundred bytes.
 const MAX_BODY_BYTES: usize = 16 * 1024;
-/// How long it may take to arrive.
+/// Time-out for reading the body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What the gauge of the backend server's rate shows while it names none.
+/// The value of the backend rate metric while the backend server announces no rate limit.
 const NO_RATE: f64 = -1.0;
 
 /// Serves one request on the readiness or the report listener.
@@ -41,7 +41,7 @@
     let body = match timeout(BODY_TIMEOUT, reading).await {
         Ok(Ok(body)) => body,
         Ok(Err(error)) => return reply(StatusCode::BAD_REQUEST, error.to_string()),
-        Err(_) => return reply(StatusCode::REQUEST_TIMEOUT, "the body is late".to_owned()),
+        Err(_) => return reply(StatusCode::REQUEST_TIMEOUT, "body timed out".to_owned()),
     };
     let decoded = (protocol.decode)(&parts.method, parts.uri.path(), &body);
     match decoded {
@@ -51,17 +51,17 @@
             Err(error) => refused(&error),
         },
         Ok(AdminRequest::Metrics) => metrics(&traffic),
-        Ok(AdminRequest::Unknown) => reply(StatusCode::NOT_FOUND, "not served here".to_owned()),
+        Ok(AdminRequest::Unknown) => reply(StatusCode::NOT_FOUND, "unknown path".to_owned()),
         Err(error) => refused(&error),
     }
 }
 
 fn refused(error: &ReportError) -> Response<Full<Bytes>> {
-    log::warn!("local: a report was not taken, error={error}");
+    log::warn!("local: report rejected, error={error}");
     reply(StatusCode::BAD_REQUEST, error.to_string())
 }
 
-/// Ready is who knows where requests go and has not begun to stop.
+/// The node is ready once it has a desired state, until it starts to stop.
 fn readiness(traffic: &Traffic) -> Response<Full<Bytes>> {
     let is_ready = traffic.desired.version() > 0 && !traffic.is_stopping();
     let status = if is_ready {
@@ -81,10 +81,11 @@
     Ok(())
 }
 
-/// The service that a report names, if no operator knows it and the backend server has not borne it before.
+/// The service named by a report, if the desired state does not have it and the backend server did
+/// not have it before.
 ///
-/// Guards against a report of another writer that takes a sound target away from its service. What leaves is
-/// always believed.
+/// Otherwise a report of another writer could remove a working target from its service. A report
+/// that the backend server drains or leaves is always accepted.
 fn unknown_service(traffic: &Traffic, report: &ServerReport) -> Option<Name> {
     let service = report.service.clone()?;
     let in_force = traffic.desired.load()?;
--- a/src/traffic/admin_protocol.rs
+++ b/src/traffic/admin_protocol.rs
@@ -1,4 +1,4 @@
-//! What the deployment asks a node on its readiness and report listeners.
+//! The deployment's protocol on the readiness and report listeners of a node.
 
 use std::sync::Arc;
 
@@ -8,16 +8,16 @@
 use crate::errors::ReportError;
 use crate::traffic::ServerReport;
 
-/// A request on one of those listeners, decoded.
+/// A decoded request to one of these listeners.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminRequest {
-    /// Whether callers may be sent here.
+    /// Asks whether callers may send requests to this node.
     Readiness,
-    /// The backend server says something of itself.
+    /// A report of the backend server.
     Report(ServerReport),
-    /// The metrics as text.
+    /// Asks for the metrics as text.
     Metrics,
-    /// Nothing that is served here.
+    /// Anything else, which is not served.
     Unknown,
 }
 
@@ -25,7 +25,7 @@
 pub type DecodeAdmin =
     Arc<dyn Fn(&Method, &str, &[u8]) -> Result<AdminRequest, ReportError> + Send + Sync>;
 
-/// How a deployment speaks on those listeners.
+/// Decodes requests to these listeners, and supplies the body of acknowledgements.
 #[derive(Clone)]
 pub struct AdminProtocol {
     pub decode: DecodeAdmin,
--- a/src/traffic/allowance_task.rs
+++ b/src/traffic/allowance_task.rs
@@ -1,4 +1,4 @@
-//! Joins accounts' allowances to the control thread: what is told among nodes, and the passing of time.
+//! Connects the allowances of accounts to the control thread: messages among nodes, and timers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,22 +17,24 @@
 use crate::traffic::allowances::PeerMessage;
 use crate::traffic::traffic::Traffic;
 
-/// How often what is due is looked for.
+/// How often due work is performed.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often metrics of accounts are set.
+/// How often the metrics of accounts are updated.
 const METRICS_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Hands what others tell to [`run_allowances`].
+/// Passes messages of other nodes to [`run_allowances`].
 pub(super) fn allowance_handler(waiting: Sender<PeerMessage>) -> TakeAllowances {
     Arc::new(move |from: &Name, message: AllowanceMessage| {
         if waiting.try_send((from.clone(), message)).is_err() {
-            log::debug!("account: a message about allowances was dropped, from={from}");
+            log::debug!(
+                "account: allowance message dropped because the queue is full, from={from}"
+            );
         }
     })
 }
 
-/// Runs on the control thread for good.
+/// Runs on the control thread until the process ends.
 pub(super) async fn run_allowances(
     traffic: Arc<Traffic>,
     control: Arc<ControlHandle>,
@@ -54,7 +56,7 @@
     }
 }
 
-/// Shows the busiest accounts by name, and all others together.
+/// Sets the metrics of the busiest accounts by name, and of all others together.
 fn update_account_metrics(traffic: &Traffic) {
     let in_force = traffic.desired.load();
     let accounts = in_force.iter().flat_map(|known| &known.state.accounts);
--- a/src/traffic/allowances.rs
+++ b/src/traffic/allowances.rs
@@ -1,4 +1,4 @@
-//! Accounts' allowances at one node: asked by its entry, told of among nodes.
+//! The allowances of client accounts at one node: checked by its entry, exchanged among nodes.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -22,34 +22,35 @@
 use crate::traffic::InForce;
 use crate::traffic::fleet_watch::FleetWatch;
 
-/// How often keepers of different failure domains tell each other, in milliseconds.
+/// How often keepers of different failure domains exchange usage, in milliseconds.
 const DOMAIN_EXCHANGE_MS: u64 = 300;
 
-/// A message and the node that it is for.
+/// A message and its peer: the recipient of an outgoing one, the sender of an incoming one.
 pub(super) type PeerMessage = (Name, AllowanceMessage);
 
 #[derive(Debug)]
 struct KeeperState {
     keeper: AllowanceKeeper,
     fleet: FleetWatch,
-    /// The version whose allowances are kept.
+    /// The version of the desired state whose allowances are in use.
     version: u64,
     last_domain_exchange: TimeMs,
 }
 
-/// Shared by the entry and the control thread. No lock is held while another one is taken.
+/// Shared by the entry and the control thread. To rule out deadlocks, no lock is held while another
+/// one is taken.
 #[derive(Debug)]
 pub(super) struct Allowances {
     node: Name,
     domain: Name,
-    /// How many nodes there are, as last looked up.
+    /// The number of nodes at the last update of the fleet.
     nodes: AtomicUsize,
     entry: Mutex<EntryAllowances>,
     keeper_state: Mutex<KeeperState>,
 }
 
 impl Allowances {
-    /// Nothing is used yet.
+    /// Starts with no usage.
     pub(super) fn new(
         node: Name,
         domain: Name,
@@ -72,12 +73,12 @@
         }
     }
 
-    /// Changes the bound of the whole system.
+    /// Changes the system-wide bound.
     pub(super) fn set_bound(&self, bound: AllowanceBound) {
         self.entry().set_bound(bound);
     }
 
-    /// Decides about a request and counts it; see [`EntryAllowances::ask`].
+    /// Decides whether to admit a request, and counts it; see [`EntryAllowances::ask`].
     pub(super) fn ask(
         &self,
         now: TimeMs,
@@ -89,22 +90,22 @@
         self.entry().ask(now, account, allowance, nodes, random)
     }
 
-    /// A request that was let in has reached no backend server.
+    /// Refunds an admitted request that reached no backend server.
     pub(super) fn give_back(&self, account: AccountId) {
         self.entry().give_back(account);
     }
 
-    /// What comes of each account here; see [`EntryAllowances::uses`].
+    /// The usage of each account at this node; see [`EntryAllowances::uses`].
     pub(super) fn uses(&self, now: TimeMs) -> Vec<AccountUse> {
         self.entry().uses(now)
     }
 
-    /// When a keeper last gave a word.
+    /// When a keeper last answered a report.
     pub(super) fn worded(&self) -> Option<TimeMs> {
         self.entry().worded()
     }
 
-    /// Looks at the time, and answers what is to be told.
+    /// Performs the work that is due, and returns the messages to send.
     pub(super) fn tick(&self, now: TimeMs, view: &View, in_force: &InForce) -> Vec<PeerMessage> {
         if in_force.accounts.is_none() {
             return Vec::new();
@@ -122,7 +123,7 @@
         outgoing
     }
 
-    /// Takes in what another node tells, and answers what it is to be told.
+    /// Handles a message of another node, and returns the reply, if any.
     pub(super) fn handle(
         &self,
         now: TimeMs,
@@ -145,7 +146,8 @@
         }
     }
 
-    /// Follows who is there and what is in force; answers the keepers of the own failure domain.
+    /// Updates the set of nodes and the allowances; returns the keepers of this node's failure
+    /// domain.
     fn update_fleet(&self, now: TimeMs, view: &View, in_force: &InForce) -> Vec<Name> {
         let mut keeper_state = self.keeper_state();
         if keeper_state.version != in_force.state.version {
@@ -160,8 +162,8 @@
         keeper_state.fleet.keepers(&self.domain).to_vec()
     }
 
-    /// Both keepers of the failure domain hear what is used, so that the second one knows all when the first
-    /// is gone; the first one answers, and the second one if there was no word lately.
+    /// Reports usage to both keepers of the failure domain, so the second one has all data if the
+    /// first fails. The first one answers; the second one answers only if an answer is overdue.
     fn send_report(
         &self,
         now: TimeMs,
--- a/src/traffic/announcement_cache.rs
+++ b/src/traffic/announcement_cache.rs
@@ -1,11 +1,11 @@
-//! What backend servers have said in answers that this node passed on.
+//! Caches what backend servers have announced in answers that this node relayed.
 
 use crate::core::FastMap;
 use crate::core::Name;
 use crate::core::TimeMs;
 use crate::wire::ServerWord;
 
-/// Backend servers whose words are remembered; beyond it the one that was heard of longest ago is forgotten.
+/// Maximum number of entries; beyond it the entry that was updated longest ago is evicted.
 const MAX_ENTRIES: usize = 2_048;
 
 #[derive(Clone, Debug)]
@@ -14,20 +14,21 @@
     at: TimeMs,
 }
 
-/// The words of backend servers, by the node beside each.
+/// Departures and rate limits announced by backend servers, keyed by the node of each.
 ///
-/// Guards against a guard that is restarted and has forgotten what its backend server said, while this entry
-/// is bound by it for having passed it on. It holds because each call repeats the word to the guard, which
-/// takes it over if it stands beside that incarnation. It does not depend on gossip, the store, or the
-/// node's being in the view.
+/// A guard that restarts has lost what its backend server announced, but an entry that relayed the
+/// announcement to a caller must still respect it. So each call repeats the announcement to the
+/// guard, which applies it if its backend server is that incarnation. This depends neither on
+/// gossip, nor on the store, nor on the node being in the view.
 #[derive(Clone, Debug, Default)]
 pub struct AnnouncementCache {
     entries: FastMap<Name, Entry>,
 }
 
 impl AnnouncementCache {
-    /// Takes in what came with an answer of the guard on `node`. `has_run` says that the backend server ran
-    /// the call; without a word beside it, that one names no rate any more.
+    /// Updates the entry of `node` from an answer of its guard. `has_run` means that the backend
+    /// server ran the call: if the answer then has no announcement, there is no rate limit any
+    /// more.
     pub fn update(
         &mut self,
         now: TimeMs,
@@ -42,7 +43,7 @@
         }
     }
 
-    /// What the backend server beside a node has said, if anything binds.
+    /// The departure or rate limit announced by the backend server of a node, if any.
     pub fn get(&self, node: &Name) -> Option<&ServerWord> {
         self.entries.get(node).map(|entry| &entry.announcement)
     }
--- a/src/traffic/attempt.rs
+++ b/src/traffic/attempt.rs
@@ -1,4 +1,4 @@
-//! What came of an attempt to run a call at one target.
+//! The outcome of an attempt to run a call at one target.
 
 use crate::adapters::WholeAnswer;
 use crate::admission::Pressure;
@@ -8,27 +8,27 @@
 use crate::wire::LoadReport;
 use crate::wire::ServerWord;
 
-/// What the guard said beside its answer.
+/// The status of the guard, sent with its answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct GuardStatus {
     pub load: LoadReport,
-    /// Which share of calls fails at the backend server, in thousandths.
+    /// The share of calls that fail at the backend server, in thousandths.
     pub failing_permille: u32,
-    /// The most pressed service there and behind it.
+    /// The service with the highest pressure: the target's own or a downstream one.
     pub pressure: Option<Pressure>,
-    /// Who uses the call's route.
+    /// Whether callers or backend servers use the call's route.
     pub origin: Option<RouteOrigin>,
-    /// What the backend server has said of itself, if it binds.
+    /// The departure or rate limit announced by the backend server, if any.
     pub announcement: Option<ServerWord>,
 }
 
-/// The end of an attempt.
+/// The outcome of an attempt.
 #[derive(Clone, Debug)]
 pub(super) struct AttemptEnd {
     pub result: Result<WholeAnswer, Refusal>,
-    /// The backend server was sent the call, as far as is known.
+    /// The call was sent to the backend server, or may have been.
     pub reached_backend: bool,
-    /// `None` when the guard did not answer.
+    /// `None` if the guard did not answer.
     pub guard_status: Option<GuardStatus>,
 }
 
@@ -42,13 +42,13 @@
         }
     }
 
-    /// Whether the backend server ran it and answered with success.
+    /// Whether the backend server ran the call and answered with a success status.
     pub(super) fn ran_well(&self) -> bool {
         let answer = self.result.as_ref();
         answer.is_ok_and(|answer| answer.status.is_success())
     }
 
-    /// Why it was refused, if it was.
+    /// The reason of the refusal, if it was refused.
     pub(super) fn reason(&self) -> Option<RefusalReason> {
         self.result.as_ref().err().map(|refusal| refusal.reason)
     }
--- a/src/traffic/backend.rs
+++ b/src/traffic/backend.rs
@@ -1,4 +1,4 @@
-//! Running an admitted call at the local backend server.
+//! Runs an admitted call at the local backend server.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,17 +26,17 @@
 use crate::traffic::passed_headers::strip_answer;
 use crate::traffic::traffic::Traffic;
 
-/// When to come back after the backend server failed, in milliseconds.
+/// Retry-after when the backend server failed, in milliseconds.
 const FAILED_RETRY_AFTER_MS: u64 = 300;
 
-/// What came of a call at the backend server.
+/// The outcome of a call at the backend server.
 pub(super) struct BackendEnd {
     pub result: Result<WholeAnswer, Refusal>,
     pub reached_backend: bool,
 }
 
 impl BackendEnd {
-    /// It was not sent.
+    /// The call was not sent.
     pub(super) fn not_sent(refusal: Refusal) -> Self {
         Self {
             result: Err(refusal),
@@ -52,8 +52,8 @@
     }
 }
 
-/// Runs a call until its deadline. Dropped, it closes the connection to the backend server, which
-/// then stops working on the call.
+/// Runs a call until its deadline. Dropping the future closes the connection to the backend server,
+/// which then stops working on the call.
 pub(super) async fn run(
     traffic: &Arc<Traffic>,
     call: GuardedCall,
@@ -123,7 +123,7 @@
             BackendEnd::sent(result.map(|()| answer))
         }
         Err(error) => {
-            log::debug!("guard: lost the backend server, error={error}");
+            log::debug!("guard: connection to the backend server failed, error={error}");
             lost(traffic, incarnation, suspect, &error)
         }
     }
--- a/src/traffic/backend_answer.rs
+++ b/src/traffic/backend_answer.rs
@@ -1,4 +1,4 @@
-//! Whether what came from the backend server is its answer to this very call.
+//! Checks that an answer of the backend server is complete and belongs to the call.
 
 use http::HeaderValue;
 use http::Response;
@@ -20,10 +20,10 @@
 use crate::traffic::traffic::Traffic;
 use crate::wire::ServerWords;
 
-/// Whether an answer bears the identifier of the call.
+/// Whether an answer has the request identifier of the call.
 ///
-/// Guards against a second answer to an earlier request, which a faulty backend server sends when
-/// the next one is due: it would go to another caller. The connection is not used again.
+/// A faulty backend server may answer an earlier request a second time in place of the current one,
+/// and that answer would go to another caller. Such a connection is not used again.
 pub(super) fn matches_id(
     names: &HeaderNames,
     id: Option<&HeaderValue>,
@@ -32,11 +32,11 @@
     response.headers().get(&names.request_id) == id
 }
 
-/// Checks a whole answer to a request that was sent at `sent_at`, and takes in what it says of the backend
-/// server.
+/// Checks a whole answer to a request that was sent at `sent_at`, and applies the backend server's
+/// announcements in it.
 ///
 /// # Errors
-/// `not_run` where the backend server says so; otherwise the outcome is unknown.
+/// Returns `not_run` if the backend server says so; otherwise the outcome is unknown.
 pub(super) fn check(
     traffic: &Traffic,
     incarnation: &Name,
@@ -54,11 +54,11 @@
     }
     if answer.headers.get(&names.request_id) != id {
         traffic.metrics.wrong_answers.inc();
-        log::warn!("guard: an answer to another request was dropped");
+        log::warn!("guard: answer dropped because its request identifier differs");
         return Err(broken_answer());
     }
     let is_valid = is_valid(names, answer);
-    // A spoilt answer that says nothing is no word that nothing is to be said.
+    // An invalid answer without announcements must not revoke earlier ones.
     if is_valid || announcements.said().next().is_some() {
         apply_announcements(traffic, incarnation, sent_at, announcements);
     }
@@ -78,10 +78,11 @@
     !headers.contains_key(CONTENT_ENCODING) && (is_signed || !answer.status.is_success())
 }
 
-/// Takes in what an answer, to a request sent at `sent_at`, says of the incarnation that gave it.
+/// Applies the announcements of an incarnation, from its answer to a request that was sent at
+/// `sent_at`.
 ///
-/// A departure is the same fact as one that is reported, and is known here before the answer is passed on:
-/// whoever gets that answer relies on it.
+/// A departure has the same effect as a reported one. It is applied before the answer is returned,
+/// because the receiver of the answer relies on it.
 pub(super) fn apply_announcements(
     traffic: &Traffic,
     incarnation: &Name,
@@ -92,7 +93,7 @@
         .said()
         .for_each(|word| traffic.metrics.count_word(word));
     if announcements.rate == RateWord::Malformed {
-        log::warn!("local: a rate cannot be read, incarnation={incarnation}");
+        log::warn!("local: malformed rate limit, incarnation={incarnation}");
     }
     let now = traffic.clock.now();
     if announcements.is_leaving {
@@ -110,7 +111,8 @@
     log_rate_change(traffic, incarnation, change);
 }
 
-/// One line for each beginning, change and end of a limit, with how many calls it has turned away so far.
+/// Logs the start, each change and the end of a rate limit, with the number of calls refused by it
+/// so far.
 fn log_rate_change(traffic: &Traffic, incarnation: &Name, change: RateChange) {
     let turned_away = || traffic.gate.turned_away();
     match change {
@@ -135,7 +137,8 @@
     }
 }
 
-/// The incarnation that refused a call meant for another one, if it names itself.
+/// Applies the incarnation that an answer names after it refused a call that expected another one.
+/// Returns it, if the answer names one.
 fn correct_incarnation(traffic: &Traffic, expected: &Name, answer: &WholeAnswer) -> Option<Name> {
     let names = &traffic.settings.header_names;
     let actual = answer.headers.get(&names.incarnation)?.to_str().ok()?;
--- a/src/traffic/call.rs
+++ b/src/traffic/call.rs
@@ -1,4 +1,4 @@
-//! A call on its way: as the entry took it, and as the guard runs it.
+//! A call in progress: as classified by the entry, and as run by the guard.
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
@@ -21,7 +21,7 @@
 use crate::wire::CallAccount;
 use crate::wire::HopCall;
 
-/// What is passed on unchanged.
+/// The part of the request that is forwarded unchanged.
 #[derive(Clone, Debug)]
 pub(super) struct Message {
     pub method: Method,
@@ -30,7 +30,7 @@
     pub body: Bytes,
 }
 
-/// A call that the entry has taken and classified.
+/// A call that the entry has read and classified.
 #[derive(Clone, Debug)]
 pub(super) struct Call {
     pub message: Message,
@@ -38,72 +38,72 @@
     /// The name of its route.
     pub route: Name,
     pub repeatability: Repeatability,
-    /// To how many backend servers it may be sent at most.
+    /// The maximum number of backend servers that it may be sent to.
     pub max_attempts: u32,
     pub priority: Priority,
-    /// Whether it is a caller's own; `None` while it is not known who uses its route.
+    /// Whether a caller or a backend server sent it; `None` while its route's origin is unknown.
     pub origin: Option<RouteOrigin>,
-    /// What `origin` says was told by the call itself, not learnt of its route.
+    /// `origin` was derived from the call itself, not from what is known of its route.
     pub is_certain_origin: bool,
     /// The client account whose request it is.
     pub account: Option<CallAccount>,
-    /// The time within which an answer is worth most.
+    /// The latency objective of its route.
     pub objective_ms: u32,
-    /// How likely the work that makes the call is to be a repeat, in thousandths.
+    /// The probability that the request that makes this call is a retry, in thousandths.
     pub repeated_permille: u16,
     pub deadline: TimeMs,
 }
 
-/// A call that has reached the guard beside its target.
+/// A call that has reached its target's guard.
 #[derive(Clone, Debug)]
 pub(super) struct GuardedCall {
     pub message: Message,
-    /// What is held against it should the backend server crash.
+    /// Identifies the call as a suspect if the backend server crashes.
     pub suspect: Running,
     pub hop: HopCall,
     pub deadline: TimeMs,
 }
 
-/// Whether a call may have begun to run, for whoever gives it up.
+/// Whether a call may have started to run. Read when the call is abandoned.
 #[derive(Debug, Default)]
 pub(super) struct Progress {
-    /// The attempt under way may run.
+    /// The current attempt may be running.
     may_run: AtomicBool,
-    /// An attempt that has ended may have run.
+    /// An earlier attempt may have run.
     may_have_run: AtomicBool,
-    /// A backend server was sent the call in an attempt that has ended.
+    /// An earlier attempt sent the call to a backend server.
     reached_backend: AtomicBool,
     trace: Mutex<Trace>,
 }
 
-/// What was tried so far, for the log.
+/// The attempts so far, for the log.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Trace {
     pub attempts: u32,
-    /// The node beside the target that was tried last.
+    /// The node of the most recent target.
     pub target: Option<Name>,
 }
 
 impl Progress {
-    /// An attempt begins.
+    /// Records the start of an attempt.
     pub(super) fn start_attempt(&self, target: &Name) {
         let mut trace = self.trace.lock().unwrap_or_else(PoisonError::into_inner);
         trace.attempts += 1;
         trace.target = Some(target.clone());
     }
 
-    /// What was tried so far.
+    /// Returns the attempts so far.
     pub(super) fn trace(&self) -> Trace {
         let trace = self.trace.lock().unwrap_or_else(PoisonError::into_inner);
         trace.clone()
     }
 
-    /// From now on it may run.
+    /// Records that the call was sent, so it may run from now on.
     pub(super) fn mark_sent(&self) {
         self.may_run.store(true, Ordering::Relaxed);
     }
 
-    /// An attempt has ended without an answer.
+    /// Records the end of an attempt that got no answer.
     pub(super) fn end_attempt(&self, run_state: RunState) {
         self.may_run.store(false, Ordering::Relaxed);
         if run_state != RunState::NotRun {
@@ -111,25 +111,25 @@
         }
     }
 
-    /// An attempt that has ended had sent the call to a backend server.
+    /// Records that an attempt that has ended sent the call to a backend server.
     pub(super) fn mark_reached_backend(&self) {
         self.reached_backend.store(true, Ordering::Relaxed);
     }
 
-    /// Whether the next attempt is a repeat.
+    /// Whether an earlier attempt reached a backend server, which makes the next one a retry.
     pub(super) fn has_reached_backend(&self) -> bool {
         self.reached_backend.load(Ordering::Relaxed)
     }
 
-    /// Whether any attempt runs or may have run.
+    /// Whether any attempt is running or may have run.
     pub(super) fn may_have_run_anywhere(&self) -> bool {
         self.may_run.load(Ordering::Relaxed) || self.may_have_run.load(Ordering::Relaxed)
     }
 
-    /// What to say of the whole call when its last attempt was refused.
+    /// Returns the refusal of the whole call, given that of its last attempt.
     ///
-    /// Guards against a refusal that says `not_run` for a call of which an earlier attempt was lost
-    /// and may have run.
+    /// The last attempt may be refused as `not_run` although an earlier one was lost and may have
+    /// run. The run state of the whole call is then `unknown`.
     pub(super) fn with_earlier_attempts(&self, mut refusal: Refusal) -> Refusal {
         if refusal.run_state == RunState::NotRun && self.may_have_run.load(Ordering::Relaxed) {
             refusal.run_state = RunState::Unknown;
--- a/src/traffic/caller_response.rs
+++ b/src/traffic/caller_response.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Responses to callers.
 
 use bytes::Bytes;
 use http::HeaderValue;
@@ -13,7 +13,7 @@
 use crate::core::RunState;
 use crate::traffic::traffic::Traffic;
 
-/// Passes a backend server's answer on as it is.
+/// Builds the response from a backend server's answer, unchanged.
 pub(super) fn answer_response(answer: WholeAnswer) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(answer.body));
     *response.status_mut() = answer.status;
@@ -21,8 +21,8 @@
     response
 }
 
-/// Tells a caller that its request was given up. Only a request that was certainly not run, and
-/// will not be, gets 503 and a time to come back.
+/// Builds the response to a refused request. Only a request that certainly has not run, and will
+/// not run, gets status 503 and a retry-after header.
 pub(super) fn refusal_response(
     traffic: &Traffic,
     refusal: Refusal,
@@ -46,7 +46,7 @@
     response
 }
 
-/// No key, or none that an account holds: coming back would not help.
+/// Whether the request has no valid account key, so a retry would fail as well.
 fn is_denied(reason: RefusalReason) -> bool {
     matches!(
         reason,
@@ -57,7 +57,7 @@
     )
 }
 
-/// An answer of this node's own without a body.
+/// Builds a response of this node without a body.
 pub(super) fn status_response(
     traffic: &Traffic,
     status: StatusCode,
--- a/src/traffic/control_link.rs
+++ b/src/traffic/control_link.rs
@@ -1,4 +1,4 @@
-//! What joins the traffic of a node to its control thread.
+//! Connects the request path of a node to its control thread.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,7 +29,7 @@
 use crate::traffic::traffic::Traffic;
 use crate::traffic::version_fetch::VersionAnnouncement;
 
-/// What the control thread has to know of this node.
+/// The settings of the control thread.
 pub(super) fn control_settings(
     settings: &TrafficSettings,
     peer_address: SocketAddr,
@@ -48,7 +48,7 @@
     }
 }
 
-/// What peers may ask and tell.
+/// The handlers of peers' requests and announcements.
 pub(super) fn handlers(
     settings: &TrafficSettings,
     desired: &Arc<DesiredInForce>,
@@ -70,7 +70,9 @@
                 is_near,
             };
             if version > for_announcements.version() && announcements.try_send(announced).is_err() {
-                log::debug!("config: news were dropped, version={version}");
+                log::debug!(
+                    "config: announcement dropped because the queue is full, version={version}"
+                );
             }
         }),
         route_use: Arc::new(move |route, by| origins.learn_from_peer(route, by)),
@@ -78,7 +80,7 @@
     }
 }
 
-/// Whether this node asks the store now; see [`asks_store`].
+/// Returns the check whether this node polls the store now; see [`asks_store`].
 pub(super) fn should_poll(traffic: &Arc<Traffic>, control: &Arc<ControlHandle>) -> ShouldPollStore {
     let (traffic, control) = (traffic.clone(), control.clone());
     let started = traffic.clock.now();
@@ -106,19 +108,19 @@
     })
 }
 
-/// Tells all members that the store holds nothing newer.
+/// Announces to all members that the store holds nothing newer.
 pub(super) fn confirm_version(control: &Arc<ControlHandle>) -> ConfirmVersion {
     let control = control.clone();
     Arc::new(move |version| control.confirm_config_version(version))
 }
 
-/// Tells all members which version is in force here.
+/// Announces to all members which version is in force here.
 pub(super) fn announce_version(control: &Arc<ControlHandle>) -> AnnounceVersion {
     let control = control.clone();
     Arc::new(move |version| control.set_config_version(version))
 }
 
-/// Tells all members what is known of the local backend server, at each change.
+/// Announces the status of the local backend server to all members, at each change.
 pub(super) async fn announce_local(control: Arc<ControlHandle>, traffic: Arc<Traffic>) {
     let mut status = traffic.local_status.subscribe();
     loop {
@@ -135,7 +137,7 @@
     }
 }
 
-/// Tells all members who uses which route, as this node finds it out.
+/// Announces the origin of each route to all members, once this node has detected it.
 pub(super) async fn announce_routes(
     control: Arc<ControlHandle>,
     mut updates: Receiver<RouteOriginUpdate>,
@@ -145,7 +147,7 @@
     }
 }
 
-/// Takes in an era of the store that another member has seen.
+/// Records an era of the store that another member has announced.
 pub(super) fn era_handler(eras: &EraWatch) -> Arc<dyn Fn(u64) + Send + Sync> {
     let eras = eras.clone();
     Arc::new(move |era| {
@@ -153,8 +155,8 @@
     })
 }
 
-/// Tells all members of each new era of the store, for nodes that do not ask it have to write again what it
-/// has lost.
+/// Announces each new era of the store to all members. Nodes that do not poll the store need it to
+/// write rows again that the store has lost.
 pub(super) async fn announce_eras(control: Arc<ControlHandle>, eras: EraWatch) {
     let mut newest = eras.subscribe();
     while newest.changed().await.is_ok() {
--- a/src/traffic/cost_log.rs
+++ b/src/traffic/cost_log.rs
@@ -1,4 +1,4 @@
-//! What a node costs beside the requests: calls to the store and bytes to other nodes, logged now and then.
+//! Periodically logs the node's overhead: calls to the store and bytes sent to other nodes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,16 +8,16 @@
 
 use crate::traffic::traffic::Traffic;
 
-/// How often it is logged.
+/// How often the counters are logged.
 const LOG_INTERVAL: Duration = Duration::from_secs(20);
-/// The counters that make up what a node costs.
+/// The counters that are logged.
 const COST_METRICS: [&str; 3] = [
     "sassafrasgap_store_calls_total",
     "sassafrasgap_store_failures_total",
     "sassafrasgap_control_bytes_total",
 ];
 
-/// Logs all that was counted since the start, every 20 s.
+/// Logs the counts since the start, every 20 s.
 pub(super) async fn log_costs(traffic: Arc<Traffic>) {
     loop {
         tokio::time::sleep(LOG_INTERVAL).await;
@@ -35,7 +35,7 @@
     metrics.map(format_metric).collect()
 }
 
-/// The labels' values joined by underscores, and the count.
+/// Formats the label values, joined by underscores, and the count.
 fn format_metric(metric: &Metric) -> String {
     let labels = metric.get_label().iter().map(|label| label.value());
     let labels: Vec<&str> = labels.collect();
--- a/src/traffic/desired_in_force.rs
+++ b/src/traffic/desired_in_force.rs
@@ -1,4 +1,5 @@
-//! The desired state in force here: read by every request, replaced whole, never by an older one.
+//! The desired state in force at this node: read by every request, replaced as a whole, never by an
+//! older one.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -14,27 +15,27 @@
 use crate::desired::DesiredState;
 use crate::desired::RouteTable;
 
-/// A desired state, ready for look-ups.
+/// A desired state, indexed for look-ups.
 #[derive(Debug)]
 pub struct InForce {
     pub state: DesiredState,
     pub routes: RouteTable,
     /// `None` where no request needs a key.
     pub accounts: Option<AccountTable>,
-    /// The order of importance of its accounts' and routes' ranks.
+    /// The priority order of the ranks of accounts and routes.
     pub ranking: Ranking,
 }
 
-/// What is in force; `None` until a first desired state is known.
+/// Holds the desired state in force; `None` until a first one is known.
 #[derive(Debug, Default)]
 pub struct DesiredInForce {
     in_force: ArcSwapOption<InForce>,
-    /// Held while a new one comes into force, so that two cannot do so in the wrong order.
+    /// Held while the state is replaced, so concurrent replacements keep the order of versions.
     changing: Mutex<()>,
 }
 
 impl DesiredInForce {
-    /// What is in force.
+    /// The desired state in force.
     pub fn load(&self) -> Option<Arc<InForce>> {
         self.in_force.load_full()
     }
@@ -45,7 +46,7 @@
         in_force.as_ref().map_or(0, |known| known.state.version)
     }
 
-    /// What callers may send at present.
+    /// The current limits of callers' requests.
     pub fn limits(&self) -> ClientLimits {
         let in_force = self.in_force.load();
         in_force
@@ -53,7 +54,7 @@
             .map_or_else(ClientLimits::default, |known| known.state.limits)
     }
 
-    /// Puts a desired state into force if its version is higher. Answers whether it was.
+    /// Puts a desired state into force if its version is higher. Returns whether it was.
     pub fn apply_if_newer(&self, state: DesiredState) -> bool {
         let _changing = self.changing.lock().unwrap_or_else(PoisonError::into_inner);
         if state.version <= self.version() {
@@ -78,7 +79,7 @@
         true
     }
 
-    /// The document for a peer that holds a version below.
+    /// The document for a peer whose version is `above`; `None` if this node has nothing newer.
     pub fn document_above(&self, above: u64) -> Option<ConfigDocument> {
         let known = self.load().filter(|known| known.state.version > above)?;
         match serde_json::to_string(&known.state) {
@@ -88,19 +89,19 @@
                 document,
             }),
             Err(error) => {
-                log::error!("config: cannot be encoded for a peer, error={error}");
+                log::error!("config: desired state cannot be encoded for a peer, error={error}");
                 None
             }
         }
     }
 
-    /// Takes in a document that a peer has in force.
+    /// Applies a document that a peer has in force. Returns whether it was newer.
     pub fn apply_document(&self, document: &ConfigDocument) -> bool {
         match serde_json::from_str(&document.document) {
             Ok(state) => self.apply_if_newer(state),
             Err(error) => {
                 log::error!(
-                    "config: a peer's document cannot be read, version={} error={error}",
+                    "config: desired state from a peer cannot be decoded, version={} error={error}",
                     document.version
                 );
                 false
--- a/src/traffic/desired_task.rs
+++ b/src/traffic/desired_task.rs
@@ -1,4 +1,4 @@
-//! Keeps the desired state in force up to date from the store.
+//! Follows the desired state in the store and puts each new version into force.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,27 +20,27 @@
 use crate::store::WatchPause;
 use crate::traffic::DesiredInForce;
 
-/// Decodes a desired state from the operator's row.
+/// Decodes the operator's row into a desired state.
 pub type DecodeDesired =
     Arc<dyn Fn(&[u8]) -> Result<DesiredState, DesiredStateError> + Send + Sync>;
 
-/// Where the operator keeps the desired state, and how it is written there.
+/// The row where the operator keeps the desired state, and its decoder.
 #[derive(Clone)]
 pub struct DesiredSource {
     pub row: RowName,
     pub decode: DecodeDesired,
 }
 
-/// Tells all members which version is in force here.
+/// Announces to all members which version is in force here.
 pub(super) type AnnounceVersion = Arc<dyn Fn(u64) + Send + Sync>;
 
-/// Tells all members that the store holds nothing newer than a version.
+/// Announces to all members that the store holds nothing newer than a version.
 pub(super) type ConfirmVersion = Arc<dyn Fn(u64) + Send + Sync>;
 
-/// Whether this node asks the store now, rather than rely on what others tell.
+/// Whether this node polls the store now, instead of relying on announcements of other nodes.
 pub(super) type ShouldPollStore = Arc<dyn Fn() -> bool + Send + Sync>;
 
-/// Follows the operator's row.
+/// Watches the operator's row in the store.
 pub(super) struct StoreFollower {
     pub(super) store: Arc<dyn Store>,
     pub(super) source: DesiredSource,
@@ -48,15 +48,15 @@
     pub(super) announce: AnnounceVersion,
     pub(super) confirm: ConfirmVersion,
     pub(super) should_poll: ShouldPollStore,
-    /// Woken when others told of a version and could not hand it over.
+    /// Notified when a peer announced a version but did not deliver it.
     pub(super) poll_now: Arc<Notify>,
     pub(super) reached: IntGauge,
-    /// The version that the store holds, as it last said; `None` where that is unknown.
+    /// The version that was last read from the store; `None` if unknown.
     pub(super) stored: Option<u64>,
 }
 
 impl StoreFollower {
-    /// Runs for good.
+    /// Runs until the process ends.
     pub(super) async fn run(mut self) {
         let (table, part) = (self.source.row.table.clone(), self.source.row.part.clone());
         let mut watch = TableWatch::new(self.store.clone(), table, part);
@@ -87,10 +87,11 @@
         }
     }
 
-    /// Takes in what the store holds, and confirms what is in force if that is the same.
+    /// Applies changes read from the store. Confirms the version in force if the store holds the
+    /// same.
     ///
-    /// Guards against a store that was restored from an older copy and shows an older state than the one in
-    /// force: that stays, and the store's word says nothing of whether it is the newest.
+    /// A store that was restored from an older copy may hold an older state than the one in force.
+    /// The latter then stays in force, and is not confirmed as the newest.
     fn apply(&mut self, changes: &TableNews) {
         if changes.is_whole {
             self.stored = None;
@@ -107,10 +108,10 @@
         }
     }
 
-    /// Answers which version the row holds.
+    /// Returns the version that the row holds.
     fn apply_row(&self, row: &RowChange) -> Option<u64> {
         let Some(value) = &row.value else {
-            log::error!("config: the operator's row was dropped; the last version stays in force");
+            log::error!("config: the operator's row was deleted; the last version stays in force");
             return None;
         };
         match (self.source.decode)(value) {
@@ -122,7 +123,7 @@
                 Some(version)
             }
             Err(error) => {
-                log::error!("config: the operator's row is not valid, error={error}");
+                log::error!("config: the operator's row is invalid, error={error}");
                 None
             }
         }
--- a/src/traffic/entry.rs
+++ b/src/traffic/entry.rs
@@ -1,4 +1,4 @@
-//! The entry: requests of local callers, and calls of the local backend server.
+//! The entry: accepts requests of local callers, and calls of the local backend server.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -43,24 +43,24 @@
 use crate::traffic::request_log::EntryLog;
 use crate::traffic::traffic::Traffic;
 
-/// When to come back while nothing is known yet, in milliseconds.
+/// Retry-after of a refusal while no desired state is known, in milliseconds.
 const DEFAULT_RETRY_AFTER_MS: u64 = 500;
-/// The shortest time after which a request that was shed may come back, in milliseconds.
+/// Minimum retry-after of a request that was shed, in milliseconds.
 const SHED_RETRY_AFTER_MS: u64 = 300;
-/// Over how long those that were shed together come back.
+/// Requests that were shed together retry spread over this time, in milliseconds.
 const SHED_RETRY_SPREAD_MS: u64 = 600;
-/// The deadline of a request that names none and whose route is not known either.
+/// The deadline of a request that names none and has no known route, in milliseconds.
 const DEFAULT_DEADLINE_MS: u64 = 10_000;
 
 /// Why a request is not forwarded.
 enum Rejected {
-    /// It may be sent again.
+    /// The caller may retry it.
     Refusal(Refusal),
-    /// Sending it again would not help.
+    /// A retry would fail as well.
     Status(StatusCode),
 }
 
-/// Serves one request from its arrival to its answer. Dropped, it gives the request up.
+/// Serves one request from its arrival to its answer. Dropping the future abandons the request.
 pub(super) async fn serve_caller(
     traffic: Arc<Traffic>,
     request: Request<Incoming>,
@@ -121,12 +121,12 @@
     answer.map_err(Rejected::Refusal)
 }
 
-/// Turns a caller's own request away where a service of its call tree is pressed. A call of a backend
-/// server is noted instead, for what it says of the routes that run there.
+/// Refuses a caller's request if a service of its call tree is overloaded. A call of the local
+/// backend server is recorded instead, as a possible child of each route that is running there.
 fn admit_root(traffic: &Traffic, call: &Call) -> Result<(), Refusal> {
     let now = traffic.clock.now();
     let (service, route) = (&call.service, &call.route);
-    // Nothing is refused on a route of which it is not known yet who uses it.
+    // No request is refused while it is unknown who uses its route.
     if call.origin == Some(RouteOrigin::Callers)
         && !traffic.roots.may_pass(now, service, route, call.priority)
     {
@@ -139,7 +139,7 @@
     Ok(())
 }
 
-/// Takes in a whole request and classifies it.
+/// Reads a whole request and classifies it.
 async fn accept(traffic: &Arc<Traffic>, request: Request<Incoming>) -> Result<Call, Rejected> {
     let now = traffic.clock.now();
     let (mut parts, body) = request.into_parts();
@@ -240,8 +240,10 @@
     }
 }
 
-/// A refusal before any work, because a service deep down is pressed. Callers come back spread over
-/// a while, early enough for an answer that is still worth something.
+/// The refusal of a request before any work, because a service of its call tree is overloaded.
+///
+/// The retry-after is spread over [`SHED_RETRY_SPREAD_MS`], and short enough for an answer to the
+/// retry that is still useful.
 fn shed() -> Refusal {
     let retry_after_ms = SHED_RETRY_AFTER_MS + fastrand::u64(..SHED_RETRY_SPREAD_MS);
     Refusal::not_run(RefusalReason::ShedAtEntry, retry_after_ms)
--- a/src/traffic/entry_account.rs
+++ b/src/traffic/entry_account.rs
@@ -1,4 +1,4 @@
-//! What an entry asks of the client account behind a request: whose it is, how important, how much it may.
+//! Client accounts at the entry: identity, priority and allowance of a request's account.
 
 use http::HeaderMap;
 use http::HeaderName;
@@ -22,13 +22,13 @@
 use crate::traffic::traffic::Traffic;
 use crate::wire::CallAccount;
 
-/// When to come back while keys are not relied on, in milliseconds.
+/// Retry-after of a refusal for an account key, in milliseconds.
 const KEY_REFUSAL_RETRY_AFTER_MS: u64 = 500;
-/// The class of calls of backend servers: work has been done for them already, so they go before
-/// every caller's own request.
+/// The priority class of calls of backend servers. Work has already been done for them, so they
+/// precede all requests of callers.
 const BACKEND_CALL_CLASS: u8 = 0;
 
-/// Whose a request is, by its key.
+/// Identifies the sender of a request by its account key.
 pub(super) fn identify_caller(
     traffic: &Traffic,
     in_force: &InForce,
@@ -61,7 +61,8 @@
     }
 }
 
-/// A key ends here, and only this program says whose a request is.
+/// Removes the key, which is never forwarded, and any account name set by the sender: only nodes
+/// may set it.
 pub(super) fn strip_account(names: &HeaderNames, headers: &mut HeaderMap) {
     headers.remove(&names.account_key);
     headers.remove(&names.account);
@@ -78,7 +79,8 @@
     })
 }
 
-/// Calls of backend servers first, then callers' requests by the ranks of account and route.
+/// The priority class: calls of backend servers first, then requests of callers by the ranks of
+/// account and route.
 pub(super) fn class(
     ranking: &Ranking,
     found: &RouteInForce,
@@ -96,14 +98,15 @@
     place.saturating_add(BACKEND_CALL_CLASS + 1)
 }
 
-/// Within a class, requests are ranked by their identifiers, so that every node keeps the same.
+/// The priority of a request. Within a class requests are ranked by a hash of their identifiers, so
+/// all nodes admit the same ones.
 pub(super) fn priority(traffic: &Traffic, class: u8, headers: &HeaderMap) -> Priority {
     let id = headers.get(&traffic.settings.header_names.request_id);
     let id = id.and_then(|id| id.to_str().ok()).unwrap_or("");
     Priority::new(class, RequestId::of_key("", id).rank())
 }
 
-/// Turns a request away that is beyond its account's allowance. Answers from which account it took a part.
+/// Refuses a request that exceeds its account's allowance. Returns the account that was charged.
 pub(super) fn check_allowance(
     traffic: &Traffic,
     call: &Call,
--- a/src/traffic/fleet_watch.rs
+++ b/src/traffic/fleet_watch.rs
@@ -1,4 +1,4 @@
-//! Who is there, as keepers of allowances see it.
+//! Tracks which nodes share the allowances of accounts, and which of them are keepers.
 
 use std::collections::BTreeMap;
 
@@ -10,25 +10,25 @@
 use crate::core::TimeMs;
 use crate::core::View;
 
-/// Keepers of each failure domain: two, so that what is known survives one of them.
+/// The number of keepers in each failure domain: two, so the data survives the failure of one.
 const KEEPERS: usize = 2;
-/// A dead node counts as there for so long, in milliseconds: it may be alive behind a cut and go on using
-/// its share.
+/// A dead node is counted for this time, in milliseconds: it may be alive on the other side of a
+/// network partition and still use its share.
 const DEAD_COUNTED_MS: u64 = EntryAllowances::SHARE_HOLDS_MS;
 
-/// Follows the view.
+/// The nodes and keepers as of the last view.
 #[derive(Clone, Debug, Default)]
 pub(super) struct FleetWatch {
     view_change: Option<u64>,
-    /// Since when nodes are dead.
+    /// When each dead node was first seen as dead.
     dead: FastMap<Name, TimeMs>,
-    /// When the first of them counts no longer.
+    /// When the next dead node stops being counted.
     next_expiry: Option<TimeMs>,
     keepers: BTreeMap<Name, Vec<Name>>,
 }
 
 impl FleetWatch {
-    /// Who is there, if that has changed.
+    /// Updates from the view. Returns the fleet, if it may have changed.
     pub(super) fn update(&mut self, now: TimeMs, view: &View, own: &Name) -> Option<Fleet> {
         let has_expired = self.next_expiry.is_some_and(|expiry| now >= expiry);
         if self.view_change == Some(view.changes) && !has_expired {
@@ -67,7 +67,7 @@
         })
     }
 
-    /// The keepers of a failure domain, the one that answers first.
+    /// The keepers of a failure domain; the first one answers reports.
     pub(super) fn keepers(&self, domain: &Name) -> &[Name] {
         self.keepers.get(domain).map_or(&[], |keepers| keepers)
     }
@@ -92,7 +92,7 @@
             node.is_some_and(|node| node.state == TargetState::Dead)
         };
         self.dead.retain(|node, _| is_dead(node));
-        // One that was dead before this node saw it alive counts no more.
+        // A node that was dead in this node's first view is not counted.
         let since = match self.view_change {
             Some(_) => now,
             None => TimeMs::default(),
--- a/src/traffic/forward.rs
+++ b/src/traffic/forward.rs
@@ -1,4 +1,4 @@
-//! Forwarding a call: choose a target, send, and perhaps try once more.
+//! Forwards a call: chooses a target, sends the call, and retries if allowed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,23 +30,23 @@
 use crate::traffic::request_log::log_retry;
 use crate::traffic::traffic::Traffic;
 
-/// When to come back when no target takes work, in milliseconds.
+/// Retry-after when no target accepts work, in milliseconds.
 const NO_TARGET_RETRY_AFTER_MS: u64 = 400;
-/// How long a call waits for a first target to become known, in milliseconds: a node that has just
-/// started hears of all targets within this time.
+/// How long a call waits for a first target to become known, in milliseconds. A node that has just
+/// started learns of all targets by gossip within this time.
 const FIRST_TARGET_WAIT_MS: u64 = 1_000;
-/// How often it looks.
+/// How often the view is polled for a first target, in milliseconds.
 const FIRST_TARGET_POLL_MS: u64 = 50;
-/// From this length on a body counts as large when it would cross between failure domains.
+/// Minimum length of a body that counts as large for traffic between failure domains.
 const LARGE_BODY_BYTES: usize = 16 * 1024;
-/// Targets tried in vain at most, counting those that were never sent the call: each costs a round
-/// trip.
+/// Maximum number of targets tried, including those that were never sent the call: each costs a
+/// round trip.
 const MAX_TARGETS_TRIED: usize = 6;
 
-/// Forwards a call until it is answered, given up, or its deadline has come.
+/// Forwards a call until it is answered, refused, or its deadline has passed.
 ///
 /// # Errors
-/// The refusal to give to the caller.
+/// Returns the refusal for the caller.
 pub(super) async fn forward(
     traffic: &Arc<Traffic>,
     call: Call,
@@ -111,8 +111,10 @@
         .first_attempt(now, &view, &call.service, repeated);
 }
 
-/// Guards against refusing everything for a moment after a start, before gossip has told of any
-/// target. It shows as a burst of refusals after each restart of a node.
+/// Waits until a target of the call's service is known.
+///
+/// Without the wait a node refuses all calls after each restart until gossip has announced a
+/// target.
 async fn wait_for_first_target(traffic: &Traffic, call: &Call) {
     let give_up_at = traffic.clock.now() + FIRST_TARGET_WAIT_MS;
     while traffic.view.load().targets(&call.service).is_empty() {
@@ -169,12 +171,11 @@
     end
 }
 
-/// Sends a call, and gives the attempt up when its target's failure domain turns out to be out of
-/// reach.
+/// Sends a call, and ends the attempt if its target's failure domain becomes unreachable.
 ///
-/// Guards against calls that were under way into a domain when it was cut off: their connections are
-/// open and silent, so they would wait for their deadline, though their own side could still run
-/// them. One that must not run twice has to wait for its answer all the same.
+/// When a domain is cut off, connections into it stay open without traffic. Calls on them would
+/// wait for their deadline, although targets on this side of the cut could still run them. A call
+/// that must not run twice waits for its answer.
 async fn send_until_unreachable(
     traffic: &Arc<Traffic>,
     call: &Call,
@@ -191,8 +192,9 @@
     }
 }
 
-/// What one target says of itself counts as its part of the whole service; what it says of services
-/// behind it holds as it is.
+/// The pressure to record for an answer. What a target reports of its own service is combined with
+/// the reports of the service's other targets. The pressure of a downstream service is used
+/// unchanged.
 fn service_pressure(
     traffic: &Traffic,
     call: &Call,
@@ -223,8 +225,8 @@
     Some(pressure)
 }
 
-/// Decides on a further attempt. One after which a backend server gets the call a second time is
-/// paid for out of the service's budget; a guard that refused without sending costs nothing.
+/// Decides whether to try again. A retry after a backend server was sent the call is taken from the
+/// service's retry budget. A retry after guards that refused without sending is free.
 fn next_attempt(
     traffic: &Traffic,
     call: &Call,
--- a/src/traffic/gone_servers.rs
+++ b/src/traffic/gone_servers.rs
@@ -1,11 +1,11 @@
-//! Incarnations of the local backend server that have ended or said that they leave.
+//! Incarnations of the local backend server that have ended or announced their departure.
 
 use std::collections::VecDeque;
 
 use crate::core::Name;
 use crate::traffic::ServerReport;
 
-/// Incarnations remembered, so that their late reports change nothing.
+/// Maximum number of incarnations remembered, so that their late reports change nothing.
 const MAX_GONE: usize = 32;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -14,14 +14,14 @@
     started_unix_ms: Option<u64>,
 }
 
-/// The last ones, the oldest first.
+/// The most recent of these incarnations, the oldest first.
 #[derive(Clone, Debug, Default)]
 pub(super) struct GoneServers {
     gone: VecDeque<Gone>,
 }
 
 impl GoneServers {
-    /// Remembers an incarnation, with the latest of its starts.
+    /// Records an incarnation, with the latest of its start times.
     pub fn record(&mut self, incarnation: &Name, started_unix_ms: Option<u64>) {
         let mut known = self.gone.iter_mut();
         let known = known.find(|gone| gone.incarnation == *incarnation);
@@ -38,27 +38,28 @@
         });
     }
 
-    /// Whether this incarnation is gone, whichever of its starts is meant.
+    /// Whether this incarnation is gone, for any of its start times.
     pub fn contains(&self, incarnation: &Name) -> bool {
         self.gone
             .iter()
             .any(|gone| gone.incarnation == *incarnation)
     }
 
-    /// Whether a report is of one that is gone, and not of a later one under the same identifier.
+    /// Whether a report comes from an incarnation that is gone, and not from a later start under
+    /// the same identifier.
     pub fn is_report_of_gone(&self, report: &ServerReport) -> bool {
         let is_same = |gone: &&Gone| gone.incarnation == report.incarnation;
         let mut same = self.gone.iter().filter(is_same);
         same.any(|gone| !is_later(report.started_unix_ms, gone.started_unix_ms))
     }
 
-    /// It stands there again.
+    /// Removes an incarnation that is current again.
     pub fn forget(&mut self, incarnation: &Name) {
         self.gone.retain(|gone| gone.incarnation != *incarnation);
     }
 }
 
-/// Whether one start is certainly after another.
+/// Whether one start time is known to be after another.
 pub(super) fn is_later(one: Option<u64>, other: Option<u64>) -> bool {
     one.zip(other).is_some_and(|(one, other)| one > other)
 }
--- a/src/traffic/guard.rs
+++ b/src/traffic/guard.rs
@@ -1,4 +1,4 @@
-//! The guard: the only way to the local backend server.
+//! The guard: every request to the local backend server passes through it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -47,12 +47,12 @@
 use crate::wire::HopCall;
 use crate::wire::headers;
 
-/// A root may wait for one part in this of its latency objective.
+/// A root request may wait for its latency objective divided by this.
 const ROOT_WAIT_DIVISOR: u64 = 4;
-/// When to come back after a refusal that says nothing about load, in milliseconds.
+/// Retry-after of a refusal that does not depend on load, in milliseconds.
 const DEFAULT_RETRY_AFTER_MS: u64 = 300;
 
-/// Serves one forwarded call. Dropped, it gives the call up.
+/// Serves one forwarded call. Dropping the future abandons the call.
 pub(super) async fn serve_peer(
     traffic: Arc<Traffic>,
     request: Request<Incoming>,
@@ -69,7 +69,7 @@
     response(&traffic, end)
 }
 
-/// Runs a call of this node's own entry, without the network between.
+/// Runs a call of this node's own entry, without the network hop.
 pub(super) async fn run_own(
     traffic: &Arc<Traffic>,
     call: &Call,
@@ -85,7 +85,7 @@
 async fn read_call(traffic: &Traffic, request: Request<Incoming>) -> Result<GuardedCall, Refusal> {
     let (mut parts, body) = request.into_parts();
     let hop = HopCall::from_headers(&parts.headers).map_err(|error| {
-        log::warn!("guard: a call cannot be read, error={error}");
+        log::warn!("guard: invalid hop header in a call, error={error}");
         not_run(RefusalReason::PeerVersion)
     })?;
     let left = Duration::from_millis(u64::from(hop.deadline_left_ms));
@@ -145,7 +145,7 @@
     end
 }
 
-/// Takes over what the caller's entry was told of the local backend server.
+/// Applies what the sending entry knows of the local backend server's announcements.
 fn apply_announcement(traffic: &Traffic, hop: &HopCall) {
     let Some(announcement) = &hop.word else {
         return;
@@ -155,7 +155,7 @@
         let change = local.apply_announcement(now, announcement);
         if change == LocalChange::Changed {
             log::info!(
-                "local: told by an entry, incarnation={} leaving={} rate_milli={:?}",
+                "local: announcement from an entry, incarnation={} leaving={} rate_milli={:?}",
                 announcement.incarnation,
                 announcement.is_leaving,
                 announcement.rate_milli
@@ -176,9 +176,11 @@
     origin
 }
 
-/// Guards against roots that queue while their entries still believe that there is room: those hear
-/// of the pressure only with answers, and answers come late when everything waits. Nothing has been
-/// done for a root yet, so it is refused at once, and with the refusal its entry hears.
+/// Refuses a root request whose expected wait is too long for its latency objective.
+///
+/// Entries learn of pressure only from answers, and answers are late when calls queue. Without this
+/// check, entries keep admitting roots into the queue. No work has been done for a root yet, and
+/// its refusal tells the entry of the pressure at once.
 fn refuse_root(
     traffic: &Traffic,
     call: &GuardedCall,
@@ -196,7 +198,8 @@
     Some(Refusal::not_run(RefusalReason::Overloaded, retry_after_ms))
 }
 
-/// Refuses a repeat whose calls could not be paid for; see [`crate::retry::WindowBudget::has_left`].
+/// Refuses a retry if the budget of a downstream service is spent; see
+/// [`crate::retry::WindowBudget::has_left`].
 fn refuse_repeat(traffic: &Traffic, call: &GuardedCall) -> Option<Refusal> {
     if call.hop.repeated_permille < CERTAIN_REPEAT_PERMILLE {
         return None;
@@ -235,14 +238,15 @@
     };
     let waited_us = permit.since_us.saturating_sub(arrived_us);
     traffic.metrics.guard_wait.observe(waited_us as f64 / 1e6);
-    // Both may have changed while the call waited.
+    // The incarnation and the account's key may have changed while the call waited.
     match may_run(traffic, &call) {
         Ok(incarnation) => backend::run(traffic, call, incarnation, permit, progress).await,
         Err(refusal) => BackendEnd::not_sent(refusal),
     }
 }
 
-/// The incarnation that may be sent the call, unless it would crash it or is not allowed any more.
+/// Returns the incarnation to send the call to, unless the account's key was revoked or the call is
+/// suspected of crashing backend servers.
 fn may_run(traffic: &Traffic, call: &GuardedCall) -> Result<Name, Refusal> {
     check_account(traffic, call.hop.account.as_ref())?;
     let incarnation = incarnation(traffic, call)?;
@@ -256,7 +260,7 @@
     Err(not_run(RefusalReason::Poisoned))
 }
 
-/// The incarnation of the backend server that may be sent the call.
+/// Returns the incarnation of the backend server that accepts the call.
 fn incarnation(traffic: &Traffic, call: &GuardedCall) -> Result<Name, Refusal> {
     if *traffic.guard_closed.borrow() {
         return Err(not_run(RefusalReason::Draining));
@@ -313,7 +317,7 @@
         Ok(value) => {
             response.headers_mut().insert(headers::HOP_ANSWER, value);
         }
-        Err(error) => log::error!("guard: a header cannot be written, error={error}"),
+        Err(error) => log::error!("guard: hop header cannot be encoded, error={error}"),
     }
     response
 }
--- a/src/traffic/header_names.rs
+++ b/src/traffic/header_names.rs
@@ -1,39 +1,39 @@
-//! The names of the headers that a deployment's callers and backend servers speak.
+//! The names of the headers that a deployment's callers and backend servers use.
 
 use http::HeaderMap;
 use http::HeaderName;
 
 use crate::wire::ServerWords;
 
-/// Header names by what they carry. An adapter fills them in once; traffic knows only the fields.
+/// Header names by purpose. An adapter sets them once; the request path uses only these fields.
 #[derive(Clone, Debug)]
 pub struct HeaderNames {
-    /// The identifier that a caller gives to each of its attempts, echoed in answers.
+    /// The identifier that a caller gives to each of its attempts; answers repeat it.
     pub request_id: HeaderName,
-    /// How many milliseconds the sender will still wait.
+    /// How long the sender will still wait, in milliseconds.
     pub deadline_ms: HeaderName,
-    /// To backend servers: the incarnation that is meant; any other one refuses the request.
+    /// To backend servers: the expected incarnation; any other one refuses the request.
     pub expected_incarnation: HeaderName,
     /// From backend servers: the incarnation that answers.
     pub incarnation: HeaderName,
-    /// To backend servers: the service beside which the request began.
+    /// To backend servers: the service of the node where the request entered.
     pub caller_service: HeaderName,
-    /// From callers: the key of a client account. It ends at the entry.
+    /// From callers: the key of a client account. The entry removes it.
     pub account_key: HeaderName,
     /// To backend servers: the name of the account whose key the request came with.
     pub account: HeaderName,
     /// From backend servers: the request was not run.
     pub not_run: HeaderName,
-    /// From backend servers: the answer's signature, without which no success is one.
+    /// From backend servers: the answer's signature. A success without it is invalid.
     pub signature: HeaderName,
-    /// From backend servers: how many requests a second they take from all nodes together.
+    /// From backend servers: how many requests per second they accept from all nodes together.
     pub rate_limit: HeaderName,
-    /// From backend servers: they leave, and take no new requests.
+    /// From backend servers: they are leaving, and accept no new requests.
     pub leaving: HeaderName,
 }
 
 impl HeaderNames {
-    /// What a backend server says of itself in an answer.
+    /// Reads a backend server's announcements from the headers of an answer.
     pub fn read_announcements(&self, headers: &HeaderMap) -> ServerWords {
         ServerWords::of(&self.rate_limit, &self.leaving, headers)
     }
--- a/src/traffic/hop.rs
+++ b/src/traffic/hop.rs
@@ -1,4 +1,4 @@
-//! Handing a call to the guard of a target on another node.
+//! Sends a call to the guard of a target on another node.
 
 use std::sync::Arc;
 
@@ -23,18 +23,18 @@
 use crate::wire::HopCall;
 use crate::wire::headers;
 
-/// How much earlier than here the deadline comes at the guard: its own word that a call was not
-/// run says more than a time-out here, so it gets the time to arrive.
+/// How much earlier the deadline passes at the guard than here, in milliseconds. The guard knows
+/// whether the call ran and a time-out here does not, so its answer gets time to arrive.
 const GUARD_MARGIN_MS: u64 = 15;
-/// When to come back after a target was lost, in milliseconds.
+/// Retry-after when the connection to a target was lost, in milliseconds.
 const LOST_RETRY_AFTER_MS: u64 = 200;
 
-/// A call that is certainly a repeat.
+/// The repeat probability of a call that is certainly a retry, in thousandths.
 pub(super) const CERTAIN_REPEAT_PERMILLE: u16 = 1_000;
 
-/// The context of a call for the guard of its target.
+/// Builds the context of a call for the guard of its target.
 ///
-/// `is_repeat` says that a backend server may have been sent the call before.
+/// `is_repeat` means that an earlier attempt may have reached a backend server.
 pub(super) fn hop_call(
     traffic: &Traffic,
     call: &Call,
@@ -84,7 +84,10 @@
     {
         Ok(answer) => take_answer(traffic, &call.message.method, answer),
         Err(error) => {
-            log::debug!("entry: lost a peer, peer={} error={error}", target.node);
+            log::debug!(
+                "entry: call to a peer failed, peer={} error={error}",
+                target.node
+            );
             lost(&error)
         }
     }
@@ -101,7 +104,7 @@
     *request.method_mut() = message.method.clone();
     *request.uri_mut() = message.path_and_query.clone().into();
     let mut map = message.headers.clone();
-    // The hop carries what is left, and the guard writes the header anew.
+    // The hop header carries the remaining time. The guard sets this header again.
     map.remove(&traffic.settings.header_names.deadline_ms);
     let value = HeaderValue::from_str(&hop_call(traffic, call, target, is_repeat).encode()).ok()?;
     map.insert(headers::HOP, value);
@@ -114,7 +117,7 @@
         Ok(hop) => hop,
         Err(error) => {
             traffic.metrics.wrong_answers.inc();
-            log::warn!("entry: dropped a wrong answer, error={error}");
+            log::warn!("entry: answer with an invalid hop header dropped, error={error}");
             return AttemptEnd::lost(unknown(), true);
         }
     };
@@ -136,7 +139,7 @@
     }
 }
 
-/// The guard has removed what concerned its own connection; this removes what the hop added.
+/// Removes the headers added by the hop. The guard has removed those of its own connection.
 fn strip(map: &mut HeaderMap, method: &Method) {
     map.remove(headers::HOP_ANSWER);
     map.remove(http::header::CONNECTION);
@@ -145,7 +148,7 @@
     }
 }
 
-/// The end of an attempt at a target that cannot be reached any more; it may have run.
+/// The end of an attempt at a target that became unreachable. The call may have run.
 pub(super) fn lost_unreachable() -> AttemptEnd {
     AttemptEnd::lost(unknown(), true)
 }
--- a/src/traffic/in_flight.rs
+++ b/src/traffic/in_flight.rs
@@ -1,4 +1,4 @@
-//! An attempt counted as in flight at its target until it has ended, however it ends.
+//! Counts an attempt as in flight at its target until it ends, with or without an answer.
 
 use std::sync::Arc;
 
@@ -9,18 +9,18 @@
 use crate::traffic::attempt::AttemptEnd;
 use crate::traffic::traffic::Traffic;
 
-/// Counted from the choice of the target on.
+/// An attempt that is in flight from the choice of its target until this value is dropped.
 pub(super) struct InFlightAttempt {
     traffic: Arc<Traffic>,
     target: Name,
     since: TimeMs,
     outcome: AttemptNews,
-    /// The route of the call, once it ran well.
+    /// The route of the call, if it succeeded.
     ran: Option<Name>,
 }
 
 impl InFlightAttempt {
-    /// The choice has already counted the attempt at its target.
+    /// The choice of the target has already counted the attempt there.
     pub(super) fn new(traffic: Arc<Traffic>, target: Name) -> Self {
         traffic.metrics.entry_in_flight.inc();
         Self {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Notes how the attempt of a call of this route ended.
+    /// Records the outcome of the attempt.
     pub(super) fn ended(&mut self, end: &AttemptEnd, route: &Name) {
         self.outcome.report = end.guard_status.as_ref().map(|status| status.load);
         self.outcome.failing_permille = end
--- a/src/traffic/keyed_routes.rs
+++ b/src/traffic/keyed_routes.rs
@@ -1,4 +1,4 @@
-//! Which routes callers use, as far as their keys have shown it here.
+//! The routes that are known to be used by callers, because of their account keys.
 
 use std::sync::Arc;
 
@@ -7,23 +7,23 @@
 use crate::core::FastSet;
 use crate::core::Name;
 
-/// Routes remembered at most; beyond it all are forgotten and seen anew.
+/// Maximum number of routes; beyond it the set is cleared and fills again.
 const MAX_ROUTES: usize = 4_096;
 
-/// Routes on which a request with a valid key was seen at this entry. Read by every request and seldom
-/// changed.
+/// Routes on which this entry has received a request with a valid key. Read by every request and
+/// rarely changed.
 #[derive(Debug, Default)]
 pub(super) struct KeyedRoutes {
     routes: ArcSwap<FastSet<Name>>,
 }
 
 impl KeyedRoutes {
-    /// Whether a valid key was seen on the route.
+    /// Whether a request with a valid key was received on the route.
     pub(super) fn contains(&self, route: &Name) -> bool {
         self.routes.load().contains(route)
     }
 
-    /// A valid key was seen on the route.
+    /// Records a request with a valid key on the route.
     pub(super) fn record(&self, route: &Name) {
         if self.contains(route) {
             return;
--- a/src/traffic/listeners.rs
+++ b/src/traffic/listeners.rs
@@ -1,4 +1,4 @@
-//! The listeners of a node, and what serves them.
+//! The listeners of a node and their request handlers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,9 +20,10 @@
 use crate::traffic::traffic::SILENCE_MS;
 use crate::traffic::traffic::Traffic;
 
-/// How long a connection between nodes may stay unused: longer than the sender keeps it.
+/// Idle time-out of a connection between nodes, in milliseconds: longer than the sender's, so the
+/// sender closes it first.
 const PEER_IDLE_MS: u64 = 30_000;
-/// The longest head of a call between nodes: a caller's own, and the context beside it.
+/// Maximum size of the headers of a call between nodes: the caller's headers and the hop context.
 const PEER_HEAD_BYTES: usize = 128 * 1024;
 
 /// The open listeners of a node.
@@ -35,10 +36,10 @@
 }
 
 impl Listeners {
-    /// Opens all of them.
+    /// Opens all listeners.
     ///
     /// # Errors
-    /// When an address cannot be bound, except that of the metrics.
+    /// Fails if an address cannot be bound, except that of the metrics.
     pub(super) async fn open(settings: &TrafficSettings) -> Result<Self, TrafficError> {
         Ok(Self {
             callers: open("callers", settings.caller_address).await?,
@@ -58,18 +59,18 @@
     })
 }
 
-/// A node without this listener serves all the same.
+/// Opens the metrics listener. The node also serves without it.
 async fn open_metrics(address: Option<SocketAddr>) -> Option<TcpListener> {
     match open("metrics", address?).await {
         Ok(listener) => Some(listener),
         Err(error) => {
-            log::warn!("node: metrics are served on the readiness listener only, error={error}");
+            log::warn!("node: metrics only available on the readiness listener, error={error}");
             None
         }
     }
 }
 
-/// The address with the real port when any was asked for.
+/// The bound address; it has the actual port if port 0 was requested.
 pub(super) fn local_address(listener: &TcpListener, requested: SocketAddr) -> SocketAddr {
     listener.local_addr().unwrap_or(requested)
 }
@@ -113,7 +114,7 @@
         most_head_bytes: 0,
         silence_ms: SILENCE_MS,
     };
-    // These go on during a stop: whoever asks must get an answer.
+    // These listeners stay open during a stop, so readiness checks are still answered.
     let (_never, stopping) = watch::channel(false);
     let handler =
         move |request: Request<Incoming>, _| serve_admin(traffic.clone(), admin.clone(), request);
--- a/src/traffic/local_server.rs
+++ b/src/traffic/local_server.rs
@@ -1,6 +1,6 @@
-//! Which incarnation of the backend server stands beside this node, and whether it takes work.
+//! Tracks the incarnation of the local backend server, and whether it accepts work.
 //!
-//! Pure: reports and what is met on connections go in, with a time.
+//! No I/O: reports and the outcomes of connections are passed in, each with its time.
 
 use crate::admission::NamedRate;
 use crate::admission::RateChange;
@@ -15,16 +15,16 @@
 use crate::traffic::gone_servers::is_later;
 use crate::wire::ServerWord;
 
-/// A report with a sequence up to this is among an incarnation's first: it has just started.
+/// A report with a sequence number up to this comes from an incarnation that has just started.
 const FIRST_SEQUENCES: u64 = 2;
-/// The present incarnation counts as silent after so many heartbeat periods, in percent: one was
-/// missed, and the next one is late.
+/// The current incarnation counts as silent after this percentage of the heartbeat period: one
+/// heartbeat was missed, and the next one is late.
 const SILENT_PERCENT: u64 = 160;
 
 /// Thousandths in a whole.
 const MILLI: f64 = 1_000.0;
 
-/// The incarnation that stands at the backend server's address.
+/// The incarnation that serves at the backend server's address.
 #[derive(Clone, Debug, PartialEq)]
 struct CurrentServer {
     incarnation: Name,
@@ -32,28 +32,31 @@
     service: Name,
     slots: u32,
     sequence: u64,
-    /// It drains or has said that it leaves; that is never taken back.
+    /// It is draining or has announced its departure. Never reset within an incarnation.
     is_leaving: bool,
-    /// It takes no connections: it crashed, or has not opened its port yet.
+    /// It refuses connections: it crashed, or has not opened its port yet.
     is_down: bool,
     heard_at: TimeMs,
     rate: NamedRate,
 }
 
-/// Whether a report brought news.
+/// Whether an input changed what is known of the local backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LocalChange {
     Changed,
     NoChange,
 }
 
-/// The backend server beside this node, as far as is known.
+/// What is known of the local backend server.
 ///
-/// Guards against reports that arrive late: one of an incarnation that has ended, or one from
-/// before a departure, would have requests sent to what is no longer there, or after it asked for
-/// none. It holds because a departure is never taken back within an incarnation, what is gone is
-/// remembered, and an unknown incarnation replaces one that still reports only with one of its
-/// first reports. Requests name the incarnation that is meant, so a wrong belief runs nothing.
+/// Reports can arrive late. A late report of an incarnation that has ended, or from before a
+/// departure, must not cause requests to be sent to that incarnation. Three rules prevent it:
+/// - A departure holds for the rest of an incarnation.
+/// - Incarnations that have ended are remembered.
+/// - While the current incarnation still reports, an unknown one replaces it only with one of its
+///   first reports.
+///
+/// Requests name the expected incarnation, so a wrong assumption here runs no request.
 #[derive(Clone, Debug)]
 pub struct LocalServer {
     heartbeat_ms: u64,
@@ -62,7 +65,7 @@
 }
 
 impl LocalServer {
-    /// Nothing is known yet, so nothing is sent.
+    /// Nothing is known yet, so no request is sent.
     pub fn new(heartbeat_ms: u64) -> Self {
         Self {
             heartbeat_ms,
@@ -71,18 +74,18 @@
         }
     }
 
-    /// Changes how often reports are expected.
+    /// Changes the period at which reports are expected.
     pub fn set_heartbeat_ms(&mut self, heartbeat_ms: u64) {
         self.heartbeat_ms = heartbeat_ms;
     }
 
-    /// An incarnation is known to have said that it leaves, from before this process started.
+    /// Records an incarnation that announced its departure before this process started.
     pub fn mark_gone(&mut self, incarnation: &Name, started_unix_ms: Option<u64>) {
         self.gone.record(incarnation, started_unix_ms);
     }
 
-    /// Takes over what is known from before this process started, once the backend server has said
-    /// itself that it still is that incarnation. Reports go before it.
+    /// Restores what was known before this process started, once the backend server has confirmed
+    /// that it still is that incarnation. Has no effect after a first report.
     pub fn restore(&mut self, now: TimeMs, known: &KnownServer) -> LocalChange {
         if self.current.is_some() || self.gone.contains(&known.incarnation) {
             return LocalChange::NoChange;
@@ -101,7 +104,7 @@
         LocalChange::Changed
     }
 
-    /// What to keep over a restart of this process: the incarnation that takes work.
+    /// What to store for a restart of this process: the incarnation, unless it is leaving.
     pub fn known(&self) -> Option<KnownServer> {
         let current = self.current.as_ref()?;
         (!current.is_leaving).then(|| KnownServer {
@@ -112,7 +115,7 @@
         })
     }
 
-    /// Takes in a report.
+    /// Applies a report.
     pub fn apply_report(&mut self, now: TimeMs, report: &ServerReport) -> LocalChange {
         let is_current = |current: &CurrentServer| current.incarnation == report.incarnation;
         if self.current.as_ref().is_some_and(is_current) {
@@ -129,11 +132,12 @@
         LocalChange::Changed
     }
 
-    /// Takes in a report under the identifier of the present incarnation.
+    /// Applies a report that bears the identifier of the current incarnation.
     ///
-    /// Guards against a backend server that crashes and comes back under the same identifier: its
-    /// sequence starts anew, so all its reports looked late, and it got no more work. It holds because
-    /// such a start is told by its time, or, without one, by first reports of one that was down.
+    /// A backend server may crash and restart under the same identifier. Its sequence numbers then
+    /// start again, so without this check all its reports would count as late, and it would get no
+    /// work. Such a restart is detected by a later start time. Without start times it is detected
+    /// by one of its first reports after the server was down.
     fn apply_current_report(&mut self, now: TimeMs, report: &ServerReport) -> LocalChange {
         let silent_ms = self.silent_ms();
         let Some(current) = self.current.as_mut() else {
@@ -142,7 +146,7 @@
         let is_silent = current.is_down || now.since(current.heard_at) > silent_ms;
         let is_ready = report.state == ReportedState::Ready;
         let starts_anew = match (report.started_unix_ms, current.started_unix_ms) {
-            // The clock of the machine may have been set back meanwhile.
+            // The machine's clock may have been set back in between.
             (Some(theirs), Some(ours)) if theirs < ours => is_silent && is_ready,
             (Some(theirs), Some(ours)) => theirs > ours,
             _ => {
@@ -183,7 +187,7 @@
         }
     }
 
-    /// After this time without a report the present incarnation counts as silent.
+    /// After this time without a report the current incarnation counts as silent.
     fn silent_ms(&self) -> u64 {
         self.heartbeat_ms * SILENT_PERCENT / 100
     }
@@ -219,7 +223,8 @@
         });
     }
 
-    /// The backend server itself said which incarnation it is, when another one was meant.
+    /// Replaces the incarnation after the backend server refused a request that expected another
+    /// one, and named its own.
     pub fn correct_incarnation(
         &mut self,
         now: TimeMs,
@@ -242,7 +247,7 @@
         LocalChange::Changed
     }
 
-    /// The backend server took no connection: it is down until it reports again.
+    /// Records that the backend server refused a connection: it is down until its next report.
     pub fn mark_down(&mut self, incarnation: &Name) -> LocalChange {
         let current = self.current.as_mut();
         match current.filter(|current| current.incarnation == *incarnation && !current.is_down) {
@@ -254,7 +259,7 @@
         }
     }
 
-    /// Takes in what an answer of an incarnation, to a request sent at `sent_at`, says of the rate.
+    /// Applies the rate limit of an answer to a request that was sent at `sent_at`.
     pub fn apply_rate(
         &mut self,
         now: TimeMs,
@@ -269,7 +274,7 @@
         }
     }
 
-    /// Takes in what a peer was told of a backend server, perhaps before this process started.
+    /// Applies an announcement relayed by a peer. It may be from before this process started.
     pub fn apply_announcement(&mut self, now: TimeMs, announcement: &ServerWord) -> LocalChange {
         let current = self.current.as_ref();
         let current = current.filter(|current| current.incarnation == announcement.incarnation);
@@ -302,7 +307,7 @@
         }
     }
 
-    /// What the incarnation that stands there has said of itself, if it binds whoever sends it requests.
+    /// The departure and rate limit that the current incarnation has announced, if any.
     pub fn announcement(&self) -> Option<ServerWord> {
         let current = self.current.as_ref()?;
         let rate_milli = current.rate.per_s().map(|per_s| (per_s * MILLI) as u64);
@@ -314,19 +319,19 @@
         })
     }
 
-    /// How many requests a second it says it takes, if it says so.
+    /// The rate limit that it has announced, in requests per second.
     pub fn rate_per_s(&self) -> Option<f64> {
         self.current.as_ref()?.rate.per_s()
     }
 
-    /// The incarnation to which requests for `service` may be sent.
+    /// The incarnation that accepts requests for `service`.
     pub fn accepting_incarnation(&self, service: &str) -> Option<&Name> {
         let current = self.current.as_ref()?;
         let may = !current.is_leaving && !current.is_down && &*current.service == service;
         may.then_some(&current.incarnation)
     }
 
-    /// What other nodes are told.
+    /// The state that is announced to other nodes.
     pub fn state(&self) -> TargetState {
         match &self.current {
             None => TargetState::Starting,
@@ -336,32 +341,32 @@
         }
     }
 
-    /// Which incarnation stands there, whatever its state.
+    /// The current incarnation, in any state.
     pub fn incarnation(&self) -> Option<&Name> {
         self.current.as_ref().map(|current| &current.incarnation)
     }
 
-    /// When the incarnation that stands there started, if it has said so.
+    /// When the current incarnation started, if it has reported it.
     pub fn started_unix_ms(&self) -> Option<u64> {
         self.current.as_ref()?.started_unix_ms
     }
 
-    /// Whether it takes no connections.
+    /// Whether it refuses connections.
     pub fn is_down(&self) -> bool {
         self.current.as_ref().is_some_and(|current| current.is_down)
     }
 
-    /// The service that it says it belongs to.
+    /// The service that it has reported.
     pub fn service(&self) -> Option<&Name> {
         self.current.as_ref().map(|current| &current.service)
     }
 
-    /// How many requests it says it runs at once; 0 while unknown.
+    /// How many requests it can run at once, as reported; 0 while unknown.
     pub fn slots(&self) -> u32 {
         self.current.as_ref().map_or(0, |current| current.slots)
     }
 
-    /// The incarnation, if it has said that it leaves.
+    /// The current incarnation, if it is leaving.
     pub fn leaving(&self) -> Option<&Name> {
         let current = self.current.as_ref()?;
         current.is_leaving.then_some(&current.incarnation)
--- a/src/traffic/maintenance.rs
+++ b/src/traffic/maintenance.rs
@@ -1,17 +1,17 @@
-//! What a node does now and then, whatever requests come.
+//! Periodic tasks of a node.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use crate::traffic::traffic::Traffic;
 
-/// How often admission looks at the time while calls wait.
+/// How often the admission gate is polled while calls wait.
 const BUSY_GATE_POLL: Duration = Duration::from_millis(20);
-/// The same while none waits.
+/// How often the admission gate is polled while no call waits.
 const IDLE_GATE_POLL: Duration = Duration::from_millis(100);
-/// From this pressure on a service that the backend server calls counts as the bottleneck.
+/// From this pressure on, a service that the backend server calls counts as the bottleneck.
 const DEEP_PRESSED_PERMILLE: u32 = 900;
-/// How often admission of roots is logged while some are refused.
+/// How often root admission is logged while requests are refused.
 const ADMISSION_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 fn note_deep_pressure(traffic: &Traffic) {
@@ -24,8 +24,8 @@
         .set_deep_pressed(deepest >= DEEP_PRESSED_PERMILLE);
 }
 
-/// What entries believe of pressure is said once a second while it has requests refused, and what
-/// waits at the guard while anything does.
+/// Logs once a second the overloaded services for which requests are refused, and the queue of the
+/// guard while calls wait.
 pub(super) async fn log_admission(traffic: Arc<Traffic>) {
     loop {
         tokio::time::sleep(ADMISSION_LOG_INTERVAL).await;
@@ -43,8 +43,8 @@
     }
 }
 
-/// Waiting calls give up in time also when nothing else happens at the guard, and a changed desired state bounds
-/// what runs there.
+/// Polls the admission gate, so waiting calls time out even without other events at the guard, and
+/// applies the limits of a changed desired state.
 pub(super) async fn poll_gate(traffic: Arc<Traffic>) {
     loop {
         traffic.apply_desired_limits();
--- a/src/traffic/mod.rs
+++ b/src/traffic/mod.rs
@@ -1,11 +1,11 @@
-//! The way of a request on a deployment whose operator keeps the desired state in a store: entry,
-//! the hop between nodes, and the guard beside the backend server.
+//! The request path on a deployment whose operator keeps the desired state in a store: the entry,
+//! the hop between nodes, and the guard of the backend server.
 //!
-//! Callers and the local backend server send to the entry ([`entry`]). It finds the route, chooses
-//! a target ([`forward`]) and hands the call to that target's guard, over the network ([`hop`]) or
-//! directly. The guard ([`guard`]) waits for admission and runs the call at the local backend
-//! server ([`backend`]). Decisions are those of `admission`, `routing`, `retry` and `membership`.
-//! See [docs/PLATFORM.md](../../docs/PLATFORM.md).
+//! Callers and the local backend server send requests to the entry ([`entry`]). It finds the route,
+//! chooses a target ([`forward`]) and sends the call to that target's guard, over the network
+//! ([`hop`]) or directly. The guard ([`guard`]) waits for admission and runs the call at the local
+//! backend server ([`backend`]). The decisions are made by `admission`, `routing`, `retry` and
+//! `membership`. See [docs/PLATFORM.md](../../docs/PLATFORM.md).
 
 mod account_check;
 mod admin;
--- a/src/traffic/passed_headers.rs
+++ b/src/traffic/passed_headers.rs
@@ -1,4 +1,4 @@
-//! Which headers of a request or an answer are passed on.
+//! Selects the headers of a request or an answer that are forwarded.
 
 use http::HeaderMap;
 use http::Method;
@@ -6,8 +6,8 @@
 
 use crate::node::caller_headers;
 
-/// Removes what concerns one connection or belongs to the product. The host stays: it is part of
-/// what the caller asked for.
+/// Removes headers that concern one connection, or that nodes use among themselves. The host stays:
+/// it is part of the caller's request.
 pub(super) fn strip_request(map: &mut HeaderMap) {
     let host = map.get(HOST).cloned();
     caller_headers::strip(map);
@@ -16,7 +16,7 @@
     }
 }
 
-/// The same for an answer to a request with this method.
+/// Removes the same headers from an answer to a request with this method.
 pub(super) fn strip_answer(map: &mut HeaderMap, method: &Method) {
     caller_headers::strip_answer(map, method);
 }
--- a/src/traffic/peer_discovery.rs
+++ b/src/traffic/peer_discovery.rs
@@ -1,4 +1,4 @@
-//! How a node that has just started finds others.
+//! Discovery of other nodes after a start.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,36 +18,37 @@
 use crate::store::part_name;
 use crate::traffic::roster_row::RosterRow;
 
-/// How many rows are read at once. Each names a node to ask for all others, so a handful does; the rest
-/// is for nodes that are gone.
+/// The number of rows per read. Each names a node that can be asked for all others, so a few would
+/// suffice; the rest allows for nodes that no longer run.
 const SAMPLE_ROWS: usize = 16;
-/// With fewer rows than this up to the end of a part, the next part is read as well.
+/// If fewer rows than this are left in a part, the next part is read as well.
 const MIN_ROWS: usize = 8;
-/// Parts read for one sample at most.
+/// Maximum number of parts read for one sample.
 const MAX_READS: usize = 4;
-/// After these pauses in milliseconds the nodes found are asked who is there: at once, and again, for
-/// nodes that start together know few when they are asked first. From then on gossip tells of others.
+/// Delays before the nodes found are asked for the nodes that they know, in milliseconds. They are
+/// asked twice, because nodes that start together know few others at first. Later, gossip suffices.
 const ASK_DELAYS_MS: [u64; 2] = [0, 600];
-/// Nodes that start together begin to read within this time for each part of the table, in milliseconds:
-/// whom others have found by then need not read, and a store of many parts is one for many nodes.
+/// Nodes that start together spread their first read over this time for each part of the table, in
+/// milliseconds. A node that others have found by then does not read at all. The time grows with
+/// the parts, because a store with many parts serves many nodes.
 const READ_SPREAD_MS: u64 = 200;
-/// In this time after a first start rows are written, and those who have read them have asked, in
-/// milliseconds.
+/// After a first start, all rows are written within this time, and their readers have asked the
+/// nodes found, in milliseconds.
 const FIRST_WRITES_MS: u64 = 5_000;
-/// A node that knows so many others, itself included, has been found.
+/// A node that knows this many nodes, itself included, has been found by others.
 const FOUND_NODES: usize = 12;
-/// So long after their reading a few nodes of each failure domain read once more, in milliseconds.
+/// Delay until a few nodes of each failure domain read a second sample, in milliseconds.
 const SECOND_READ_DELAY_MS: u64 = 3_000;
 
-/// Reads rows of other nodes, a sample at a time.
+/// Reads the rows of other nodes, a sample at a time.
 ///
-/// Guards against rows read in the square of the nodes, and against a read of every node at a start of
-/// all: a node reads a sample, and not even that if others have read its row and told it of the rest
-/// before its turn. A sample of rows whose nodes are all gone is followed by the next one, until another
-/// node answers.
+/// If every node read all rows, the number of rows read at a start of the whole system would grow
+/// with the square of the number of nodes. So a node reads a sample, and not even that if others
+/// have read its row and announced the other nodes to it before its turn. If all nodes of a sample
+/// are gone, the next sample is read, until another node answers.
 ///
-/// Guards against a fleet that starts in two parts which never hear of each other. It holds because of
-/// each part the first ones of every failure domain read another sample a little later.
+/// A fleet could also start as two groups of nodes that never learn of each other. To join them,
+/// the first nodes of every failure domain in each group read a second sample a little later.
 pub(super) struct PeerDiscovery {
     pub(super) store: Arc<dyn Store>,
     pub(super) control: Arc<ControlHandle>,
@@ -55,18 +56,20 @@
     pub(super) rates: StoreRates,
     pub(super) node: Name,
     pub(super) domain: Name,
-    /// Its own row, behind which the first sample begins.
+    /// The key of this node's own row; the first sample starts after it.
     pub(super) own_key: Name,
-    /// The whole system starts for the first time, so all nodes write their rows about now.
+    /// The whole system starts for the first time, so all nodes write their rows at about this
+    /// time.
     pub(super) is_first_start: bool,
 }
 
-/// After how long nodes that start together for the first time have found each other, in milliseconds.
+/// How long nodes that start together for the first time take to discover each other, in
+/// milliseconds.
 pub(super) fn discovery_time_ms(rates: StoreRates) -> u64 {
     FIRST_WRITES_MS + READ_SPREAD_MS * rates.parts()
 }
 
-/// Where the next sample begins.
+/// Where the next sample starts.
 struct Cursor {
     part: u64,
     from: Name,
@@ -90,8 +93,8 @@
         if self.is_first_start {
             self.read_second_sample(&mut cursor).await;
         }
-        // A node that knows nobody after that has started during an outage, or read of nodes that are
-        // gone: it asks on.
+        // A node that still knows no other node has started during an outage, or has read only rows
+        // of nodes that are gone. It keeps reading samples.
         let mut pause = WatchPause::default();
         while self.control.view.load().nodes.len() < 2 {
             sleep(Duration::from_millis(pause.after_failure(fastrand::f64()))).await;
@@ -100,8 +103,8 @@
         }
     }
 
-    /// Behind the own row. Where all start together, in any part: rows are few yet, and nodes of all
-    /// parts have to hear of each other.
+    /// Starts after this node's own row, or, on a first start, in a random part: there are few rows
+    /// yet, and nodes of all parts have to learn of each other.
     fn start_cursor(&self) -> Cursor {
         if self.is_first_start && self.rates.parts() > 1 {
             return Cursor {
@@ -136,28 +139,29 @@
         }
     }
 
-    /// The addresses in the next sample; none when it cannot be read.
+    /// The addresses in the next sample; empty if it cannot be read.
     async fn next_sample(&self, cursor: &mut Cursor) -> Vec<SocketAddr> {
         let rows = match self.read(cursor).await {
             Ok(rows) => rows,
             Err(error) => {
-                log::debug!("roster: rows cannot be read, error={error}");
+                log::debug!("roster: rows of other nodes cannot be read, error={error}");
                 return Vec::new();
             }
         };
         let others = rows.iter().filter(|row| row.name.key != self.own_key);
         let mut rows: Vec<RosterRow> = others.filter_map(RosterRow::decode).collect();
-        // Those of the own failure domain first: they are asked first, and what they know stays in it.
+        // Nodes of this failure domain first: they are asked first, and their answers stay within
+        // the domain.
         rows.sort_by_key(|row| row.domain.as_ref() != Some(&self.domain));
         rows.into_iter()
             .filter_map(|row| row.control_address)
             .collect()
     }
 
-    /// The rows from the cursor on, and those of the next parts where the end of a part is near.
+    /// Reads the rows from the cursor on, and those of the next parts near the end of a part.
     async fn read(&self, cursor: &mut Cursor) -> Result<Vec<StoredRow>, StoreError> {
         let mut rows = Vec::new();
-        // With one part, its end and then its beginning.
+        // With a single part, the second read continues at its start.
         let reads = MAX_READS.min(self.rates.parts() as usize + 1);
         for _ in 0..reads {
             let part = part_name(cursor.part);
--- a/src/traffic/poison_watch.rs
+++ b/src/traffic/poison_watch.rs
@@ -1,5 +1,5 @@
-//! Requests that crash the local backend server, and what other guards say of theirs
-//! ([docs/POISON.md](../../docs/POISON.md)).
+//! Tracks requests that crash the local backend server, and exchanges crash reports with other
+//! guards ([docs/POISON.md](../../docs/POISON.md)).
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -25,9 +25,9 @@
 use crate::traffic::call::Message;
 use crate::traffic::traffic::Traffic;
 
-/// So many crashes refuse a content. One more than at the product's own interface: there a report is
-/// out before any answer, here it waits until it is certain that there was a crash, and a call whose
-/// target crashed is sent to a second one meanwhile.
+/// After this number of crashes, requests with the same content are refused. One more than at the
+/// nodes' own interface: there a crash report is sent before any answer. Here it is sent only once
+/// the crash is certain, and until then the call is retried at a second target.
 const CRASHES_TO_REFUSE: usize = 3;
 
 #[derive(Debug)]
@@ -36,7 +36,7 @@
     broken: BrokenCalls,
 }
 
-/// Shared by the traffic of a guard and its control calls.
+/// Shared by the guard's request path and its control calls.
 #[derive(Debug)]
 pub(super) struct PoisonWatch {
     clock: Clock,
@@ -45,7 +45,7 @@
 }
 
 impl PoisonWatch {
-    /// Nobody is suspected. Reports for other guards go to `reports`.
+    /// Starts without suspects. Reports for other guards are sent to `reports`.
     pub(super) fn new(clock: Clock, reports: Sender<CrashReport>) -> Self {
         let settings = PoisonSettings {
             crashes: CRASHES_TO_REFUSE,
@@ -70,7 +70,7 @@
         state.suspects.verdict(now, request, fingerprint, false) == Verdict::Allowed
     }
 
-    /// A call came to its end.
+    /// Records a call that succeeded.
     pub(super) fn record_success(&self, call: &Running) {
         let mut state = self.lock();
         if !state.suspects.is_empty() && state.suspects.note_success(call.fingerprint) {
@@ -78,14 +78,14 @@
         }
     }
 
-    /// The connection of a call to the backend server broke.
+    /// Records a call whose connection to the backend server broke.
     pub(super) fn record_broken(&self, call: Running) {
         let now = self.clock.now();
         self.lock().broken.note(now, call);
     }
 
-    /// The backend server has ended, one way or another: calls that broke just before were running
-    /// when it did.
+    /// Records the end of the backend server, for any reason: calls that broke just before were
+    /// running at that time.
     pub(super) fn record_backend_exit(&self) {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -99,11 +99,11 @@
         );
         let report = state.suspects.note_crash(now, CrashId::random(), &running);
         if self.reports.try_send(report).is_err() {
-            log::warn!("poison: a report was dropped, too many wait");
+            log::warn!("poison: crash report dropped because the queue is full");
         }
     }
 
-    /// Takes in another guard's report.
+    /// Applies another guard's report.
     pub(super) fn merge(&self, report: &CrashReport) {
         let now = self.clock.now();
         self.lock().suspects.merge(now, report);
@@ -114,8 +114,10 @@
     }
 }
 
-/// The call as a suspect, should the backend server crash. Whoever sends a poisoned request again
-/// gives it another identifier, so its content tells: where it comes from, method, path and body.
+/// Identifies a call as a suspect in case the backend server crashes.
+///
+/// A caller that retries a poisoned request uses another identifier. So the fingerprint covers the
+/// content: calling service, method, path and body.
 pub(super) fn as_suspect(message: &Message, caller_service: &str, id: &str) -> Running {
     let path = message.path_and_query.as_str();
     let method = message.method.as_str();
@@ -125,7 +127,7 @@
     }
 }
 
-/// Passes reports on to the other targets of the local service.
+/// Sends crash reports to the other targets of the local service.
 pub(super) async fn forward_reports(
     mut reports: Receiver<CrashReport>,
     traffic: Arc<Traffic>,
@@ -152,7 +154,7 @@
         async {
             if let Err(error) = deliveries.await {
                 log::warn!(
-                    "poison: a report was not taken in, peer={} error={error}",
+                    "poison: crash report not delivered, peer={} error={error}",
                     target.node
                 );
             }
@@ -161,13 +163,13 @@
     join_all(deliveries).await;
 }
 
-/// The service that a report is about is the local one, or its sender is mistaken.
+/// Applies a peer's report. A report on another service than the local one is dropped.
 pub(super) fn apply_peer_report(watch: &PoisonWatch, local_service: &str, notice: &SuspectsNews) {
     if &*notice.service == local_service {
         watch.merge(&notice.report);
     } else {
         log::warn!(
-            "poison: a report for another service, service={}",
+            "poison: crash report for another service dropped, service={}",
             notice.service
         );
     }
--- a/src/traffic/process.rs
+++ b/src/traffic/process.rs
@@ -1,4 +1,4 @@
-//! A whole node: listeners, control thread and store joined.
+//! A whole node: connects listeners, control thread and store.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -51,18 +51,21 @@
 use crate::traffic::traffic::Traffic;
 use crate::traffic::version_fetch::VersionFetch;
 
-/// News of versions that wait; more are dropped, since gossip repeats them.
+/// Queue length for announcements of versions; more are dropped, since gossip repeats them.
 const VERSION_QUEUE_LENGTH: usize = 64;
-/// Reports of crashes that wait to be passed on; a backend server does not crash more often.
+/// Queue length for crash reports to other guards; a backend server does not crash more often.
 const CRASH_QUEUE_LENGTH: usize = 16;
-/// What others tell of allowances and waits; more is dropped, for counts are told again.
+/// Queue length for allowance messages of other nodes; more are dropped, since counts are sent
+/// again.
 const ALLOWANCE_QUEUE_LENGTH: usize = 1_024;
-/// News of routes that wait to be told; more are dropped, since others find them out as well.
+/// Queue length for route origins to announce; more are dropped, since other nodes detect them as
+/// well.
 const ROUTE_QUEUE_LENGTH: usize = 256;
-/// Classes of priority: calls of backend servers, and callers' requests by rank.
+/// The number of priority classes: one for calls of backend servers, the rest for callers' requests
+/// by rank.
 const CLASSES: usize = 16;
 
-/// What a node needs from outside.
+/// The dependencies of a node.
 pub struct TrafficInputs {
     pub settings: TrafficSettings,
     pub store: Arc<dyn Store>,
@@ -71,7 +74,7 @@
     pub clock: Clock,
 }
 
-/// A node that serves. Dropping it closes its listeners and ends its control thread, as a crash would.
+/// A running node. Dropping it closes its listeners and ends its control thread, as a crash would.
 pub struct TrafficProcess {
     pub(super) traffic: Arc<Traffic>,
     pub(super) control: Arc<ControlHandle>,
@@ -86,7 +89,7 @@
     /// Opens the listeners, starts the control thread and serves.
     ///
     /// # Errors
-    /// When an address cannot be bound or the control thread cannot be started.
+    /// Fails if an address cannot be bound or the control thread cannot be started.
     pub async fn start(inputs: TrafficInputs) -> Result<Self, TrafficError> {
         let settings = inputs.settings.clone();
         let listeners = Listeners::open(&settings).await?;
@@ -213,7 +216,7 @@
         }
     }
 
-    /// The version of the desired state in force here; 0 while there is none.
+    /// The version of the desired state in force; 0 while there is none.
     pub fn desired_version(&self) -> u64 {
         self.traffic.desired.version()
     }
@@ -224,12 +227,12 @@
         self.traffic.clock.now().since(confirmed)
     }
 
-    /// How many targets of a service take work, as far as is known here.
+    /// How many known targets of a service accept work.
     pub fn targets_of(&self, service: &str) -> usize {
         self.slots_of(service).len()
     }
 
-    /// How many calls each target of a service that takes work can run at once, as far as is known here.
+    /// How many calls each known target of a service that accepts work can run at once.
     pub fn slots_of(&self, service: &str) -> Vec<u32> {
         let view = self.traffic.view.load();
         let targets = view.targets(service).iter();
@@ -238,10 +241,10 @@
     }
 }
 
-/// Guards against a node that is gone and still gossips: its own tasks on the control thread hold the
-/// handle that would end the thread. It shows as a node that never counts as dead, and as one whose
-/// successor under the same name loses its state to it again and again. It holds because the thread
-/// ends here, whoever still holds the handle.
+/// Ends the control thread explicitly. The node's own tasks on that thread hold its handle, so
+/// dropping the handle would not end it, and the node would continue to gossip. Other nodes would
+/// then never detect it as dead, and its successor under the same name would repeatedly lose its
+/// state to it.
 impl Drop for TrafficProcess {
     fn drop(&mut self) {
         self.control.shutdown();
--- a/src/traffic/reload.rs
+++ b/src/traffic/reload.rs
@@ -1,4 +1,4 @@
-//! Settings that change while the node serves.
+//! Reloads the settings of a running node.
 
 use std::sync::Arc;
 
@@ -6,18 +6,18 @@
 use crate::traffic::TrafficSettings;
 use crate::traffic::traffic::Traffic;
 
-/// What became of changed settings.
+/// The effect of a reload.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Reloaded {
-    /// Fields that hold from now on.
+    /// Changed fields that have taken effect.
     pub in_force: Vec<&'static str>,
-    /// Fields that hold from the next start on.
+    /// Changed fields that take effect at the next start.
     pub at_next_start: Vec<&'static str>,
 }
 
 impl TrafficProcess {
-    /// Takes over what can change while the node serves, and tells what cannot. Requests in
-    /// progress are not touched.
+    /// Applies the settings that can change while the node runs, and reports the others. Requests
+    /// in progress are not affected.
     pub fn reload(&self, settings: &TrafficSettings) -> Reloaded {
         let reloaded = Reloaded {
             in_force: changed_live(&self.traffic, settings),
@@ -60,7 +60,8 @@
     )
 }
 
-/// Others know the node by these, and listeners are open at these addresses.
+/// Other nodes know the node by these settings, and its listeners are bound to these addresses, so
+/// they cannot change while it runs.
 fn changed_identity(before: &TrafficSettings, after: &TrafficSettings) -> Vec<&'static str> {
     changed!(
         before,
--- a/src/traffic/request_log.rs
+++ b/src/traffic/request_log.rs
@@ -1,7 +1,7 @@
-//! The lines of the log that tell how a request ended, and why.
+//! Logs how requests ended, and why.
 //!
-//! Failures are told up to a rate, successes for one request in some ([`crate::logging::is_sampled`]),
-//! the same ones at entry and guard.
+//! Failures are logged up to a rate limit. Of successes, a sample is logged
+//! ([`crate::logging::is_sampled`]), the same requests at entry and guard.
 
 use http::HeaderValue;
 use http::StatusCode;
@@ -20,7 +20,7 @@
 use crate::traffic::traffic::Traffic;
 use crate::wire::CallAccount;
 
-/// Writes a line at the level of a failure or a success; `None` where it is not to be written.
+/// Logs a sampled request, or one that failed. Other requests are not logged.
 macro_rules! log_outcome {
     ($is_sampled:expr, $has_failed:expr, $($message:tt)+) => {
         match ($is_sampled, $has_failed) {
@@ -31,7 +31,7 @@
     };
 }
 
-/// What is known of a request at its entry.
+/// The details of a request at its entry.
 #[derive(Clone, Debug)]
 pub(super) struct EntryLog {
     id: Option<HeaderValue>,
@@ -44,7 +44,7 @@
 }
 
 impl EntryLog {
-    /// A request has arrived.
+    /// Starts the log of a request that has arrived.
     pub(super) fn new(traffic: &Traffic, id: Option<HeaderValue>) -> Self {
         Self {
             is_sampled: is_sampled(text_of(id.as_ref())),
@@ -57,22 +57,22 @@
         }
     }
 
-    /// The identifier that the caller gave it.
+    /// The identifier that the caller gave the request.
     pub(super) fn id(&self) -> Option<HeaderValue> {
         self.id.clone()
     }
 
-    /// The name of its route, once it was taken in.
+    /// The name of its route, once the request is classified.
     pub(super) fn route(&self) -> Option<&Name> {
         self.route.as_ref()
     }
 
-    /// When it arrived, in microseconds.
+    /// When the request arrived, in microseconds.
     pub(super) fn started_us(&self) -> u64 {
         self.started_us
     }
 
-    /// It was taken in and classified.
+    /// Adds the details of the classified request.
     pub(super) fn classified(&mut self, call: &Call) {
         self.route = Some(call.route.clone());
         self.service = Some(call.service.clone());
@@ -80,7 +80,7 @@
         self.deadline = Some(call.deadline);
     }
 
-    /// It was answered by a backend server.
+    /// Logs the answer of a backend server.
     pub(super) fn answered(&self, traffic: &Traffic, status: StatusCode, progress: &Progress) {
         let has_failed = status.is_server_error();
         if !self.is_sampled && !has_failed {
@@ -104,7 +104,7 @@
         );
     }
 
-    /// It was given up or turned away.
+    /// Logs a refusal.
     pub(super) fn refused(&self, traffic: &Traffic, refusal: &Refusal, progress: &Progress) {
         let trace = progress.trace();
         let left_ms = self
@@ -130,7 +130,7 @@
         );
     }
 
-    /// It cannot be served, now or later.
+    /// Logs a request that cannot be served, now or later.
     pub(super) fn rejected(&self, traffic: &Traffic, status: StatusCode) {
         log_outcome!(
             self.is_sampled,
@@ -143,7 +143,8 @@
         );
     }
 
-    /// Which service is pressed behind its route, how hard, and the part of requests let in there.
+    /// The overloaded service downstream of the route, its pressure, and the share of requests
+    /// admitted.
     fn pressure(&self, traffic: &Traffic) -> String {
         let (Some(service), Some(route)) = (&self.service, &self.route) else {
             return String::new();
@@ -162,7 +163,7 @@
     }
 }
 
-/// What is known of a call at its guard.
+/// The details of a call at its guard.
 #[derive(Clone, Debug)]
 pub(super) struct GuardLog {
     id: Option<HeaderValue>,
@@ -173,7 +174,7 @@
 }
 
 impl GuardLog {
-    /// A call has arrived.
+    /// Starts the log of a call that has arrived.
     pub(super) fn new(traffic: &Traffic, call: &GuardedCall) -> Self {
         let names = &traffic.settings.header_names;
         let id = call.message.headers.get(&names.request_id).cloned();
@@ -186,7 +187,7 @@
         }
     }
 
-    /// It came to its end here.
+    /// Logs the outcome of the call.
     pub(super) fn ended(&self, traffic: &Traffic, end: &AttemptEnd) {
         match &end.result {
             Ok(answer) => self.ran(traffic, answer.status),
@@ -240,7 +241,7 @@
     }
 }
 
-/// A request is beyond its account's allowance. The key is never told.
+/// Logs a request that exceeds its account's allowance. The key is never logged.
 pub(super) fn log_over_allowance(
     traffic: &Traffic,
     account: &CallAccount,
@@ -260,7 +261,7 @@
     );
 }
 
-/// A further attempt begins.
+/// Logs the start of a further attempt.
 pub(super) fn log_retry(traffic: &Traffic, call: &Call, after: &Refusal, target: &str) {
     let names = &traffic.settings.header_names;
     let id = text_of(call.message.headers.get(&names.request_id));
--- a/src/traffic/retry_budgets.rs
+++ b/src/traffic/retry_budgets.rs
@@ -1,4 +1,4 @@
-//! The node's part in the bounds on repeats, by service.
+//! This node's share of the system-wide retry limits, per service.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -11,19 +11,20 @@
 use crate::retry::RetryBound;
 use crate::retry::WindowBudget;
 
-/// The part of the bound that is used. How likely a call is a repeat of its parent's is known as a mean
-/// only, and arrivals are counted a little later than sends.
+/// The part of the allowed retry ratio that is used. Some is kept in reserve, because the
+/// probability that a call's parent is a retry is known only as a mean, and because arrivals are
+/// counted a little later than sends.
 const USED_PART: f32 = 0.9;
-/// The part of the fixed allowance that is used: a node may know of fewer others than there are.
+/// The part of the fixed retry allowance that is used: a node may know of fewer nodes than exist.
 const USED_SLACK_PART: f32 = 0.5;
-/// Services for which budgets are kept; beyond it those the view does not know go.
+/// Maximum number of budgets; beyond it those of services that are not in the view are dropped.
 const MAX_SERVICES: usize = 1_024;
 
 #[derive(Debug)]
 struct BudgetState {
-    /// That of the whole system.
+    /// The bound of the whole system.
     bound: RetryBound,
-    /// How many nodes share the fixed allowance.
+    /// The number of nodes that share the fixed allowance.
     nodes: usize,
     budgets: FastMap<Name, WindowBudget>,
 }
@@ -52,19 +53,20 @@
         state.update_shares();
     }
 
-    /// Notes a call that is sent for the first time; see [`WindowBudget::first_attempt`].
+    /// Records the first attempt of a call; see [`WindowBudget::first_attempt`].
     pub(super) fn first_attempt(&self, now: TimeMs, view: &View, service: &Name, repeated: f32) {
         let mut state = self.lock();
         state.update_nodes(view);
         state.budget_of(service).first_attempt(now, repeated);
     }
 
-    /// Pays for a repeat; false when none is left.
+    /// Takes a retry from the budget; returns false if the budget is spent.
     pub(super) fn try_retry(&self, now: TimeMs, service: &Name) -> bool {
         self.lock().budget_of(service).try_retry(now)
     }
 
-    /// Whether a repeat may begin that makes calls to the service; see [`WindowBudget::has_left`].
+    /// Whether a retried request that makes calls to the service may start; see
+    /// [`WindowBudget::has_left`].
     pub(super) fn has_left(&self, now: TimeMs, service: &Name) -> bool {
         self.lock().budget_of(service).has_left(now)
     }
@@ -75,7 +77,7 @@
 }
 
 impl BudgetState {
-    /// This node's part.
+    /// This node's share of the bound.
     fn share(&self) -> RetryBound {
         RetryBound {
             ratio: self.bound.ratio * USED_PART,
--- a/src/traffic/root_admission.rs
+++ b/src/traffic/root_admission.rs
@@ -1,4 +1,4 @@
-//! What answers teach about pressure deep down, and the admission of roots by it.
+//! Admission of root requests by the pressure of downstream services, as learned from answers.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -18,14 +18,15 @@
     control: RootControl,
 }
 
-/// Shared by entry and guard. Both parts bound themselves.
+/// Shared by entry and guard. Both parts of the state limit their own size.
 #[derive(Debug, Default)]
 pub(super) struct RootAdmission {
     state: Mutex<PressureState>,
 }
 
 impl RootAdmission {
-    /// Takes in what an answer of a service said; `is_root` when the call was a caller's own.
+    /// Records the pressure reported with an answer. `is_root` means that a caller sent the
+    /// request.
     pub(super) fn record_answer(
         &self,
         now: TimeMs,
@@ -52,8 +53,8 @@
         }
     }
 
-    /// Notes a call of the local backend server: each of the routes that run there may have led to
-    /// it.
+    /// Records a call of the local backend server as a possible child of each route that is running
+    /// there.
     pub(super) fn record_child(
         &self,
         now: TimeMs,
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Whether a caller's own request is let in.
+    /// Whether a caller's request is admitted.
     pub(super) fn may_pass(
         &self,
         now: TimeMs,
@@ -84,7 +85,8 @@
         state.control.may_pass(now, &pressed, priority)
     }
 
-    /// The service for whose sake requests on a route are refused; `None` while all are let in.
+    /// The overloaded service for which requests on a route are refused; `None` while all are
+    /// admitted.
     pub(super) fn pressed_service_for(&self, service: &str, route: &str) -> Option<PressedService> {
         let state = self.lock();
         let downstream = state.pressures.pressed_service(service, route)?;
@@ -92,27 +94,27 @@
         pressed.find(|pressed| pressed.service == *downstream)
     }
 
-    /// All services for whose sake requests are refused.
+    /// All overloaded services for which requests are refused.
     pub(super) fn pressed(&self) -> Vec<PressedService> {
         self.lock().control.pressed().collect()
     }
 
-    /// The pressure to tell with an answer on `route` of the local service.
+    /// The pressure to report with an answer on `route` of the local service.
     pub(super) fn on_answer(&self, now: TimeMs, route: &str, own: Pressure) -> Option<Pressure> {
         self.lock().pressures.on_answer(now, route, own)
     }
 
-    /// The services that work on `route` of the local service may call.
+    /// The services that requests on `route` of the local service may call.
     pub(super) fn downstream_services(&self, now: TimeMs, route: &str) -> Vec<Name> {
         self.lock().pressures.services_behind(now, route)
     }
 
-    /// The highest pressure behind any of these routes of the local service.
+    /// The highest pressure downstream of any of these routes of the local service.
     pub(super) fn deepest_permille(&self, now: TimeMs, routes: &[Name]) -> u32 {
         self.lock().pressures.deepest_permille(now, routes)
     }
 
-    /// Logs for whose sake requests are refused at present.
+    /// Logs the services for which requests are currently refused.
     pub(super) fn log_restricted(&self) {
         for pressed in self.pressed() {
             log::info!(
--- a/src/traffic/roster.rs
+++ b/src/traffic/roster.rs
@@ -1,7 +1,7 @@
-//! One row a node: how nodes find each other, and what a node has to know after a restart.
+//! Stores one row per node, for the discovery of other nodes and for the node's own restart.
 //!
-//! A row is written once its backend server is known and when that says that it leaves, never for a
-//! heartbeat: who lives is told by gossip. Both work without the other.
+//! A row is written once the backend server is known, and when it announces its departure, but not
+//! at heartbeats: liveness is detected by gossip. The store and gossip work independently.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,13 +30,14 @@
 
 /// The table with a row for each node.
 const TABLE: &str = "nodes";
-/// How long what is known from before a restart is waited for.
+/// Time-out for the read of the node's own row after a restart.
 const OWN_ROW_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How long a first row waits for the first report of the backend server, which comes within a heartbeat of
-/// its own start: each write is paid for, and it would be written anew a moment later.
+/// How long the first write of a row waits for the first report of the backend server, which comes
+/// within a heartbeat of the server's start. Without the wait, a second and costly write would
+/// follow shortly after.
 const FIRST_REPORT_TIMEOUT: Duration = Duration::from_millis(4_500);
 
-/// Keeps the own row and finds others.
+/// Maintains this node's row and discovers other nodes.
 pub(super) struct Roster {
     pub(super) store: Arc<dyn Store>,
     pub(super) eras: EraWatch,
@@ -45,7 +46,7 @@
 }
 
 impl Roster {
-    /// Runs for good.
+    /// Runs until the process ends.
     pub(super) async fn run(self) {
         let settings = &self.traffic.settings;
         let is_first_start = settings.is_first_start;
@@ -56,7 +57,7 @@
             key: own_key.clone(),
         };
         let mut keeper = RowKeeper::new(self.store.clone(), name);
-        // Holds true once others may be looked for; see [`PeerDiscovery`].
+        // True once discovery may start; see [`PeerDiscovery`].
         let (allow_discovery, mut is_allowed) = watch::channel(!is_first_start);
         let others = PeerDiscovery {
             store: self.store.clone(),
@@ -69,7 +70,7 @@
             is_first_start,
         };
         let discovery = async {
-            // The sender lives as long as this does.
+            // The sender outlives this future.
             drop(is_allowed.wait_for(|is_allowed| *is_allowed).await);
             others.run().await;
         };
@@ -85,10 +86,10 @@
         tokio::join!(own, discovery);
     }
 
-    /// Writes a first row. Answers what the row holds.
+    /// Writes this node's row for the first time. Returns the content of the row.
     ///
-    /// Nothing is stored of a node when the whole system starts for the first time, so nothing is read.
-    /// Should there be a row all the same, the write says so, and what it holds counts.
+    /// On the first start of the whole system the store has no rows, so nothing is read first. If a
+    /// row exists nevertheless, the write reports a conflict, and the stored content is used.
     async fn write_first(&self, keeper: &mut RowKeeper) -> Option<RosterRow> {
         let mut status = self.traffic.local_status.subscribe();
         let is_known =
@@ -100,25 +101,26 @@
             KeptRow::Written => Some(wanted),
             KeptRow::Again(StoreError::Conflict { .. }) => self.read_own_row(keeper).await,
             KeptRow::Again(error) => {
-                log::debug!("roster: the own row was not written, error={error}");
+                log::debug!("roster: own row not written, error={error}");
                 None
             }
         }
     }
 
-    /// Guards against a node that is restarted after its backend server said that it leaves: a
-    /// report from before that, arriving late, would have it sent new work.
+    /// Reads this node's row, and restores a departure of the backend server from it. Returns the
+    /// content of the row.
     ///
-    /// Answers what the row holds.
+    /// Without the restored departure, a late report from before it would cause new work to be sent
+    /// to the backend server after a restart of the node.
     async fn read_own_row(&self, keeper: &mut RowKeeper) -> Option<RosterRow> {
         let row = match timeout(OWN_ROW_TIMEOUT, keeper.read()).await {
             Ok(Ok(row)) => row,
             Ok(Err(error)) => {
-                log::warn!("roster: the own row cannot be read, error={error}");
+                log::warn!("roster: own row cannot be read, error={error}");
                 None
             }
             Err(_) => {
-                log::warn!("roster: the own row was not read in time");
+                log::warn!("roster: read of own row timed out");
                 None
             }
         };
@@ -130,7 +132,7 @@
         Some(before)
     }
 
-    /// Keeps the row as it has to be. `before` is what it holds, if that is known.
+    /// Keeps the row up to date. `before` is its stored content, if known.
     async fn keep(&self, keeper: &mut RowKeeper, before: Option<RosterRow>) {
         let known = before.as_ref().and_then(|before| before.known.clone());
         let restoring = async {
@@ -168,7 +170,7 @@
                 }
                 KeptRow::Again(error) => {
                     written = None;
-                    log::debug!("roster: the own row was not written, error={error}");
+                    log::debug!("roster: own row not written, error={error}");
                     sleep(Duration::from_millis(pause.after_failure(fastrand::f64()))).await;
                 }
             }
--- a/src/traffic/roster_row.rs
+++ b/src/traffic/roster_row.rs
@@ -1,4 +1,4 @@
-//! What a node's row holds, and where it lies.
+//! The content and the key of a node's row.
 
 use std::net::SocketAddr;
 
@@ -11,13 +11,14 @@
 use crate::traffic::KnownServer;
 use crate::traffic::traffic::LocalServerStatus;
 
-/// How many bytes of the hash stand before a node's name in its key: enough for thousands of nodes to
-/// be spread evenly.
+/// The number of hash bytes before a node's name in its key: enough to spread thousands of nodes
+/// evenly.
 const KEY_HASH_BYTES: usize = 4;
 
-/// The key of a node's row: its name behind a hash of it.
+/// The key of a node's row: a hash of its name, followed by the name.
 ///
-/// A range of keys is then a sample of nodes of all failure domains, whatever their names are.
+/// With the hash, any range of keys is a sample of nodes of all failure domains, whatever their
+/// names are.
 pub fn roster_key(node: &str) -> Name {
     let hash = stable_hash(node.bytes()).to_le_bytes();
     let hash: String = hash[..KEY_HASH_BYTES]
@@ -27,7 +28,7 @@
     Name::from(format!("{hash}.{node}"))
 }
 
-/// What a node's row holds.
+/// The content of a node's row.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct RosterRow {
@@ -36,19 +37,19 @@
     /// Its failure domain.
     #[serde(default)]
     pub domain: Option<Name>,
-    /// The incarnation of its backend server that has said that it leaves, if one has.
+    /// The incarnation of its backend server that announced its departure, if any.
     pub leaving: Option<Name>,
-    /// When that one started, in Unix milliseconds, if it has said so.
+    /// When that incarnation started, in Unix milliseconds, if it reported it.
     #[serde(default)]
     pub leaving_started_unix_ms: Option<u64>,
-    /// The backend server beside it, as it last reported.
+    /// Its backend server, as last reported.
     #[serde(default)]
     pub known: Option<KnownServer>,
 }
 
 impl RosterRow {
-    /// The row to keep; `before` is what it held when this process started. That is kept until the
-    /// backend server is known anew.
+    /// The row to store. `before` is its content from before this process started, which is kept
+    /// until the backend server is known again.
     pub(super) fn of(
         control_address: SocketAddr,
         domain: &Name,
@@ -81,7 +82,7 @@
             Ok(decoded) => Some(decoded),
             Err(error) => {
                 log::warn!(
-                    "roster: a row cannot be read, key={} error={error}",
+                    "roster: row cannot be decoded, key={} error={error}",
                     row.name.key
                 );
                 None
--- a/src/traffic/route_origins.rs
+++ b/src/traffic/route_origins.rs
@@ -1,4 +1,5 @@
-//! Who uses each route: learnt at the guard, told with answers, remembered at the entry.
+//! Whether callers or backend servers use each route: detected at the guard, sent with answers, and
+//! cached at the entry.
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
@@ -16,10 +17,10 @@
 use crate::core::View;
 use crate::wire::HopCall;
 
-/// Routes remembered at an entry at most; beyond it all are forgotten and told anew.
+/// Maximum number of routes cached at an entry; beyond it the cache is cleared and fills again.
 const MAX_ROUTES: usize = 4_096;
 
-/// What a guard has found out.
+/// The state of a guard.
 #[derive(Debug, Default)]
 struct GuardState {
     origins: OriginsByDomain,
@@ -34,15 +35,15 @@
     all: Vec<CallingService>,
 }
 
-/// Who uses a route, found out here first.
+/// A route and its origin, to be announced to other nodes.
 pub(super) type RouteOriginUpdate = (Name, RouteOrigin);
 
-/// Both sides' knowledge.
+/// The state of entry and guard.
 #[derive(Debug)]
 pub(super) struct RouteOrigins {
     guard_state: Mutex<GuardState>,
     learned: Mutex<FastMap<Name, RouteOrigin>>,
-    /// Takes what is new here, for the other nodes.
+    /// Queues what this node has learned, for the announcement to other nodes.
     updates: Sender<RouteOriginUpdate>,
 }
 
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Counts a call at the guard, and answers what is known of its route.
+    /// Counts a call at the guard, and returns the origin of its route, if known.
     pub(super) fn record_call(
         &self,
         view: &View,
@@ -82,7 +83,7 @@
         origins.note(observed, services)
     }
 
-    /// Takes in what a guard said of a route, of this node or another one.
+    /// Records the origin of a route as detected by the guard of this or another node.
     pub(super) fn learn(&self, route: &Name, origin: Option<RouteOrigin>) {
         let Some(origin) = origin else {
             return;
@@ -97,18 +98,20 @@
         log::info!("entry: a route is used by, route={route} origin={origin:?}");
         let is_first = learned.insert(route.clone(), origin).is_none();
         if is_first && self.updates.try_send((route.clone(), origin)).is_err() {
-            log::debug!("entry: news of a route were dropped, route={route}");
+            log::debug!(
+                "entry: route origin not announced because the queue is full, route={route}"
+            );
         }
     }
 
-    /// Takes in what another node has found out, unless something is known already.
+    /// Records the origin of a route as announced by another node, unless one is known already.
     pub(super) fn learn_from_peer(&self, route: &Name, origin: RouteOrigin) {
         if self.origin_of(route).is_none() {
             self.learn(route, Some(origin));
         }
     }
 
-    /// Who uses a route, if any guard has said so.
+    /// The origin of a route, if known.
     pub(super) fn origin_of(&self, route: &Name) -> Option<RouteOrigin> {
         let learned = self.learned.lock().unwrap_or_else(PoisonError::into_inner);
         learned.get(route).copied()
@@ -126,7 +129,7 @@
     }
 }
 
-/// The services of the counted domains' nodes, each with its part of them.
+/// The services of the nodes in the counted failure domains, each with its share of those nodes.
 fn calling_services(view: &View, is_counted: impl Fn(&str) -> bool) -> Vec<CallingService> {
     let mut services: FastMap<&Name, (usize, bool)> = FastMap::default();
     let mut nodes: usize = 0;
--- a/src/traffic/row_checks.rs
+++ b/src/traffic/row_checks.rs
@@ -1,4 +1,4 @@
-//! When a node looks whether the store still holds its row.
+//! Schedules checks of whether the store still holds a node's row.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,28 +9,28 @@
 
 use crate::store::EraWatch;
 
-/// All nodes look within this time after the store was restored, in milliseconds.
+/// All nodes check their row within this time after a restore of the store, in milliseconds.
 const SPREAD_MS: u64 = 2_000;
-/// And once more so long after that, in milliseconds: a write of before, whose answer was lost, may be
-/// performed seconds later.
+/// Delay of a second check after the first, in milliseconds. An earlier write whose answer was lost
+/// may be performed seconds later.
 const RECHECK_MS: u64 = 8_000;
 
 /// The times at which the row is to be read back.
 ///
-/// Guards against a store that was restored from an older copy and has lost a departure, or a backend
-/// server's new incarnation, that it had acknowledged: the writer takes its row for written for good. It
-/// shows only after a later restart of the node, which then sends work to a backend server that is leaving.
-/// It holds because each node hears of the new era, from the store or from others, reads its row back and
-/// writes it again where it is another one.
+/// A store that was restored from an older copy may have lost a write that it had acknowledged: a
+/// departure, or a new incarnation of a backend server. Without a check, the loss shows only after
+/// a later restart of the node, which then sends work to a backend server that is leaving. So each
+/// node learns of the store's new era, from the store or from other nodes, reads its row back, and
+/// writes it again if it differs.
 pub(super) struct RowChecks {
     newest: watch::Receiver<Option<u64>>,
-    /// The era that was known when nothing was due yet.
+    /// The era in which the row was written; no check is due in it.
     known_era: Option<u64>,
     due: VecDeque<Instant>,
 }
 
 impl RowChecks {
-    /// Nothing is due before the next era.
+    /// No check is due before the next era.
     pub(super) fn new(eras: &EraWatch) -> Self {
         Self {
             newest: eras.subscribe(),
@@ -46,7 +46,7 @@
             tokio::select! {
                 changed = self.newest.changed() => match changed {
                     Ok(()) => self.schedule(),
-                    // There will be no later era.
+                    // The sender is gone, so there will be no later era.
                     Err(_) => std::future::pending().await,
                 },
                 () = sleep_until(next.unwrap_or_else(Instant::now)), if next.is_some() => {
@@ -59,7 +59,7 @@
 
     fn schedule(&mut self) {
         let newest = *self.newest.borrow_and_update();
-        // The first era that is heard of is the one in which the row was written.
+        // The first era that is known is the one in which the row was written.
         if self.known_era.is_none() {
             self.known_era = newest;
             return;
--- a/src/traffic/running_routes.rs
+++ b/src/traffic/running_routes.rs
@@ -1,4 +1,4 @@
-//! Which routes run at the local backend server, so that its own calls can be tied to them.
+//! Tracks which routes run at the local backend server, to attribute its own calls to them.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -8,10 +8,10 @@
 use crate::core::FastMap;
 use crate::core::Name;
 
-/// Requests that run, by route. Bounded by what runs.
+/// Running requests, by route. Its size is limited by the number of running requests.
 ///
-/// A backend server passes on nothing that would tie its calls to the request they are made for:
-/// any route that runs may have made a call.
+/// A backend server forwards nothing that would link its calls to the request that made them. So
+/// any route that is running may have made a call.
 #[derive(Debug, Default)]
 pub(super) struct RunningRoutes {
     running: Mutex<Running>,
@@ -21,14 +21,14 @@
 struct Running {
     counts: FastMap<Name, u32>,
     requests: u32,
-    /// How many of them are repeats, in thousandths.
+    /// The sum of the requests' retry probabilities, in thousandths.
     repeated_permille: u32,
 }
 
 impl RunningRoutes {
     /// Counts a request as running until the returned value is dropped.
     ///
-    /// `repeated_permille` says how likely it is to be a repeat.
+    /// `repeated_permille` is the probability that it is a retry, in thousandths.
     pub(super) fn enter(self: &Arc<Self>, route: &Name, repeated_permille: u16) -> RunningRoute {
         let mut running = self.lock();
         *running.counts.entry(route.clone()).or_default() += 1;
@@ -41,12 +41,13 @@
         }
     }
 
-    /// The routes of everything that runs.
+    /// The routes of all running requests.
     pub(super) fn all(&self) -> Vec<Name> {
         self.lock().counts.keys().cloned().collect()
     }
 
-    /// How likely a call that is made now is to be made by a repeat: any request that runs may make it.
+    /// The probability that a call made now is made by a retry, in thousandths: any running request
+    /// may make it.
     pub(super) fn repeated_permille(&self) -> u16 {
         let running = self.lock();
         let mean = running.repeated_permille / running.requests.max(1);
@@ -58,7 +59,7 @@
     }
 }
 
-/// A request that runs.
+/// A running request.
 pub(super) struct RunningRoute {
     routes: Arc<RunningRoutes>,
     name: Name,
--- a/src/traffic/server_report.rs
+++ b/src/traffic/server_report.rs
@@ -1,35 +1,37 @@
-//! What a backend server says of itself.
+//! Reports of a backend server.
 
 use crate::core::Name;
 
-/// What a backend server says of its readiness.
+/// The readiness of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportedState {
     Ready,
-    /// It stops soon: no new work.
+    /// It stops soon, and accepts no new work.
     Draining,
-    /// It is about to end: no new work, and no further report.
+    /// It is about to end: it accepts no new work and sends no further report.
     Left,
 }
 
-/// One report. Reports can be late: within an incarnation the sequence tells which is newer.
+/// A report. Reports can arrive late: within an incarnation the sequence number shows which is
+/// newer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerReport {
-    /// New with each start of the backend server, mostly: one that crashes may come back under the
-    /// identifier that it had.
+    /// The identifier of the incarnation. It is usually new at each start, but a backend server
+    /// that crashed may restart under the same identifier.
     pub incarnation: Name,
-    /// When it started, in Unix milliseconds by its own clock, if it says so.
+    /// When it started, in Unix milliseconds by its own clock, if it reports it.
     pub started_unix_ms: Option<u64>,
     pub state: ReportedState,
-    /// What a heartbeat says besides; a departure says nothing more.
+    /// The sequence number. This and the following fields are set in heartbeats only, not in
+    /// departures.
     pub sequence: Option<u64>,
     pub service: Option<Name>,
-    /// How many requests it says it runs at once; an upper bound, not the truth.
+    /// How many requests it claims to run at once: an upper bound, the actual number may be lower.
     pub slots: Option<u32>,
 }
 
 impl ServerReport {
-    /// The backend server leaves, and says nothing more.
+    /// The report of a departure, without further details.
     pub fn departure(incarnation: Name, started_unix_ms: Option<u64>) -> Self {
         Self {
             incarnation,
--- a/src/traffic/server_restore.rs
+++ b/src/traffic/server_restore.rs
@@ -1,4 +1,5 @@
-//! Who stands beside a node that has just started, before the first report tells.
+//! Restores what is known of the local backend server after a restart of the node, before the first
+//! report arrives.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,13 +19,13 @@
 use crate::traffic::traffic::Traffic;
 use crate::wire::ServerWords;
 
-/// How long the backend server may take to answer. Its reports come every second or two, so a later
-/// answer is of no use.
+/// Time-out for the health check. Reports arrive every one or two seconds, so a later answer would
+/// be useless.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// How often it is looked whether a desired state, which names the path to ask, is known.
+/// How often to check for a desired state, which names the path of the health check.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A backend server as it last reported, kept over a restart of the node beside it.
+/// A backend server as last reported, stored for a restart of its node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct KnownServer {
@@ -35,13 +36,13 @@
     pub slots: u32,
 }
 
-/// Asks the backend server whether it still is the one that is known from before.
+/// Asks the backend server whether it still is the incarnation from before the node's restart.
 ///
-/// Guards against a node that serves nothing after its own restart until the next report of its
-/// backend server, which has gone on all the while: up to two seconds, and where it is the only one of
-/// its service every call tree through it fails. It shows as refusals `backend_down` or `no_target`
-/// after each restart of a node. It holds because the backend server's own word names its incarnation,
-/// and says that it is not leaving; of another one nothing is known, so its report is waited for.
+/// Otherwise a restarted node would serve nothing until the next report of its backend server,
+/// which ran on: up to two seconds, and if it is the only one of its service, all call trees
+/// through it fail in that time. This shows as refusals `backend_down` or `no_target` after each
+/// restart of a node. The health check's answer names the incarnation, and says that it is not
+/// leaving. If it is another incarnation, nothing is known of it, so the node waits for its report.
 pub(super) async fn restore_server(traffic: Arc<Traffic>, known: KnownServer) {
     let sent_at = traffic.clock.now();
     let checking = check_health(&traffic, &known.service);
@@ -58,14 +59,14 @@
     apply_announcements(&traffic, &known.incarnation, sent_at, checked.announcements);
 }
 
-/// What a health check told.
+/// The answer of a health check.
 struct HealthCheck {
     incarnation: Name,
     is_healthy: bool,
     announcements: ServerWords,
 }
 
-/// Asks the backend server's health check.
+/// Performs a health check of the backend server.
 async fn check_health(traffic: &Traffic, service: &Name) -> Option<HealthCheck> {
     let path = health_check_path(traffic, service).await?;
     let address = traffic.live().backend_address;
@@ -75,12 +76,12 @@
         .header(HOST, address.to_string())
         .body(Full::new(Bytes::new()));
     let request = request
-        .map_err(|error| log::warn!("local: a health check cannot be asked, error={error}"))
+        .map_err(|error| log::warn!("local: invalid health check request, error={error}"))
         .ok()?;
-    // The answer is not that of a call, so its connection is not used for one.
+    // The answer is not checked like that of a call, so its connection is not reused for calls.
     let answer = traffic.backend.send(address, request, |_| false).await;
     let answer = answer
-        .map_err(|error| log::debug!("local: no answer to a health check, error={error}"))
+        .map_err(|error| log::debug!("local: health check failed, error={error}"))
         .ok()?;
     let names = &traffic.settings.header_names;
     let incarnation = answer.headers.get(&names.incarnation)?.to_str().ok()?;
--- a/src/traffic/settings.rs
+++ b/src/traffic/settings.rs
@@ -1,4 +1,4 @@
-//! What a node has to know before it serves.
+//! The settings of a node.
 
 use std::net::SocketAddr;
 
@@ -8,51 +8,52 @@
 use crate::store::StoreRates;
 use crate::traffic::HeaderNames;
 
-/// Settings that can change while the node serves.
+/// Settings that can change while the node runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LiveSettings {
-    /// Where the backend server beside this node serves.
+    /// The address of the local backend server.
     pub backend_address: SocketAddr,
-    /// How often the backend server reports.
+    /// The period of the backend server's reports.
     pub heartbeat_ms: u64,
-    /// Of the whole system, for each service.
+    /// The system-wide limit of retries, per service.
     pub retry_bound: RetryBound,
-    /// How far the fleet may run ahead of an account's allowance.
+    /// How far all nodes together may exceed an account's allowance.
     pub allowance_bound: AllowanceBound,
-    /// After this time without the store's word that nothing is newer, keys are not relied on any more;
-    /// `None` where they hold however old that is.
+    /// How long account keys stay valid without a confirmation that the store holds nothing newer.
+    /// `None` if they stay valid without a time limit.
     pub keys_hold_ms: Option<u64>,
-    /// How long a planned stop may take.
+    /// The time limit of a planned stop.
     pub stop_within_ms: u64,
-    /// How many bytes of bodies are held at once, in sum.
+    /// The maximum total of body bytes held in memory.
     pub held_body_bytes: usize,
 }
 
-/// The checked settings of a node. Identity and addresses hold from its start to its end.
+/// The validated settings of a node. Its identity and addresses do not change while it runs.
 #[derive(Clone, Debug)]
 pub struct TrafficSettings {
     pub node: Name,
     pub region: Name,
     /// The failure domain.
     pub domain: Name,
-    /// The service of the backend server beside this node.
+    /// The service of the local backend server.
     pub service: Name,
-    /// Where local callers and the backend server send requests.
+    /// The listener for requests of local callers and of the backend server.
     pub caller_address: SocketAddr,
-    /// Where other nodes forward calls.
+    /// The listener for calls forwarded by other nodes.
     pub peer_address: SocketAddr,
     /// UDP for gossip and TCP for control calls.
     pub control_address: SocketAddr,
-    /// Where readiness is asked for.
+    /// The listener for readiness checks.
     pub ready_address: SocketAddr,
-    /// Where the backend server reports.
+    /// The listener for reports of the backend server.
     pub report_address: SocketAddr,
-    /// Where metrics are served, besides under their path on the readiness listener.
+    /// The listener for metrics, which are also served under their path on the readiness listener.
     pub metrics_address: Option<SocketAddr>,
     pub header_names: HeaderNames,
-    /// The whole system starts for the first time, so nothing is stored of this node yet.
+    /// The whole system starts for the first time, so the store has no row of this node yet.
     pub is_first_start: bool,
-    /// How many writes the store takes. Where rows lie follows from it, so it holds from start to end.
+    /// The write rates that the store accepts. They determine the parts where rows are stored, so
+    /// they do not change while the node runs.
     pub store_rates: StoreRates,
     pub live: LiveSettings,
 }
--- a/src/traffic/stop.rs
+++ b/src/traffic/stop.rs
@@ -1,5 +1,4 @@
-//! A planned stop: callers are sent elsewhere, what is in progress is finished, then the node
-//! leaves.
+//! A planned stop: callers move to other nodes, requests in progress finish, then the node leaves.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -10,21 +9,22 @@
 use crate::core::TargetState;
 use crate::traffic::TrafficProcess;
 
-/// How long the node is still told to others as one that takes calls: its backend server works on,
-/// and its slots would be missing for the whole stop.
+/// How long the node still announces that it accepts calls: its backend server continues to work,
+/// and its slots would otherwise be missing during the whole stop.
 const DRAINING_ANNOUNCED_AFTER: Duration = Duration::from_millis(1_400);
-/// How long the guard goes on taking calls: until other nodes have heard that it stops.
+/// How long the guard accepts calls: until other nodes have learned that it is stopping.
 const GUARD_CLOSED_AFTER: Duration = Duration::from_millis(2_200);
-/// How long the entry goes on taking requests: until readiness has been asked for twice and callers
-/// go elsewhere. Those that come still are refused, for they could not be finished any more.
+/// How long the entry accepts requests: until readiness was checked twice and callers use other
+/// nodes. Later requests are refused, because they could not be finished in time.
 const ENTRY_CLOSED_AFTER: Duration = Duration::from_millis(2_900);
-/// For how long nothing must have been in progress, so that the last answers have left.
+/// How long no request must have been in progress before the node exits, so the last answers have
+/// been sent.
 const IDLE_BEFORE_EXIT: Duration = Duration::from_millis(250);
 /// How often requests in progress are counted.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 impl TrafficProcess {
-    /// Stops as planned, within the time of the settings.
+    /// Performs a planned stop within the time limit of the settings.
     pub async fn stop(self) {
         log::info!("node: stops");
         let started = Instant::now();
@@ -47,7 +47,7 @@
             .await
             .is_err()
         {
-            log::error!("node: the control thread could not be stopped");
+            log::error!("node: control thread could not be stopped");
         }
     }
 
--- a/src/traffic/traffic.rs
+++ b/src/traffic/traffic.rs
@@ -1,4 +1,4 @@
-//! What all parts of the way of a request share.
+//! The state that all parts of the request path share.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -44,31 +44,33 @@
 use crate::traffic::route_origins::RouteOrigins;
 use crate::traffic::running_routes::RunningRoutes;
 
-/// How long a new connection to another node may take, in milliseconds. A round trip between
-/// failure domains takes a few; a lost first packet is sent again after a second, and by then
-/// another target is the better choice.
+/// Connect time-out to another node, in milliseconds. A round trip between failure domains takes a
+/// few milliseconds. A lost first packet is sent again only after a second, and by then another
+/// target is the better choice.
 const PEER_CONNECT_MS: u64 = 400;
-/// How long an unused connection to another node is kept.
+/// Idle time-out of a connection to another node, in milliseconds.
 const PEER_IDLE_MS: u64 = 10_000;
-/// How long a new connection to the local backend server may take. Its machine is this one, so
-/// only a backend server that is down or has no room takes longer.
+/// Connect time-out to the local backend server, in milliseconds. It is on the same machine, so
+/// only a backend server that is down or overloaded takes longer.
 const BACKEND_CONNECT_MS: u64 = 500;
-/// How long an unused connection to the backend server is kept: well below the shortest time after
-/// which backend servers close theirs, for a request that meets the close may have run.
+/// Idle time-out of a connection to the backend server, in milliseconds. It is well below the
+/// shortest time after which backend servers close idle connections, because a request sent while
+/// the server closes the connection may have run.
 const BACKEND_IDLE_MS: u64 = 1_500;
-/// Nothing acknowledged for so long ends a connection.
+/// A connection is closed after this time without any acknowledgement, in milliseconds.
 pub(super) const SILENCE_MS: u64 = 2_000;
 
-/// Calls that may wait at a guard, as a percentage of its limit. Roots are refused at entries, so
-/// a queue here is what is under way already, and refusing it would waste what was done for it.
+/// The maximum queue length at a guard, as a percentage of its limit. Root requests are refused at
+/// entries, so the queue holds calls of requests in progress. Refusing those would waste the work
+/// already done for them.
 const QUEUE_PERCENT: u32 = 1_000;
-/// The wait in the queue that is aimed at, in milliseconds: long enough to keep a small backend
-/// server busy, short against the objective of a call some levels deep.
+/// The target wait in the queue, in milliseconds: long enough to keep a small backend server busy,
+/// and short compared with the latency objective of a call several levels deep.
 const WAIT_TARGET_MS: u64 = 10;
-/// The wait from which calls spill into other failure domains, in milliseconds. Bytes between
-/// failure domains are dear, and a call some levels deep may wait so long a few times.
+/// The wait from which calls spill into other failure domains, in milliseconds. Traffic between
+/// failure domains is expensive, and a call several levels deep may wait this long a few times.
 const SPILL_WAIT_MS: u64 = 25;
-/// The same for a call with a large body.
+/// The wait from which calls with a large body spill, in milliseconds.
 const SPILL_LARGE_WAIT_MS: u64 = 100;
 
 fn admission_conf() -> AdmissionConf {
@@ -92,22 +94,23 @@
     }
 }
 
-/// What nodes are told of the local backend server.
+/// What other nodes are told about the local backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct LocalServerStatus {
     pub service: Name,
-    /// How many calls it can run at once: what it says, or what it can use of that at the rate that it names.
+    /// How many calls it can run at once: as reported, or, if it announces a rate limit, as many of
+    /// these as that rate can use.
     pub slots: u32,
     pub state: TargetState,
-    /// The incarnation that has said that it leaves, if it has.
+    /// The incarnation that announced its departure, if any.
     pub leaving: Option<Name>,
-    /// When that one started, if it has said so.
+    /// When that incarnation started, if it reported it.
     pub leaving_started_unix_ms: Option<u64>,
-    /// The incarnation that takes work, if one does.
+    /// The incarnation that accepts work, if any.
     pub known: Option<KnownServer>,
 }
 
-/// What the listeners share with the control thread.
+/// The parts that the listeners share with the control thread.
 pub(super) struct SharedParts {
     pub metrics: Arc<Metrics>,
     pub view: Arc<Published<View>>,
@@ -118,7 +121,7 @@
     pub freshness: Arc<Freshness>,
 }
 
-/// Shared by all listeners.
+/// The state shared by all listeners.
 pub(super) struct Traffic {
     pub settings: TrafficSettings,
     pub clock: Clock,
@@ -132,21 +135,21 @@
     pub origins: Arc<RouteOrigins>,
     pub keyed_routes: KeyedRoutes,
     pub allowances: Arc<Allowances>,
-    /// How fresh what gossip tells is.
+    /// How old the information received by gossip is.
     pub freshness: Arc<Freshness>,
     pub running: Arc<RunningRoutes>,
     pub poison: Arc<PoisonWatch>,
-    /// What bodies of requests and answers take of the memory.
+    /// The memory held by bodies of requests and answers.
     pub bodies: Arc<BodyBudget>,
     pub peers: ConnectionPool,
     pub backend: ConnectionPool,
-    /// Holds true from the beginning of a planned stop.
+    /// True from the start of a planned stop.
     pub stopping: watch::Sender<bool>,
-    /// Holds true once the guard takes no more calls in a planned stop.
+    /// True once the guard accepts no more calls in a planned stop.
     pub guard_closed: watch::Sender<bool>,
-    /// Holds true once others are told that this node stops.
+    /// True once other nodes are told that this node stops.
     pub is_leaving: AtomicBool,
-    /// Holds true once the entry takes no more requests in a planned stop.
+    /// True once the entry accepts no more requests in a planned stop.
     pub entry_closed: AtomicBool,
     pub local_status: watch::Sender<LocalServerStatus>,
     live: Published<LiveSettings>,
@@ -154,7 +157,7 @@
     announcement_cache: Mutex<AnnouncementCache>,
     failing: Mutex<FailingShare>,
     requests: AtomicUsize,
-    /// The version of the desired state by which the gate is bounded.
+    /// The version of the desired state whose limits the gate has.
     limits_version: AtomicU64,
 }
 
@@ -210,12 +213,12 @@
         }
     }
 
-    /// The settings that can change.
+    /// The settings that can change while the node runs.
     pub(super) fn live(&self) -> LiveSettings {
         **self.live.load()
     }
 
-    /// Puts changed settings into force.
+    /// Applies changed settings.
     pub(super) fn set_live(&self, live: LiveSettings) {
         self.bodies.set_most_bytes(live.held_body_bytes);
         if live.retry_bound != self.live().retry_bound {
@@ -226,11 +229,11 @@
         self.live.store(Arc::new(live));
     }
 
-    /// Whether keys are relied on.
+    /// Whether account keys are confirmed recently enough to be accepted.
     ///
-    /// Guards, where the operator asks for it, against a node that is cut off and goes on serving by keys
-    /// that were taken away meanwhile. It holds because the store's word that nothing is newer, which gossip
-    /// carries with its age, must not be older than the operator says.
+    /// A node that is cut off would otherwise accept keys that were revoked in between. The
+    /// operator can limit the age of the store's confirmation that nothing is newer, which gossip
+    /// carries.
     pub(super) fn keys_are_fresh(&self) -> bool {
         let Some(hold_ms) = self.live().keys_hold_ms else {
             return true;
@@ -239,25 +242,26 @@
         self.clock.now().since(confirmed) < hold_ms
     }
 
-    /// The local backend server as far as is known. Never held across an await.
+    /// What is known of the local backend server. Never held across an await.
     pub(super) fn local(&self) -> MutexGuard<'_, LocalServer> {
         self.local.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What backend servers have said in answers that came through here. Never held across an await.
+    /// What backend servers have announced in answers that this node relayed. Never held across an
+    /// await.
     pub(super) fn announcement_cache(&self) -> MutexGuard<'_, AnnouncementCache> {
         self.announcement_cache
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes the end of a call at the local backend server.
+    /// Records the end of a call at the local backend server.
     pub(super) fn record_end(&self, has_failed: bool) {
         let now = self.clock.now();
         self.failing().note(now, has_failed);
     }
 
-    /// Which share of calls fails at the local backend server, in thousandths.
+    /// The share of calls that fail at the local backend server, in thousandths.
     pub(super) fn failing_permille(&self, now: TimeMs) -> u32 {
         self.failing().permille(now)
     }
@@ -266,7 +270,7 @@
         self.failing.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes what is known of the local backend server, and tells the others if it is news.
+    /// Updates what is known of the local backend server, and announces a change to other nodes.
     pub(super) fn update_local(&self, change: impl FnOnce(&mut LocalServer) -> LocalChange) {
         let status = {
             let mut local = self.local();
@@ -297,8 +301,11 @@
         self.publish_local_status(status);
     }
 
-    /// Guards against news to all nodes with each answer of a backend server that names a slightly different rate
-    /// each time: what others are told is what it can run at once, which hardly changes.
+    /// Announces the status of the local backend server, if it has changed.
+    ///
+    /// A backend server may announce a slightly different rate limit with each answer. The status
+    /// has the number of calls that it can run at once instead, which rarely changes, so not every
+    /// answer causes a message to all nodes.
     fn publish_local_status(&self, status: LocalServerStatus) {
         self.local_status.send_if_modified(|published| {
             if *published == status {
@@ -315,8 +322,9 @@
         });
     }
 
-    /// Bounds what runs at the local backend server by what may have changed: the slots that it announces, or the
-    /// connections that the operator says it accepts. Each call that runs there takes one of both.
+    /// Limits the calls that run at the local backend server to the slots that it reports, and to
+    /// the connections that it accepts according to the operator. Each running call takes one of
+    /// both.
     pub(super) fn limit_slots(&self, local: &LocalServer) {
         let usable = usable_slots(local.slots());
         let accepted = local
@@ -326,8 +334,8 @@
             .set_slots(accepted.map_or(usable, |accepted| usable.min(accepted)));
     }
 
-    /// Bounds what runs anew if another desired state is in force since: by the first call that meets it, for the
-    /// next look at the gate may come too late.
+    /// Applies the limits of the desired state in force, if it has changed. Each call checks this
+    /// before admission, because the next periodic poll of the gate may be too late.
     pub(super) fn apply_desired_limits(&self) {
         let version = self.desired.version();
         if self.limits_version.swap(version, Ordering::Relaxed) != version {
@@ -335,7 +343,8 @@
         }
     }
 
-    /// How many connections a backend server of a service accepts, if the operator says so.
+    /// How many connections a backend server of a service accepts, if the operator has configured
+    /// it.
     fn max_connections(&self, service: &Name) -> Option<u32> {
         let in_force = self.desired.load()?;
         let mut services = in_force.state.services.iter();
--- a/src/traffic/version_fetch.rs
+++ b/src/traffic/version_fetch.rs
@@ -1,4 +1,4 @@
-//! Fetches from peers what they have in force and this node has not.
+//! Fetches newer desired states from peers that have them in force.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,31 +17,32 @@
 use crate::traffic::DesiredInForce;
 use crate::traffic::desired_task::AnnounceVersion;
 
-/// How long a peer may take to hand over what it has in force, in milliseconds. Its answer takes a few;
-/// after that the store is asked, while the time in which a change has to be in force goes on.
+/// Time-out for fetching a desired state from a peer, in milliseconds. An answer usually takes a
+/// few milliseconds. After the time-out the store is polled. The time-out is short because the
+/// change has to be in force within a limited time.
 const FETCH_TIMEOUT_MS: u64 = 400;
-/// How long a node waits for a peer of its own failure domain to have a version that one of another domain
-/// has told of, in milliseconds.
+/// How long a node waits for a peer of its own failure domain to announce a version that a peer of
+/// another domain has announced, in milliseconds.
 const SAME_DOMAIN_WAIT_MS: u64 = 300;
 
-/// News that a peer has a version in force.
+/// The announcement that a peer has a version in force.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct VersionAnnouncement {
     pub from: SocketAddr,
     pub version: u64,
-    /// The peer is of the own failure domain.
+    /// The peer is in this node's failure domain.
     pub is_near: bool,
 }
 
-/// Takes documents over from peers.
+/// Fetches documents from peers.
 ///
-/// Guards against a store that turns this node away while it serves the operator and others: the
-/// operator's change is acknowledged, and only peers can tell of it. And the other way round, a peer that
-/// tells of a version and does not hand it over holds nothing up: the store is asked then.
+/// The store may refuse this node while it serves the operator and other nodes. The operator's
+/// change is then acknowledged, and only peers can deliver it. Conversely, if a peer announces a
+/// version but does not deliver it, the store is polled.
 ///
-/// Guards against a document that crosses the border of a failure domain once for each node, which is most
-/// of the bytes between domains where states hold hundreds of routes: a few nodes of each domain fetch it
-/// across, and the others from them.
+/// If every node fetched a document from another failure domain, such documents would make up most
+/// of the bytes between domains where states have hundreds of routes. So a few nodes of each domain
+/// fetch it from another domain, and the others fetch it from them.
 pub(super) struct VersionFetch {
     pub(super) control: Arc<ControlHandle>,
     pub(super) domain: Name,
@@ -51,9 +52,9 @@
 }
 
 impl VersionFetch {
-    /// Runs until the news end.
+    /// Runs until the channel of announcements is closed.
     pub(super) async fn run(self, mut announcements: Receiver<VersionAnnouncement>) {
-        // What another failure domain has told of, and until when a near peer may have it.
+        // A version announced by another failure domain, and until when to wait for a near peer.
         let mut waiting: Option<(VersionAnnouncement, Instant)> = None;
         loop {
             let until = waiting.map(|(_, until)| until);
@@ -102,7 +103,7 @@
             }
             Ok(None) => {}
             Err(error) => {
-                log::debug!("config: a peer gave no answer, peer={from} error={error}");
+                log::debug!("config: fetch from a peer failed, peer={from} error={error}");
                 self.poll_now.notify_one();
             }
         }
--- a/tests/traffic_local_server.rs
+++ b/tests/traffic_local_server.rs
@@ -1,4 +1,4 @@
-//! Reports of a backend server that arrive late, out of order or from one that has ended.
+//! Reports of a backend server that arrive late, out of order, or from an incarnation that ended.
 
 use rstest::rstest;
 use sassafrasgap::core::Name;
@@ -35,7 +35,7 @@
         .map(|incarnation| &**incarnation)
 }
 
-/// A departure is never taken back, whatever arrives later and however high its sequence.
+/// A departure holds for its incarnation, whatever reports arrive later, with any sequence number.
 #[rstest]
 #[case(ReportedState::Draining)]
 #[case(ReportedState::Left)]
@@ -50,7 +50,8 @@
     }
 }
 
-/// A report of an incarnation that has crashed arrives after the next one has registered.
+/// A report of a crashed incarnation that arrives after the first report of the next one must not
+/// replace the latter.
 #[rstest]
 fn a_late_report_of_a_crashed_incarnation_changes_nothing() {
     let mut server = started();
@@ -61,8 +62,8 @@
     assert_eq!(accepting(&server), Some("two"));
 }
 
-/// A report of an incarnation that this process never heard of, not among its first, does not
-/// replace one that still reports; it does when that one has fallen silent.
+/// A later report of an unknown incarnation does not replace one that still reports. It replaces
+/// one that is silent.
 #[rstest]
 #[case(1_000, "one")]
 #[case(3_000, "two")]
@@ -72,7 +73,7 @@
     assert_eq!(accepting(&server), Some(expected));
 }
 
-/// A backend server that takes no connection is down until it reports again.
+/// A backend server that refuses a connection is down until its next report.
 #[rstest]
 fn a_refused_connection_means_down_until_the_next_report() {
     let mut server = started();
@@ -88,7 +89,8 @@
     assert_eq!(accepting(&server), Some("one"));
 }
 
-/// The backend server says itself who it is. One that is known to leave gets nothing even so.
+/// The incarnation that the backend server names in an answer is adopted. One that is known to be
+/// leaving still gets no work.
 #[rstest]
 fn the_answering_incarnation_is_adopted() {
     let mut server = started();
@@ -109,7 +111,7 @@
     assert_eq!(accepting(&server), None, "one was taken for gone");
 }
 
-/// Requests for another service are never sent to this backend server.
+/// Requests for another service are never sent to the backend server.
 #[rstest]
 fn another_service_is_never_served() {
     assert!(started().accepting_incarnation("t").is_none());
@@ -127,8 +129,9 @@
     }
 }
 
-/// A backend server that has sent 40 reports crashes, refuses a connection, and comes back under the
-/// identifier that it had. Its sequence starts anew, so its reports looked late and it stayed out.
+/// A backend server that has sent 40 reports crashes, refuses a connection, and restarts under the
+/// same identifier. Its sequence numbers start again, so its reports must not count as late, or it
+/// would get no work.
 #[rstest]
 fn a_restart_under_the_same_identifier_gets_work() {
     let mut server = LocalServer::new(HEARTBEAT_MS);
@@ -152,7 +155,7 @@
     assert_eq!(server.started_unix_ms(), Some(900));
 }
 
-/// The same where it does not say when it started: it was down, and this is one of its first reports.
+/// The same without start times: a first report after the server was down means that it restarted.
 #[rstest]
 #[case(1, Some("one"))]
 #[case(39, None)]
@@ -164,8 +167,9 @@
     assert_eq!(accepting(&server), expected);
 }
 
-/// It leaves, ends, and is started once more under its identifier; its old reports still arrive. A
-/// departure holds for the life that it was said in, also over a restart of the node.
+/// A backend server leaves and restarts under the same identifier, and its old reports still
+/// arrive. The departure holds for the run in which it was announced, also after a restart of the
+/// node.
 #[rstest]
 fn a_departure_ends_with_its_run() {
     let mut server = LocalServer::new(HEARTBEAT_MS);
@@ -191,8 +195,9 @@
     assert_eq!(accepting(&restarted), Some("one"));
 }
 
-/// Its first start was told from the future, by a clock that has been set right since. While it still
-/// reports the earlier start is a late report; once it has fallen silent it is the newer one.
+/// The first start time was in the future, by a clock that was corrected later. While the server
+/// still reports, a report with an earlier start time counts as late. Once it is silent, such a
+/// report counts as a restart.
 #[rstest]
 #[case(100, Some(9_000))]
 #[case(5_000, Some(900))]
--- a/tests/traffic_rate_fleet.rs
+++ b/tests/traffic_rate_fleet.rs
@@ -1,4 +1,4 @@
-//! A rate that one backend server names, kept over a fleet of entries, in virtual time.
+//! A simulation in virtual time: many entries respect the rate limit of one backend server.
 
 use std::collections::BTreeMap;
 
@@ -22,33 +22,33 @@
 use sassafrasgap::wire::ServerWord;
 
 const WINDOW_MS: u64 = 4_000;
-/// An entry is bound by what it passed on this long before.
+/// An entry is bound by an announcement this long after it relayed it.
 const ANNOUNCED_FOR_MS: u64 = 500;
 const HOP_MS: u64 = 2;
 const RUN_MS: u64 = 60;
-/// Requests a second that choose this backend server, and during a surge.
+/// Requests per second to this backend server, normally and during a surge.
 const USUAL_PER_S: f64 = 75.0;
 const SURGE_PER_S: f64 = 225.0;
-/// When the backend server begins to name its rate, and when the rule binds.
+/// When the backend server starts to announce its rate limit, and when the limit is enforced.
 const ANNOUNCED_MS: u64 = 4_000;
 const ENFORCED_MS: u64 = ANNOUNCED_MS + 3_000;
 const ENDS_MS: u64 = 60_000;
 
 #[derive(Clone, Debug)]
 enum Event {
-    /// A call of this entry reaches the guard.
+    /// A call of this entry reaches the guard, with the announcement that the entry has cached.
     Reaches(usize, Option<ServerWord>),
     /// The backend server answers the call with this ticket, of this entry.
     Answers(u64, usize),
-    /// The guard's answer reaches its entry.
+    /// The guard's answer reaches its entry; the flag says whether the call ran.
     Returns(usize, Option<ServerWord>, bool),
 }
 
-/// The guard's process.
+/// The process of the guard.
 struct Guard {
     local: LocalServer,
     admission: Admission,
-    /// Entries of calls that wait or run, and when those that run were sent.
+    /// The entry of each waiting or running call, and when a running one was sent.
     calls: BTreeMap<u64, (usize, Option<TimeMs>)>,
 }
 
@@ -88,14 +88,14 @@
     order: u64,
     guard: Guard,
     entries: Vec<AnnouncementCache>,
-    /// When each entry passed on an answer with the rate first, since it was started.
+    /// When each entry first relayed an answer with the rate limit since its start.
     announced_at: Vec<Option<TimeMs>>,
     is_cut_off: Vec<bool>,
-    /// Arrivals at the backend server, and whether their entries were bound.
+    /// Arrivals at the backend server, and whether their entries were bound by the limit.
     arrived: Vec<(TimeMs, bool)>,
     next_ticket: u64,
     node: Name,
-    /// What the backend server names.
+    /// The rate limit of the backend server.
     per_s: f64,
 }
 
@@ -226,7 +226,7 @@
 
     fn answers(&mut self, ticket: u64, entry: usize) {
         let now = self.now;
-        // A guard that was restarted meanwhile has forgotten the call, and its entry lost it.
+        // A guard that was restarted in between has no record of the call.
         let Some((_, Some(sent_at))) = self.guard.calls.remove(&ticket) else {
             return;
         };
@@ -261,7 +261,8 @@
         self.announced_at[entry] = None;
     }
 
-    /// The most arrivals of bound entries in a window that ends after the rule binds.
+    /// The maximum number of arrivals of bound entries in a window that ends after the limit is
+    /// enforced.
     fn max_arrivals_in_window(&self) -> usize {
         let bound: Vec<TimeMs> = self
             .arrived
@@ -279,7 +280,7 @@
     }
 }
 
-/// What happens beside the surge.
+/// A fault in addition to the surge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     None,
@@ -290,8 +291,8 @@
     AllRestarted,
 }
 
-/// Guards against a fleet that brings a backend server more than it named: by its size, a surge, a cut, or
-/// processes that were restarted and forgot.
+/// All entries together must not exceed the rate limit. They could because of their number, a
+/// surge, a network partition, or restarted processes that lost the announcement.
 #[rstest]
 fn no_window_exceeds_the_limit_across_entries(
     #[values(13, 81, 986, 1_972)] entries: usize,
@@ -338,7 +339,7 @@
         .count() as f64;
     let named = per_s * (ENDS_MS - 40_000) as f64 / 1_000.0;
     if fault != Fault::GuardKilledOften {
-        assert!(after_surge >= named * 0.9 - 1.0, "{calm} of {named}");
+        assert!(after_surge >= named * 0.9 - 1.0, "{after_surge} of {named}");
     }
 }
 
@@ -351,7 +352,7 @@
     }
 }
 
-/// Guards against an entry that forgets what binds it because a guard that knows nothing refused it.
+/// A refusal of a restarted guard, which has no announcement, must not remove the cached one.
 #[test]
 fn a_refusal_without_an_announcement_keeps_the_cached_one() {
     let node = Name::from("n");
@@ -371,7 +372,7 @@
     assert_eq!(cache.get(&node), None);
 }
 
-/// Guards against a departure that is taken back by an answer without it.
+/// An answer without the departure must not revoke it within the same incarnation.
 #[test]
 fn a_departure_is_kept_within_its_incarnation() {
     let node = Name::from("n");
@@ -400,7 +401,7 @@
     assert_eq!(cache.get(&node), Some(&announcement("i-2", false, Some(1))));
 }
 
-/// Guards against memory that grows with every backend server that ever named a rate.
+/// The cache must not grow with every backend server that ever announced a rate limit.
 #[test]
 fn the_oldest_entry_is_evicted_when_the_cache_is_full() {
     let mut cache = AnnouncementCache::default();
