--- a/src/traffic/allowances.rs
+++ b/src/traffic/allowances.rs
@@ -91,7 +91,7 @@
     }
 
     /// Refunds an admitted request that reached no backend server.
-    pub(super) fn give_back(&self, account: AccountId) {
+    pub(super) fn refund(&self, account: AccountId) {
         self.entry().give_back(account);
     }
 
@@ -101,7 +101,7 @@
     }
 
     /// When a keeper last answered a report.
-    pub(super) fn worded(&self) -> Option<TimeMs> {
+    pub(super) fn last_answer(&self) -> Option<TimeMs> {
         self.entry().worded()
     }
 
@@ -171,12 +171,12 @@
         report: Report,
         outgoing: &mut Vec<PeerMessage>,
     ) {
-        let is_worded = self
-            .worded()
+        let has_recent_answer = self
+            .last_answer()
             .is_some_and(|at| now.since(at) < EntryAllowances::WORD_MISSED_MS);
         for (order, keeper) in keepers.iter().enumerate() {
             let report = Report {
-                wants_word: order == 0 || !is_worded,
+                wants_word: order == 0 || !has_recent_answer,
                 ..report.clone()
             };
             if *keeper != self.node {
--- a/src/traffic/attempt.rs
+++ b/src/traffic/attempt.rs
@@ -43,7 +43,7 @@
     }
 
     /// Whether the backend server ran the call and answered with a success status.
-    pub(super) fn ran_well(&self) -> bool {
+    pub(super) fn has_succeeded(&self) -> bool {
         let answer = self.result.as_ref();
         answer.is_ok_and(|answer| answer.status.is_success())
     }
--- a/src/traffic/entry.rs
+++ b/src/traffic/entry.rs
@@ -116,7 +116,7 @@
     if let (Some(account), Err(refusal)) = (allowed, &answer)
         && refusal.run_state == RunState::NotRun
     {
-        traffic.allowances.give_back(account);
+        traffic.allowances.refund(account);
     }
     answer.map_err(Rejected::Refusal)
 }
--- a/src/traffic/forward.rs
+++ b/src/traffic/forward.rs
@@ -250,8 +250,8 @@
         deadline_left_ms: call.deadline.since(now),
     };
     let reason = retry_reason(failure, situation)?;
-    let paid = sends == 0 || traffic.budgets.try_retry(now, &call.service);
-    paid.then_some(reason)
+    let is_paid = sends == 0 || traffic.budgets.try_retry(now, &call.service);
+    is_paid.then_some(reason)
 }
 
 fn no_target() -> Refusal {
--- a/src/traffic/in_flight.rs
+++ b/src/traffic/in_flight.rs
@@ -16,7 +16,7 @@
     since: TimeMs,
     outcome: AttemptNews,
     /// The route of the call, if it succeeded.
-    ran: Option<Name>,
+    succeeded_route: Option<Name>,
 }
 
 impl InFlightAttempt {
@@ -28,7 +28,7 @@
             traffic,
             target,
             outcome: AttemptNews::default(),
-            ran: None,
+            succeeded_route: None,
         }
     }
 
@@ -40,7 +40,7 @@
             .as_ref()
             .map_or(0, |status| status.failing_permille);
         self.outcome.took_ms = self.traffic.clock.now().since(self.since);
-        self.ran = end.ran_well().then(|| route.clone());
+        self.succeeded_route = end.has_succeeded().then(|| route.clone());
         self.outcome.is_lost = end.reason() == Some(RefusalReason::PeerLost);
         let announcement = end
             .guard_status
@@ -65,6 +65,11 @@
         self.traffic.metrics.entry_in_flight.dec();
         let now = self.traffic.clock.now();
         let targets = &self.traffic.targets;
-        targets.ended(&self.target, self.outcome, self.ran.as_ref(), now);
+        targets.ended(
+            &self.target,
+            self.outcome,
+            self.succeeded_route.as_ref(),
+            now,
+        );
     }
 }
--- a/src/traffic/local_server.rs
+++ b/src/traffic/local_server.rs
@@ -284,7 +284,7 @@
             return LocalChange::NoChange;
         }
         let incarnation = announcement.incarnation.clone();
-        let left = if announcement.is_leaving {
+        let leaving_change = if announcement.is_leaving {
             self.apply_report(
                 now,
                 &ServerReport::departure(incarnation, announcement.started_unix_ms),
@@ -302,7 +302,7 @@
                 current.rate.take_over(now, per_s)
             });
         match change {
-            None | Some(RateChange::Unchanged) => left,
+            None | Some(RateChange::Unchanged) => leaving_change,
             Some(_) => LocalChange::Changed,
         }
     }
--- a/src/traffic/maintenance.rs
+++ b/src/traffic/maintenance.rs
@@ -10,18 +10,18 @@
 /// How often the admission gate is polled while no call waits.
 const IDLE_GATE_POLL: Duration = Duration::from_millis(100);
 /// From this pressure on, a service that the backend server calls counts as the bottleneck.
-const DEEP_PRESSED_PERMILLE: u32 = 900;
+const BOTTLENECK_PERMILLE: u32 = 900;
 /// How often root admission is logged while requests are refused.
 const ADMISSION_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-fn note_deep_pressure(traffic: &Traffic) {
+fn update_downstream_pressure(traffic: &Traffic) {
     let running = traffic.running.all();
-    let deepest = traffic
+    let highest = traffic
         .roots
         .deepest_permille(traffic.clock.now(), &running);
     traffic
         .gate
-        .set_deep_pressed(deepest >= DEEP_PRESSED_PERMILLE);
+        .set_deep_pressed(highest >= BOTTLENECK_PERMILLE);
 }
 
 /// Logs once a second the overloaded services for which requests are refused, and the queue of the
@@ -55,7 +55,7 @@
             IDLE_GATE_POLL
         };
         tokio::time::sleep(interval).await;
-        note_deep_pressure(&traffic);
+        update_downstream_pressure(&traffic);
         traffic.gate.poll();
     }
 }
--- a/src/traffic/process.rs
+++ b/src/traffic/process.rs
@@ -63,7 +63,7 @@
 const ROUTE_QUEUE_LENGTH: usize = 256;
 /// The number of priority classes: one for calls of backend servers, the rest for callers' requests
 /// by rank.
-const CLASSES: usize = 16;
+const PRIORITY_CLASSES: usize = 16;
 
 /// The dependencies of a node.
 pub struct TrafficInputs {
@@ -129,7 +129,7 @@
         };
         let traffic = Traffic::new(settings, inputs.clock, shared);
         let traffic = Arc::new(traffic);
-        traffic.gate.set_classes(CLASSES);
+        traffic.gate.set_classes(PRIORITY_CLASSES);
         let announce = announce_version(&control);
         let runtime = &control.runtime;
         let counted = CountedStore::new(inputs.store, traffic.metrics.store.clone());
--- a/src/traffic/stop.rs
+++ b/src/traffic/stop.rs
@@ -58,9 +58,9 @@
             if self.traffic.requests_in_progress() > 0 {
                 last_busy = now;
             }
-            let is_quiet =
+            let is_idle =
                 now - last_busy >= IDLE_BEFORE_EXIT && now - started >= ENTRY_CLOSED_AFTER;
-            if is_quiet || now >= deadline {
+            if is_idle || now >= deadline {
                 return;
             }
             sleep(POLL_INTERVAL).await;
