--- a/src/traffic/admin.rs
+++ b/src/traffic/admin.rs
@@ -41,7 +41,7 @@
     let body = match timeout(BODY_TIMEOUT, reading).await {
         Ok(Ok(body)) => body,
         Ok(Err(error)) => return reply(StatusCode::BAD_REQUEST, error.to_string()),
-        Err(_) => return reply(StatusCode::REQUEST_TIMEOUT, "body timed out".to_owned()),
+        Err(_) => return reply(StatusCode::REQUEST_TIMEOUT, "the body is late".to_owned()),
     };
     let decoded = (protocol.decode)(&parts.method, parts.uri.path(), &body);
     match decoded {
@@ -51,7 +51,7 @@
             Err(error) => refused(&error),
         },
         Ok(AdminRequest::Metrics) => metrics(&traffic),
-        Ok(AdminRequest::Unknown) => reply(StatusCode::NOT_FOUND, "unknown path".to_owned()),
+        Ok(AdminRequest::Unknown) => reply(StatusCode::NOT_FOUND, "not served here".to_owned()),
         Err(error) => refused(&error),
     }
 }
