--- a/src/traffic/admin.rs
+++ b/src/traffic/admin.rs
@@ -27,7 +27,7 @@
 /// Time-out for reading the body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The value of the backend rate metric while the backend server announces no rate limit.
+/// The value of the backend rate metric while the backend server advertises no rate limit.
 const NO_RATE: f64 = -1.0;
 
 /// Serves one request on the readiness or the report listener.
--- a/src/traffic/attempt.rs
+++ b/src/traffic/attempt.rs
@@ -18,8 +18,8 @@
     pub pressure: Option<Pressure>,
     /// Whether callers or backend servers use the call's route.
     pub origin: Option<RouteOrigin>,
-    /// The departure or rate limit announced by the backend server, if any.
-    pub announcement: Option<ServerWord>,
+    /// The departure or rate limit advertised by the backend server, if any.
+    pub advertisement: Option<ServerWord>,
 }
 
 /// The outcome of an attempt.
--- a/src/traffic/backend_answer.rs
+++ b/src/traffic/backend_answer.rs
@@ -33,7 +33,7 @@
 }
 
 /// Checks a whole answer to a request that was sent at `sent_at`, and applies the backend server's
-/// announcements in it.
+/// advertisements in it.
 ///
 /// # Errors
 /// Returns `not_run` if the backend server says so; otherwise the outcome is unknown.
@@ -45,10 +45,10 @@
     answer: &WholeAnswer,
 ) -> Result<(), Refusal> {
     let names = &traffic.settings.header_names;
-    let announcements = names.read_announcements(&answer.headers);
+    let advertisements = names.read_advertisements(&answer.headers);
     if answer.status == StatusCode::MISDIRECTED_REQUEST {
         if let Some(actual) = correct_incarnation(traffic, incarnation, answer) {
-            apply_announcements(traffic, &actual, sent_at, announcements);
+            apply_advertisements(traffic, &actual, sent_at, advertisements);
         }
         return Err(not_run(RefusalReason::BackendReplaced));
     }
@@ -58,9 +58,9 @@
         return Err(broken_answer());
     }
     let is_valid = is_valid(names, answer);
-    // An invalid answer without announcements must not revoke earlier ones.
-    if is_valid || announcements.said().next().is_some() {
-        apply_announcements(traffic, incarnation, sent_at, announcements);
+    // An invalid answer without advertisements must not revoke earlier ones.
+    if is_valid || advertisements.said().next().is_some() {
+        apply_advertisements(traffic, incarnation, sent_at, advertisements);
     }
     if answer.headers.contains_key(&names.not_run) {
         return Err(not_run(RefusalReason::BackendShed));
@@ -78,31 +78,31 @@
     !headers.contains_key(CONTENT_ENCODING) && (is_signed || !answer.status.is_success())
 }
 
-/// Applies the announcements of an incarnation, from its answer to a request that was sent at
+/// Applies the advertisements of an incarnation, from its answer to a request that was sent at
 /// `sent_at`.
 ///
 /// A departure has the same effect as a reported one. It is applied before the answer is returned,
 /// because the receiver of the answer relies on it.
-pub(super) fn apply_announcements(
+pub(super) fn apply_advertisements(
     traffic: &Traffic,
     incarnation: &Name,
     sent_at: TimeMs,
-    announcements: ServerWords,
+    advertisements: ServerWords,
 ) {
-    announcements
+    advertisements
         .said()
         .for_each(|word| traffic.metrics.count_word(word));
-    if announcements.rate == RateWord::Malformed {
+    if advertisements.rate == RateWord::Malformed {
         log::warn!("local: malformed rate limit, incarnation={incarnation}");
     }
     let now = traffic.clock.now();
-    if announcements.is_leaving {
+    if advertisements.is_leaving {
         let departure = ServerReport::departure(incarnation.clone(), None);
         traffic.update_local(|local| local.apply_report(now, &departure));
     }
     let mut change = RateChange::Unchanged;
     traffic.update_local(|local| {
-        change = local.apply_rate(now, incarnation, sent_at, announcements.rate);
+        change = local.apply_rate(now, incarnation, sent_at, advertisements.rate);
         match change {
             RateChange::Unchanged => LocalChange::NoChange,
             _ => LocalChange::Changed,
--- a/src/traffic/forward.rs
+++ b/src/traffic/forward.rs
@@ -155,10 +155,10 @@
     if let Some(guard_status) = &end.guard_status {
         let now = traffic.clock.now();
         let has_run = end.reached_backend && end.result.is_ok();
-        traffic.announcement_cache().update(
+        traffic.advertisement_cache().update(
             now,
             &target.node,
-            guard_status.announcement.clone(),
+            guard_status.advertisement.clone(),
             has_run,
         );
         let pressure = service_pressure(traffic, call, target, guard_status);
@@ -210,9 +210,9 @@
             slots: target.slots,
         };
         let rate = guard_status
-            .announcement
+            .advertisement
             .as_ref()
-            .and_then(|announcement| announcement.rate_milli);
+            .and_then(|advertisement| advertisement.rate_milli);
         pressure.permille = traffic.targets.note_pressure(
             &view,
             &call.service,
--- a/src/traffic/guard.rs
+++ b/src/traffic/guard.rs
@@ -130,7 +130,7 @@
     let route = call.hop.route.clone();
     let request_log = GuardLog::new(traffic, &call);
     let origin = record_origin(traffic, &call.hop);
-    apply_announcement(traffic, &call.hop);
+    apply_advertisement(traffic, &call.hop);
     let refusal = refuse_root(traffic, &call, origin).or_else(|| refuse_repeat(traffic, &call));
     let end = match refusal {
         Some(refusal) => BackendEnd::not_sent(refusal),
@@ -145,20 +145,20 @@
     end
 }
 
-/// Applies what the sending entry knows of the local backend server's announcements.
-fn apply_announcement(traffic: &Traffic, hop: &HopCall) {
-    let Some(announcement) = &hop.word else {
+/// Applies what the sending entry knows of the local backend server's advertisements.
+fn apply_advertisement(traffic: &Traffic, hop: &HopCall) {
+    let Some(advertisement) = &hop.word else {
         return;
     };
     let now = traffic.clock.now();
     traffic.update_local(|local| {
-        let change = local.apply_announcement(now, announcement);
+        let change = local.apply_advertisement(now, advertisement);
         if change == LocalChange::Changed {
             log::info!(
-                "local: announcement from an entry, incarnation={} leaving={} rate_milli={:?}",
-                announcement.incarnation,
-                announcement.is_leaving,
-                announcement.rate_milli
+                "local: advertisement relayed by an entry, incarnation={} leaving={} rate_milli={:?}",
+                advertisement.incarnation,
+                advertisement.is_leaving,
+                advertisement.rate_milli
             );
         }
         change
@@ -290,7 +290,7 @@
         failing_permille: traffic.failing_permille(now),
         pressure: traffic.roots.on_answer(now, route, own),
         origin,
-        announcement: traffic.local().announcement(),
+        advertisement: traffic.local().advertisement(),
     }
 }
 
@@ -305,7 +305,7 @@
         origin: guard_status.origin,
         load: guard_status.load,
         failing_permille: guard_status.failing_permille,
-        word: guard_status.announcement,
+        word: guard_status.advertisement,
     };
     let refused = || WholeAnswer {
         status: StatusCode::SERVICE_UNAVAILABLE,
--- a/src/traffic/header_names.rs
+++ b/src/traffic/header_names.rs
@@ -33,8 +33,8 @@
 }
 
 impl HeaderNames {
-    /// Reads a backend server's announcements from the headers of an answer.
-    pub fn read_announcements(&self, headers: &HeaderMap) -> ServerWords {
+    /// Reads a backend server's advertisements from the headers of an answer.
+    pub fn read_advertisements(&self, headers: &HeaderMap) -> ServerWords {
         ServerWords::of(&self.rate_limit, &self.leaving, headers)
     }
 }
--- a/src/traffic/hop.rs
+++ b/src/traffic/hop.rs
@@ -58,7 +58,7 @@
             call.repeated_permille
         },
         deadline_left_ms: deadline.since(traffic.clock.now()) as u32,
-        word: traffic.announcement_cache().get(&target.node).cloned(),
+        word: traffic.advertisement_cache().get(&target.node).cloned(),
     }
 }
 
@@ -134,7 +134,7 @@
             failing_permille: hop.failing_permille,
             pressure: hop.pressure,
             origin: hop.origin,
-            announcement: hop.word,
+            advertisement: hop.word,
         }),
     }
 }
--- a/src/traffic/in_flight.rs
+++ b/src/traffic/in_flight.rs
@@ -42,11 +42,11 @@
         self.outcome.took_ms = self.traffic.clock.now().since(self.since);
         self.succeeded_route = end.has_succeeded().then(|| route.clone());
         self.outcome.is_lost = end.reason() == Some(RefusalReason::PeerLost);
-        let announcement = end
+        let advertisement = end
             .guard_status
             .as_ref()
-            .and_then(|status| status.announcement.as_ref());
-        let is_leaving = announcement.is_some_and(|announcement| announcement.is_leaving);
+            .and_then(|status| status.advertisement.as_ref());
+        let is_leaving = advertisement.is_some_and(|advertisement| advertisement.is_leaving);
         let is_closed = matches!(
             end.reason(),
             Some(
--- a/src/traffic/local_server.rs
+++ b/src/traffic/local_server.rs
@@ -265,38 +265,38 @@
         now: TimeMs,
         incarnation: &Name,
         sent_at: TimeMs,
-        announcement: RateWord,
+        advertisement: RateWord,
     ) -> RateChange {
         let current = self.current.as_mut();
         match current.filter(|current| current.incarnation == *incarnation) {
-            Some(current) => current.rate.note(now, sent_at, announcement),
+            Some(current) => current.rate.note(now, sent_at, advertisement),
             None => RateChange::Unchanged,
         }
     }
 
-    /// Applies an announcement relayed by a peer. It may be from before this process started.
-    pub fn apply_announcement(&mut self, now: TimeMs, announcement: &ServerWord) -> LocalChange {
+    /// Applies an advertisement relayed by a peer. It may be from before this process started.
+    pub fn apply_advertisement(&mut self, now: TimeMs, advertisement: &ServerWord) -> LocalChange {
         let current = self.current.as_ref();
-        let current = current.filter(|current| current.incarnation == announcement.incarnation);
+        let current = current.filter(|current| current.incarnation == advertisement.incarnation);
         if current
-            .is_some_and(|current| is_later(current.started_unix_ms, announcement.started_unix_ms))
+            .is_some_and(|current| is_later(current.started_unix_ms, advertisement.started_unix_ms))
         {
             return LocalChange::NoChange;
         }
-        let incarnation = announcement.incarnation.clone();
-        let leaving_change = if announcement.is_leaving {
+        let incarnation = advertisement.incarnation.clone();
+        let leaving_change = if advertisement.is_leaving {
             self.apply_report(
                 now,
-                &ServerReport::departure(incarnation, announcement.started_unix_ms),
+                &ServerReport::departure(incarnation, advertisement.started_unix_ms),
             )
         } else {
             LocalChange::NoChange
         };
         let is_meant =
-            |current: &&mut CurrentServer| current.incarnation == announcement.incarnation;
+            |current: &&mut CurrentServer| current.incarnation == advertisement.incarnation;
         let current = self.current.as_mut().filter(is_meant);
         let change = current
-            .zip(announcement.rate_milli)
+            .zip(advertisement.rate_milli)
             .map(|(current, rate_milli)| {
                 let per_s = rate_milli as f64 / MILLI;
                 current.rate.take_over(now, per_s)
@@ -307,8 +307,8 @@
         }
     }
 
-    /// The departure and rate limit that the current incarnation has announced, if any.
-    pub fn announcement(&self) -> Option<ServerWord> {
+    /// The departure and rate limit advertised by the current incarnation, if any.
+    pub fn advertisement(&self) -> Option<ServerWord> {
         let current = self.current.as_ref()?;
         let rate_milli = current.rate.per_s().map(|per_s| (per_s * MILLI) as u64);
         (current.is_leaving || rate_milli.is_some()).then(|| ServerWord {
@@ -319,7 +319,7 @@
         })
     }
 
-    /// The rate limit that it has announced, in requests per second.
+    /// The rate limit that it has advertised, in requests per second.
     pub fn rate_per_s(&self) -> Option<f64> {
         self.current.as_ref()?.rate.per_s()
     }
--- a/src/traffic/mod.rs
+++ b/src/traffic/mod.rs
@@ -10,9 +10,9 @@
 mod account_check;
 mod admin;
 mod admin_protocol;
+mod advertisement_cache;
 mod allowance_task;
 mod allowances;
-mod announcement_cache;
 mod attempt;
 mod backend;
 mod backend_answer;
@@ -57,7 +57,7 @@
 
 pub use admin_protocol::AdminProtocol;
 pub use admin_protocol::AdminRequest;
-pub use announcement_cache::AnnouncementCache;
+pub use advertisement_cache::AdvertisementCache;
 pub use desired_in_force::DesiredInForce;
 pub use desired_in_force::InForce;
 pub use desired_task::DesiredSource;
--- a/src/traffic/server_restore.rs
+++ b/src/traffic/server_restore.rs
@@ -15,7 +15,7 @@
 use tokio::time::timeout;
 
 use crate::core::Name;
-use crate::traffic::backend_answer::apply_announcements;
+use crate::traffic::backend_answer::apply_advertisements;
 use crate::traffic::traffic::Traffic;
 use crate::wire::ServerWords;
 
@@ -56,14 +56,19 @@
     if checked.is_healthy {
         traffic.update_local(|local| local.restore(now, &known));
     }
-    apply_announcements(&traffic, &known.incarnation, sent_at, checked.announcements);
+    apply_advertisements(
+        &traffic,
+        &known.incarnation,
+        sent_at,
+        checked.advertisements,
+    );
 }
 
 /// The answer of a health check.
 struct HealthCheck {
     incarnation: Name,
     is_healthy: bool,
-    announcements: ServerWords,
+    advertisements: ServerWords,
 }
 
 /// Performs a health check of the backend server.
@@ -88,7 +93,7 @@
     Some(HealthCheck {
         incarnation: Name::from(incarnation),
         is_healthy: answer.status.is_success(),
-        announcements: names.read_announcements(&answer.headers),
+        advertisements: names.read_advertisements(&answer.headers),
     })
 }
 
--- a/src/traffic/traffic.rs
+++ b/src/traffic/traffic.rs
@@ -29,7 +29,7 @@
 use crate::routing::FailingShare;
 use crate::routing::PickerConf;
 use crate::routing::Spill;
-use crate::traffic::AnnouncementCache;
+use crate::traffic::AdvertisementCache;
 use crate::traffic::DesiredInForce;
 use crate::traffic::KnownServer;
 use crate::traffic::LiveSettings;
@@ -98,7 +98,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct LocalServerStatus {
     pub service: Name,
-    /// How many calls it can run at once: as reported, or, if it announces a rate limit, as many of
+    /// How many calls it can run at once: as reported, or, if it advertises a rate limit, as many of
     /// these as that rate can use.
     pub slots: u32,
     pub state: TargetState,
@@ -154,7 +154,7 @@
     pub local_status: watch::Sender<LocalServerStatus>,
     live: Published<LiveSettings>,
     local: Mutex<LocalServer>,
-    announcement_cache: Mutex<AnnouncementCache>,
+    advertisement_cache: Mutex<AdvertisementCache>,
     failing: Mutex<FailingShare>,
     requests: AtomicUsize,
     /// The version of the desired state whose limits the gate has.
@@ -201,7 +201,7 @@
             local_status: watch::Sender::new(unknown),
             failing: Mutex::default(),
             local: Mutex::new(LocalServer::new(settings.live.heartbeat_ms)),
-            announcement_cache: Mutex::default(),
+            advertisement_cache: Mutex::default(),
             requests: AtomicUsize::new(0),
             limits_version: AtomicU64::new(0),
             live: Published::from_pointee(settings.live),
@@ -247,10 +247,10 @@
         self.local.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What backend servers have announced in answers that this node relayed. Never held across an
+    /// What backend servers have advertised in answers that this node relayed. Never held across an
     /// await.
-    pub(super) fn announcement_cache(&self) -> MutexGuard<'_, AnnouncementCache> {
-        self.announcement_cache
+    pub(super) fn advertisement_cache(&self) -> MutexGuard<'_, AdvertisementCache> {
+        self.advertisement_cache
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
@@ -303,7 +303,7 @@
 
     /// Announces the status of the local backend server, if it has changed.
     ///
-    /// A backend server may announce a slightly different rate limit with each answer. The status
+    /// A backend server may advertise a slightly different rate limit with each answer. The status
     /// has the number of calls that it can run at once instead, which rarely changes, so not every
     /// answer causes a message to all nodes.
     fn publish_local_status(&self, status: LocalServerStatus) {
--- a/tests/traffic_rate_fleet.rs
+++ b/tests/traffic_rate_fleet.rs
@@ -15,28 +15,28 @@
 use sassafrasgap::core::Name;
 use sassafrasgap::core::Priority;
 use sassafrasgap::core::TimeMs;
-use sassafrasgap::traffic::AnnouncementCache;
+use sassafrasgap::traffic::AdvertisementCache;
 use sassafrasgap::traffic::LocalServer;
 use sassafrasgap::traffic::ReportedState;
 use sassafrasgap::traffic::ServerReport;
 use sassafrasgap::wire::ServerWord;
 
 const WINDOW_MS: u64 = 4_000;
-/// An entry is bound by an announcement this long after it relayed it.
-const ANNOUNCED_FOR_MS: u64 = 500;
+/// An entry is bound by an advertisement this long after it relayed it.
+const ADVERTISED_FOR_MS: u64 = 500;
 const HOP_MS: u64 = 2;
 const RUN_MS: u64 = 60;
 /// Requests per second to this backend server, normally and during a surge.
 const USUAL_PER_S: f64 = 75.0;
 const SURGE_PER_S: f64 = 225.0;
-/// When the backend server starts to announce its rate limit, and when the limit is enforced.
-const ANNOUNCED_MS: u64 = 4_000;
-const ENFORCED_MS: u64 = ANNOUNCED_MS + 3_000;
+/// When the backend server starts to advertise its rate limit, and when the limit is enforced.
+const ADVERTISED_MS: u64 = 4_000;
+const ENFORCED_MS: u64 = ADVERTISED_MS + 3_000;
 const ENDS_MS: u64 = 60_000;
 
 #[derive(Clone, Debug)]
 enum Event {
-    /// A call of this entry reaches the guard, with the announcement that the entry has cached.
+    /// A call of this entry reaches the guard, with the advertisement that the entry has cached.
     Reaches(usize, Option<ServerWord>),
     /// The backend server answers the call with this ticket, of this entry.
     Answers(u64, usize),
@@ -87,9 +87,9 @@
     events: BTreeMap<(TimeMs, u64), Event>,
     order: u64,
     guard: Guard,
-    entries: Vec<AnnouncementCache>,
+    entries: Vec<AdvertisementCache>,
     /// When each entry first relayed an answer with the rate limit since its start.
-    announced_at: Vec<Option<TimeMs>>,
+    advertised_at: Vec<Option<TimeMs>>,
     is_cut_off: Vec<bool>,
     /// Arrivals at the backend server, and whether their entries were bound by the limit.
     arrived: Vec<(TimeMs, bool)>,
@@ -107,8 +107,8 @@
             events: BTreeMap::new(),
             order: 0,
             guard: Guard::started(TimeMs(0), seed),
-            entries: vec![AnnouncementCache::default(); entries],
-            announced_at: vec![None; entries],
+            entries: vec![AdvertisementCache::default(); entries],
+            advertised_at: vec![None; entries],
             is_cut_off: vec![false; entries],
             arrived: Vec::new(),
             next_ticket: 0,
@@ -122,8 +122,8 @@
         self.events.insert((self.now + in_ms, self.order), event);
     }
 
-    fn announces_rate(&self) -> bool {
-        self.now >= TimeMs(ANNOUNCED_MS)
+    fn advertises_rate(&self) -> bool {
+        self.now >= TimeMs(ADVERTISED_MS)
     }
 
     fn step(&mut self, per_s: f64) {
@@ -142,8 +142,8 @@
             expected -= 1.0;
             let entry = self.random.usize(..self.entries.len());
             if !self.is_cut_off[entry] {
-                let announcement = self.entries[entry].get(&self.node).cloned();
-                self.schedule(HOP_MS, Event::Reaches(entry, announcement));
+                let advertisement = self.entries[entry].get(&self.node).cloned();
+                self.schedule(HOP_MS, Event::Reaches(entry, advertisement));
             }
         }
         if self.now.0.is_multiple_of(20) {
@@ -153,24 +153,24 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Reaches(entry, announcement) => self.reaches(entry, announcement),
+            Event::Reaches(entry, advertisement) => self.reaches(entry, advertisement),
             Event::Answers(ticket, entry) => self.answers(ticket, entry),
-            Event::Returns(entry, announcement, has_run) => {
+            Event::Returns(entry, advertisement, has_run) => {
                 if self.is_cut_off[entry] {
                     return;
                 }
-                if has_run && announcement.is_some() && self.announced_at[entry].is_none() {
-                    self.announced_at[entry] = Some(self.now);
+                if has_run && advertisement.is_some() && self.advertised_at[entry].is_none() {
+                    self.advertised_at[entry] = Some(self.now);
                 }
-                self.entries[entry].update(self.now, &self.node, announcement, has_run);
+                self.entries[entry].update(self.now, &self.node, advertisement, has_run);
             }
         }
     }
 
-    fn reaches(&mut self, entry: usize, announcement: Option<ServerWord>) {
+    fn reaches(&mut self, entry: usize, advertisement: Option<ServerWord>) {
         let now = self.now;
-        if let Some(announcement) = announcement {
-            self.guard.local.apply_announcement(now, &announcement);
+        if let Some(advertisement) = advertisement {
+            self.guard.local.apply_advertisement(now, &advertisement);
             self.guard
                 .admission
                 .set_rate(now, self.guard.local.rate_per_s());
@@ -194,8 +194,8 @@
                 self.guard.calls.insert(ticket, (entry, None));
             }
             Offer::Refuse(_) => {
-                let announcement = self.guard.local.announcement();
-                self.schedule(HOP_MS, Event::Returns(entry, announcement, false));
+                let advertisement = self.guard.local.advertisement();
+                self.schedule(HOP_MS, Event::Returns(entry, advertisement, false));
             }
         }
         self.poll();
@@ -207,8 +207,8 @@
                 Action::Start(ticket) => self.start(ticket),
                 Action::Refuse(ticket, _) => {
                     let (entry, _) = self.guard.calls.remove(&ticket).unwrap();
-                    let announcement = self.guard.local.announcement();
-                    self.schedule(HOP_MS, Event::Returns(entry, announcement, false));
+                    let advertisement = self.guard.local.advertisement();
+                    self.schedule(HOP_MS, Event::Returns(entry, advertisement, false));
                 }
             }
         }
@@ -219,7 +219,8 @@
         let call = self.guard.calls.get_mut(&ticket).unwrap();
         call.1 = Some(now);
         let entry = call.0;
-        let is_bound = self.announced_at[entry].is_some_and(|at| now.since(at) >= ANNOUNCED_FOR_MS);
+        let is_bound =
+            self.advertised_at[entry].is_some_and(|at| now.since(at) >= ADVERTISED_FOR_MS);
         self.arrived.push((now, is_bound));
         self.schedule(RUN_MS, Event::Answers(ticket, entry));
     }
@@ -230,7 +231,7 @@
         let Some((_, Some(sent_at))) = self.guard.calls.remove(&ticket) else {
             return;
         };
-        let announcement = if self.announces_rate() {
+        let advertisement = if self.advertises_rate() {
             RateWord::PerS(self.per_s)
         } else {
             RateWord::Absent
@@ -238,7 +239,7 @@
         let incarnation = Name::from("i-1");
         self.guard
             .local
-            .apply_rate(now, &incarnation, sent_at, announcement);
+            .apply_rate(now, &incarnation, sent_at, advertisement);
         let admission = &mut self.guard.admission;
         admission.set_rate(now, self.guard.local.rate_per_s());
         let completion = Completion {
@@ -247,8 +248,8 @@
             verdict: Verdict::Ok,
         };
         admission.complete(now, ticket, completion);
-        let announcement = self.guard.local.announcement();
-        self.schedule(HOP_MS, Event::Returns(entry, announcement, true));
+        let advertisement = self.guard.local.advertisement();
+        self.schedule(HOP_MS, Event::Returns(entry, advertisement, true));
         self.poll();
     }
 
@@ -257,8 +258,8 @@
     }
 
     fn restart_entry(&mut self, entry: usize) {
-        self.entries[entry] = AnnouncementCache::default();
-        self.announced_at[entry] = None;
+        self.entries[entry] = AdvertisementCache::default();
+        self.advertised_at[entry] = None;
     }
 
     /// The maximum number of arrivals of bound entries in a window that ends after the limit is
@@ -292,7 +293,7 @@
 }
 
 /// All entries together must not exceed the rate limit. They could because of their number, a
-/// surge, a network partition, or restarted processes that lost the announcement.
+/// surge, a network partition, or restarted processes that lost the advertisement.
 #[rstest]
 fn no_window_exceeds_the_limit_across_entries(
     #[values(13, 81, 986, 1_972)] entries: usize,
@@ -310,7 +311,7 @@
 ) {
     let mut simulation = Simulation::new(entries, per_s, seed);
     for ms in 1..ENDS_MS {
-        let is_surge = (20_000..32_000).contains(&ms) || ms < ANNOUNCED_MS;
+        let is_surge = (20_000..32_000).contains(&ms) || ms < ADVERTISED_MS;
         match (fault, ms) {
             (Fault::GuardKilled, 24_000) => simulation.restart_guard(),
             (Fault::GuardKilledOften, ms) if ms > 20_000 && ms.is_multiple_of(1_700) => {
@@ -343,7 +344,7 @@
     }
 }
 
-fn announcement(incarnation: &str, is_leaving: bool, rate_milli: Option<u64>) -> ServerWord {
+fn advertisement(incarnation: &str, is_leaving: bool, rate_milli: Option<u64>) -> ServerWord {
     ServerWord {
         incarnation: Name::from(incarnation),
         started_unix_ms: None,
@@ -352,21 +353,21 @@
     }
 }
 
-/// A refusal of a restarted guard, which has no announcement, must not remove the cached one.
+/// A refusal of a restarted guard, which has no advertisement, must not remove the cached one.
 #[test]
-fn a_refusal_without_an_announcement_keeps_the_cached_one() {
+fn a_refusal_without_an_advertisement_keeps_the_cached_one() {
     let node = Name::from("n");
-    let mut cache = AnnouncementCache::default();
+    let mut cache = AdvertisementCache::default();
     cache.update(
         TimeMs(1),
         &node,
-        Some(announcement("i-1", false, Some(2_000))),
+        Some(advertisement("i-1", false, Some(2_000))),
         true,
     );
     cache.update(TimeMs(2), &node, None, false);
     assert_eq!(
         cache.get(&node),
-        Some(&announcement("i-1", false, Some(2_000)))
+        Some(&advertisement("i-1", false, Some(2_000)))
     );
     cache.update(TimeMs(3), &node, None, true);
     assert_eq!(cache.get(&node), None);
@@ -376,41 +377,44 @@
 #[test]
 fn a_departure_is_kept_within_its_incarnation() {
     let node = Name::from("n");
-    let mut cache = AnnouncementCache::default();
+    let mut cache = AdvertisementCache::default();
     cache.update(
         TimeMs(1),
         &node,
-        Some(announcement("i-1", true, Some(2_000))),
+        Some(advertisement("i-1", true, Some(2_000))),
         true,
     );
     cache.update(TimeMs(2), &node, None, true);
-    assert_eq!(cache.get(&node), Some(&announcement("i-1", true, None)));
+    assert_eq!(cache.get(&node), Some(&advertisement("i-1", true, None)));
     cache.update(
         TimeMs(3),
         &node,
-        Some(announcement("i-1", false, Some(1))),
+        Some(advertisement("i-1", false, Some(1))),
         true,
     );
-    assert_eq!(cache.get(&node), Some(&announcement("i-1", true, Some(1))));
+    assert_eq!(cache.get(&node), Some(&advertisement("i-1", true, Some(1))));
     cache.update(
         TimeMs(4),
         &node,
-        Some(announcement("i-2", false, Some(1))),
+        Some(advertisement("i-2", false, Some(1))),
         true,
     );
-    assert_eq!(cache.get(&node), Some(&announcement("i-2", false, Some(1))));
+    assert_eq!(
+        cache.get(&node),
+        Some(&advertisement("i-2", false, Some(1)))
+    );
 }
 
-/// The cache must not grow with every backend server that ever announced a rate limit.
+/// The cache must not grow with every backend server that ever advertised a rate limit.
 #[test]
 fn the_oldest_entry_is_evicted_when_the_cache_is_full() {
-    let mut cache = AnnouncementCache::default();
+    let mut cache = AdvertisementCache::default();
     for order in 0..3_000 {
         let node = Name::from(format!("n-{order}"));
         cache.update(
             TimeMs(order),
             &node,
-            Some(announcement("i", false, Some(1))),
+            Some(advertisement("i", false, Some(1))),
             true,
         );
     }
