--- a/src/traffic/entry_account.rs
+++ b/src/traffic/entry_account.rs
@@ -18,7 +18,7 @@
 use crate::traffic::HeaderNames;
 use crate::traffic::InForce;
 use crate::traffic::call::Call;
-use crate::traffic::request_log::log_over_allowance;
+use crate::traffic::request_log::log_allowance_exceeded;
 use crate::traffic::traffic::Traffic;
 use crate::wire::CallAccount;
 
@@ -125,7 +125,7 @@
     let id = AccountId::of(&account.name);
     let decision = traffic.allowances.ask(traffic.clock.now(), id, allowance);
     decision.map(|()| Some(id)).map_err(|exceeded| {
-        log_over_allowance(traffic, account, allowance, exceeded);
+        log_allowance_exceeded(traffic, account, allowance, exceeded);
         Refusal::not_run(RefusalReason::AllowanceSpent, exceeded.retry_after_ms)
     })
 }
--- a/src/traffic/request_log.rs
+++ b/src/traffic/request_log.rs
@@ -242,7 +242,7 @@
 }
 
 /// Logs a request that exceeds its account's allowance. The key is never logged.
-pub(super) fn log_over_allowance(
+pub(super) fn log_allowance_exceeded(
     traffic: &Traffic,
     account: &CallAccount,
     allowance: Allowance,
