--- a/src/traffic/account_check.rs
+++ b/src/traffic/account_check.rs
@@ -10,7 +10,8 @@
 ///
 /// A key can be revoked while a request waits, at its entry for a target or at a guard for a slot.
 /// So a node checks the key again before it sends the request, if it has a later desired state than
-/// the one by which the request was admitted. An earlier state has no newer information.
+/// the one by which the request was admitted. The same or an earlier state cannot contain a later
+/// revocation.
 pub(super) fn check_account(
     traffic: &Traffic,
     account: Option<&CallAccount>,
--- a/src/traffic/admin.rs
+++ b/src/traffic/admin.rs
@@ -81,11 +81,11 @@
     Ok(())
 }
 
-/// The service named by a report, if the desired state does not have it and the backend server did
-/// not have it before.
+/// The service named by a report, if it is not in the desired state, not the configured service of
+/// this node, and not the service that the backend server has reported so far.
 ///
-/// Otherwise a report of another writer could remove a working target from its service. A report
-/// that the backend server drains or leaves is always accepted.
+/// Such a report is rejected. It may come from another process, and would remove a working target
+/// from its service. A report that the backend server is draining or has left is always accepted.
 fn unknown_service(traffic: &Traffic, report: &ServerReport) -> Option<Name> {
     let service = report.service.clone()?;
     let in_force = traffic.desired.load()?;
@@ -117,7 +117,7 @@
     traffic.metrics.body_bytes.set(held as i64);
     let failing = traffic.failing_permille(traffic.clock.now());
     traffic.metrics.failing_permille.set(i64::from(failing));
-    traffic.metrics.set_pressed(&traffic.roots.pressed());
+    traffic.metrics.set_pressed(&traffic.roots.overloaded());
     let queued = traffic.gate.queued_by_class();
     traffic.metrics.set_guard_queue(&queued);
     let version = traffic.desired.version();
--- a/src/traffic/allowance_task.rs
+++ b/src/traffic/allowance_task.rs
@@ -72,8 +72,8 @@
 fn handle(traffic: &Traffic, control: &ControlHandle, from: &Name, message: AllowanceMessage) {
     let now = traffic.clock.now();
     let view = traffic.view.load();
-    if let Some((to, answer)) = traffic.allowances.handle(now, &view, from, message) {
-        control.tell_allowances(to, answer);
+    if let Some((to, reply)) = traffic.allowances.handle(now, &view, from, message) {
+        control.tell_allowances(to, reply);
     }
 }
 
--- a/src/traffic/allowances.rs
+++ b/src/traffic/allowances.rs
@@ -22,15 +22,15 @@
 use crate::traffic::InForce;
 use crate::traffic::fleet_watch::FleetWatch;
 
-/// How often keepers of different failure domains exchange usage, in milliseconds.
+/// How often coordinators of different failure domains exchange usage, in milliseconds.
 const DOMAIN_EXCHANGE_MS: u64 = 300;
 
 /// A message and its peer: the recipient of an outgoing one, the sender of an incoming one.
 pub(super) type PeerMessage = (Name, AllowanceMessage);
 
 #[derive(Debug)]
-struct KeeperState {
-    keeper: AllowanceKeeper,
+struct CoordinatorState {
+    coordinator: AllowanceKeeper,
     fleet: FleetWatch,
     /// The version of the desired state whose allowances are in use.
     version: u64,
@@ -46,7 +46,7 @@
     /// The number of nodes at the last update of the fleet.
     nodes: AtomicUsize,
     entry: Mutex<EntryAllowances>,
-    keeper_state: Mutex<KeeperState>,
+    coordinator_state: Mutex<CoordinatorState>,
 }
 
 impl Allowances {
@@ -64,8 +64,8 @@
             domain,
             nodes: AtomicUsize::new(0),
             entry: Mutex::new(EntryAllowances::new(bound, is_first_start, process, now)),
-            keeper_state: Mutex::new(KeeperState {
-                keeper: AllowanceKeeper::new(is_first_start, now),
+            coordinator_state: Mutex::new(CoordinatorState {
+                coordinator: AllowanceKeeper::new(is_first_start, now),
                 fleet: FleetWatch::default(),
                 version: 0,
                 last_domain_exchange: now,
@@ -100,8 +100,8 @@
         self.entry().uses(now)
     }
 
-    /// When a keeper last answered a report.
-    pub(super) fn last_answer(&self) -> Option<TimeMs> {
+    /// When a coordinator last replied to a report.
+    pub(super) fn last_reply(&self) -> Option<TimeMs> {
         self.entry().worded()
     }
 
@@ -110,14 +110,14 @@
         if in_force.accounts.is_none() {
             return Vec::new();
         }
-        let keepers = self.update_fleet(now, view, in_force);
+        let coordinators = self.update_fleet(now, view, in_force);
         let mut outgoing = Vec::new();
         // Not in the condition itself, which would hold the lock for the whole block.
         let report = self.entry().report(now);
         if let Some(report) = report {
-            self.send_report(now, &keepers, report, &mut outgoing);
+            self.send_report(now, &coordinators, report, &mut outgoing);
         }
-        if keepers.first() == Some(&self.node) {
+        if coordinators.first() == Some(&self.node) {
             self.send_to_other_domains(now, &mut outgoing);
         }
         outgoing
@@ -133,77 +133,85 @@
     ) -> Option<PeerMessage> {
         match message {
             AllowanceMessage::Report(report) => self.handle_report(now, from, &report),
-            AllowanceMessage::Word(answer) => {
-                self.entry().take_word(now, &answer);
+            AllowanceMessage::Word(reply) => {
+                self.entry().take_word(now, &reply);
                 None
             }
             AllowanceMessage::Domain(usage) => {
                 let sender = view.nodes.get(from)?;
-                let mut keeper_state = self.keeper_state();
-                keeper_state.keeper.take_domain(now, &sender.domain, &usage);
+                let mut coordinator_state = self.coordinator_state();
+                coordinator_state
+                    .coordinator
+                    .take_domain(now, &sender.domain, &usage);
                 None
             }
         }
     }
 
-    /// Updates the set of nodes and the allowances; returns the keepers of this node's failure
+    /// Updates the set of nodes and the allowances; returns the coordinators of this node's failure
     /// domain.
     fn update_fleet(&self, now: TimeMs, view: &View, in_force: &InForce) -> Vec<Name> {
-        let mut keeper_state = self.keeper_state();
-        if keeper_state.version != in_force.state.version {
-            keeper_state.version = in_force.state.version;
+        let mut coordinator_state = self.coordinator_state();
+        if coordinator_state.version != in_force.state.version {
+            coordinator_state.version = in_force.state.version;
             let allowances = allowances_of(in_force);
-            keeper_state.keeper.set_allowances(allowances);
+            coordinator_state.coordinator.set_allowances(allowances);
         }
-        if let Some(fleet) = keeper_state.fleet.update(now, view, &self.domain) {
+        if let Some(fleet) = coordinator_state.fleet.update(now, view, &self.domain) {
             self.nodes.store(fleet.nodes(), Ordering::Relaxed);
-            keeper_state.keeper.set_fleet(now, fleet);
+            coordinator_state.coordinator.set_fleet(now, fleet);
         }
-        keeper_state.fleet.keepers(&self.domain).to_vec()
+        coordinator_state.fleet.coordinators(&self.domain).to_vec()
     }
 
-    /// Reports usage to both keepers of the failure domain, so the second one has all data if the
-    /// first fails. The first one answers; the second one answers only if an answer is overdue.
+    /// Reports usage to both coordinators of the failure domain, so the second one has all data if
+    /// the first fails. The first one replies; the second one replies only if a reply is overdue.
     fn send_report(
         &self,
         now: TimeMs,
-        keepers: &[Name],
+        coordinators: &[Name],
         report: Report,
         outgoing: &mut Vec<PeerMessage>,
     ) {
-        let has_recent_answer = self
-            .last_answer()
+        let has_recent_reply = self
+            .last_reply()
             .is_some_and(|at| now.since(at) < EntryAllowances::WORD_MISSED_MS);
-        for (order, keeper) in keepers.iter().enumerate() {
+        for (order, coordinator) in coordinators.iter().enumerate() {
             let report = Report {
-                wants_word: order == 0 || !has_recent_answer,
+                wants_word: order == 0 || !has_recent_reply,
                 ..report.clone()
             };
-            if *keeper != self.node {
-                outgoing.push((keeper.clone(), AllowanceMessage::Report(report)));
+            if *coordinator != self.node {
+                outgoing.push((coordinator.clone(), AllowanceMessage::Report(report)));
                 continue;
             }
-            let answer = self.keeper_state().keeper.take_report(now, keeper, &report);
-            if let Some(answer) = answer {
-                self.entry().take_word(now, &answer);
+            let reply = self
+                .coordinator_state()
+                .coordinator
+                .take_report(now, coordinator, &report);
+            if let Some(reply) = reply {
+                self.entry().take_word(now, &reply);
             }
         }
     }
 
     fn handle_report(&self, now: TimeMs, from: &Name, report: &Report) -> Option<PeerMessage> {
-        let answer = self.keeper_state().keeper.take_report(now, from, report)?;
-        Some((from.clone(), AllowanceMessage::Word(answer)))
+        let reply = self
+            .coordinator_state()
+            .coordinator
+            .take_report(now, from, report)?;
+        Some((from.clone(), AllowanceMessage::Word(reply)))
     }
 
     fn send_to_other_domains(&self, now: TimeMs, outgoing: &mut Vec<PeerMessage>) {
-        let mut keeper_state = self.keeper_state();
-        if now.since(keeper_state.last_domain_exchange) < DOMAIN_EXCHANGE_MS {
+        let mut coordinator_state = self.coordinator_state();
+        if now.since(coordinator_state.last_domain_exchange) < DOMAIN_EXCHANGE_MS {
             return;
         }
-        keeper_state.last_domain_exchange = now;
-        let usage = keeper_state.keeper.tell_domains(now);
-        for keeper in keeper_state.fleet.other_keepers(&self.domain) {
-            outgoing.push((keeper.clone(), AllowanceMessage::Domain(usage.clone())));
+        coordinator_state.last_domain_exchange = now;
+        let usage = coordinator_state.coordinator.tell_domains(now);
+        for coordinator in coordinator_state.fleet.other_coordinators(&self.domain) {
+            outgoing.push((coordinator.clone(), AllowanceMessage::Domain(usage.clone())));
         }
     }
 
@@ -211,8 +219,8 @@
         self.entry.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn keeper_state(&self) -> MutexGuard<'_, KeeperState> {
-        self.keeper_state
+    fn coordinator_state(&self) -> MutexGuard<'_, CoordinatorState> {
+        self.coordinator_state
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
--- a/src/traffic/attempt.rs
+++ b/src/traffic/attempt.rs
@@ -28,13 +28,13 @@
     pub result: Result<WholeAnswer, Refusal>,
     /// The call was sent to the backend server, or may have been.
     pub reached_backend: bool,
-    /// `None` if the guard did not answer.
+    /// `None` if the guard did not answer, or could not read the call.
     pub guard_status: Option<GuardStatus>,
 }
 
 impl AttemptEnd {
-    /// The guard did not answer.
-    pub(super) fn lost(refusal: Refusal, reached_backend: bool) -> Self {
+    /// An attempt that ended without a status of the guard.
+    pub(super) fn without_status(refusal: Refusal, reached_backend: bool) -> Self {
         Self {
             result: Err(refusal),
             reached_backend,
--- a/src/traffic/control_link.rs
+++ b/src/traffic/control_link.rs
@@ -63,11 +63,11 @@
     ControlHandlers {
         report_suspects: Arc::new(move |report| apply_peer_report(&poison, &service, &report)),
         config_above: Arc::new(move |above| for_requests.document_above(above)),
-        config_news: Arc::new(move |from, version, is_near| {
+        config_news: Arc::new(move |from, version, same_domain| {
             let announced = VersionAnnouncement {
                 from,
                 version,
-                is_near,
+                same_domain,
             };
             if version > for_announcements.version() && announcements.try_send(announced).is_err() {
                 log::debug!(
@@ -80,7 +80,7 @@
     }
 }
 
-/// Returns the check whether this node polls the store now; see [`asks_store`].
+/// Builds the callback that decides whether this node polls the store now; see [`asks_store`].
 pub(super) fn should_poll(traffic: &Arc<Traffic>, control: &Arc<ControlHandle>) -> ShouldPollStore {
     let (traffic, control) = (traffic.clone(), control.clone());
     let started = traffic.clock.now();
@@ -108,13 +108,13 @@
     })
 }
 
-/// Announces to all members that the store holds nothing newer.
+/// Builds the callback that announces to all members that the store holds nothing newer.
 pub(super) fn confirm_version(control: &Arc<ControlHandle>) -> ConfirmVersion {
     let control = control.clone();
     Arc::new(move |version| control.confirm_config_version(version))
 }
 
-/// Announces to all members which version is in force here.
+/// Builds the callback that announces to all members which version is in force here.
 pub(super) fn announce_version(control: &Arc<ControlHandle>) -> AnnounceVersion {
     let control = control.clone();
     Arc::new(move |version| control.set_config_version(version))
@@ -147,7 +147,7 @@
     }
 }
 
-/// Records an era of the store that another member has announced.
+/// Builds the handler that records an era of the store announced by another member.
 pub(super) fn era_handler(eras: &EraWatch) -> Arc<dyn Fn(u64) + Send + Sync> {
     let eras = eras.clone();
     Arc::new(move |era| {
--- a/src/traffic/entry.rs
+++ b/src/traffic/entry.rs
@@ -242,8 +242,8 @@
 
 /// The refusal of a request before any work, because a service of its call tree is overloaded.
 ///
-/// The retry-after is spread over [`SHED_RETRY_SPREAD_MS`], and short enough for an answer to the
-/// retry that is still useful.
+/// The retry-after is spread over [`SHED_RETRY_SPREAD_MS`]. It is short, so that the answer to the
+/// retry is still useful to the caller.
 fn shed() -> Refusal {
     let retry_after_ms = SHED_RETRY_AFTER_MS + fastrand::u64(..SHED_RETRY_SPREAD_MS);
     Refusal::not_run(RefusalReason::ShedAtEntry, retry_after_ms)
--- a/src/traffic/fleet_watch.rs
+++ b/src/traffic/fleet_watch.rs
@@ -1,4 +1,4 @@
-//! Tracks which nodes share the allowances of accounts, and which of them are keepers.
+//! Tracks which nodes share the allowances of accounts, and which of them are coordinators.
 
 use std::collections::BTreeMap;
 
@@ -10,13 +10,13 @@
 use crate::core::TimeMs;
 use crate::core::View;
 
-/// The number of keepers in each failure domain: two, so the data survives the failure of one.
-const KEEPERS: usize = 2;
+/// The number of coordinators in each failure domain: two, so the data survives the failure of one.
+const COORDINATORS_PER_DOMAIN: usize = 2;
 /// A dead node is counted for this time, in milliseconds: it may be alive on the other side of a
 /// network partition and still use its share.
 const DEAD_COUNTED_MS: u64 = EntryAllowances::SHARE_HOLDS_MS;
 
-/// The nodes and keepers as of the last view.
+/// The nodes and coordinators as of the last view.
 #[derive(Clone, Debug, Default)]
 pub(super) struct FleetWatch {
     view_change: Option<u64>,
@@ -24,7 +24,7 @@
     dead: FastMap<Name, TimeMs>,
     /// When the next dead node stops being counted.
     next_expiry: Option<TimeMs>,
-    keepers: BTreeMap<Name, Vec<Name>>,
+    coordinators: BTreeMap<Name, Vec<Name>>,
 }
 
 impl FleetWatch {
@@ -37,7 +37,7 @@
         self.track_dead(now, view);
         self.view_change = Some(view.changes);
         let mut present: BTreeMap<Name, Vec<Name>> = BTreeMap::new();
-        let mut keepers: BTreeMap<Name, Vec<Name>> = BTreeMap::new();
+        let mut coordinators: BTreeMap<Name, Vec<Name>> = BTreeMap::new();
         for node in view.nodes.values() {
             let is_counted = match node.state {
                 TargetState::Left => false,
@@ -49,15 +49,15 @@
                 nodes.push(node.node.clone());
             }
             if !matches!(node.state, TargetState::Left | TargetState::Dead) {
-                let nodes = keepers.entry(node.domain.clone()).or_default();
+                let nodes = coordinators.entry(node.domain.clone()).or_default();
                 nodes.push(node.node.clone());
             }
         }
-        for nodes in keepers.values_mut() {
+        for nodes in coordinators.values_mut() {
             nodes.sort_unstable();
-            nodes.truncate(KEEPERS);
+            nodes.truncate(COORDINATORS_PER_DOMAIN);
         }
-        self.keepers = keepers;
+        self.coordinators = coordinators;
         let others = present.iter().filter(|(domain, _)| *domain != own);
         Some(Fleet {
             others: others
@@ -67,18 +67,20 @@
         })
     }
 
-    /// The keepers of a failure domain; the first one answers reports.
-    pub(super) fn keepers(&self, domain: &Name) -> &[Name] {
-        self.keepers.get(domain).map_or(&[], |keepers| keepers)
+    /// The coordinators of a failure domain; the first one replies to usage reports.
+    pub(super) fn coordinators(&self, domain: &Name) -> &[Name] {
+        self.coordinators
+            .get(domain)
+            .map_or(&[], |coordinators| coordinators)
     }
 
-    /// The keepers of all other failure domains.
-    pub(super) fn other_keepers(&self, own: &Name) -> impl Iterator<Item = &Name> {
+    /// The coordinators of all other failure domains.
+    pub(super) fn other_coordinators(&self, own: &Name) -> impl Iterator<Item = &Name> {
         let others = self
-            .keepers
+            .coordinators
             .iter()
             .filter(move |(domain, _)| *domain != own);
-        others.flat_map(|(_, keepers)| keepers)
+        others.flat_map(|(_, coordinators)| coordinators)
     }
 
     fn is_recently_dead(&self, now: TimeMs, node: &Name) -> bool {
--- a/src/traffic/forward.rs
+++ b/src/traffic/forward.rs
@@ -37,7 +37,8 @@
 const FIRST_TARGET_WAIT_MS: u64 = 1_000;
 /// How often the view is polled for a first target, in milliseconds.
 const FIRST_TARGET_POLL_MS: u64 = 50;
-/// Minimum length of a body that counts as large for traffic between failure domains.
+/// From this length in bytes on, a body counts as large when a target in another failure domain is
+/// considered.
 const LARGE_BODY_BYTES: usize = 16 * 1024;
 /// Maximum number of targets tried, including those that were never sent the call: each costs a
 /// round trip.
@@ -113,8 +114,8 @@
 
 /// Waits until a target of the call's service is known.
 ///
-/// Without the wait a node refuses all calls after each restart until gossip has announced a
-/// target.
+/// Without the wait a node refuses all calls after each restart until gossip has delivered a
+/// first target.
 async fn wait_for_first_target(traffic: &Traffic, call: &Call) {
     let give_up_at = traffic.clock.now() + FIRST_TARGET_WAIT_MS;
     while traffic.view.load().targets(&call.service).is_empty() {
@@ -226,7 +227,7 @@
 }
 
 /// Decides whether to try again. A retry after a backend server was sent the call is taken from the
-/// service's retry budget. A retry after guards that refused without sending is free.
+/// service's retry budget. A retry after guards that refused without sending is not counted.
 fn next_attempt(
     traffic: &Traffic,
     call: &Call,
@@ -250,8 +251,8 @@
         deadline_left_ms: call.deadline.since(now),
     };
     let reason = retry_reason(failure, situation)?;
-    let is_paid = sends == 0 || traffic.budgets.try_retry(now, &call.service);
-    is_paid.then_some(reason)
+    let is_within_budget = sends == 0 || traffic.budgets.try_retry(now, &call.service);
+    is_within_budget.then_some(reason)
 }
 
 fn no_target() -> Refusal {
--- a/src/traffic/gone_servers.rs
+++ b/src/traffic/gone_servers.rs
@@ -1,4 +1,4 @@
-//! Incarnations of the local backend server that have ended or announced their departure.
+//! Incarnations of the local backend server that have ended or are leaving.
 
 use std::collections::VecDeque;
 
--- a/src/traffic/guard.rs
+++ b/src/traffic/guard.rs
@@ -38,7 +38,7 @@
 use crate::traffic::call::Message;
 use crate::traffic::call::Progress;
 use crate::traffic::caller_response::answer_response;
-use crate::traffic::hop::CERTAIN_REPEAT_PERMILLE;
+use crate::traffic::hop::CERTAIN_RETRY_PERMILLE;
 use crate::traffic::hop::hop_call;
 use crate::traffic::poison_watch::as_suspect;
 use crate::traffic::request_log::GuardLog;
@@ -47,7 +47,7 @@
 use crate::wire::HopCall;
 use crate::wire::headers;
 
-/// A root request may wait for its latency objective divided by this.
+/// The maximum expected wait of a root request is its latency objective divided by this.
 const ROOT_WAIT_DIVISOR: u64 = 4;
 /// Retry-after of a refusal that does not depend on load, in milliseconds.
 const DEFAULT_RETRY_AFTER_MS: u64 = 300;
@@ -61,7 +61,7 @@
     traffic.metrics.guard_calls.inc();
     let end = match read_call(&traffic, request).await {
         Ok(call) => run(&traffic, call, &Progress::default()).await,
-        Err(refusal) => AttemptEnd::lost(refusal, false),
+        Err(refusal) => AttemptEnd::without_status(refusal, false),
     };
     if let Some(reason) = end.reason() {
         traffic.metrics.count_guard_refusal(reason);
@@ -131,7 +131,7 @@
     let request_log = GuardLog::new(traffic, &call);
     let origin = record_origin(traffic, &call.hop);
     apply_advertisement(traffic, &call.hop);
-    let refusal = refuse_root(traffic, &call, origin).or_else(|| refuse_repeat(traffic, &call));
+    let refusal = refuse_root(traffic, &call, origin).or_else(|| refuse_retry(traffic, &call));
     let end = match refusal {
         Some(refusal) => BackendEnd::not_sent(refusal),
         None => admit_and_run(traffic, call, progress).await,
@@ -145,7 +145,7 @@
     end
 }
 
-/// Applies what the sending entry knows of the local backend server's advertisements.
+/// Applies the local backend server's advertisement that the sending entry has cached, if any.
 fn apply_advertisement(traffic: &Traffic, hop: &HopCall) {
     let Some(advertisement) = &hop.word else {
         return;
@@ -155,7 +155,8 @@
         let change = local.apply_advertisement(now, advertisement);
         if change == LocalChange::Changed {
             log::info!(
-                "local: advertisement relayed by an entry, incarnation={} leaving={} rate_milli={:?}",
+                "local: advertisement relayed by an entry, incarnation={} leaving={} \
+                 rate_milli={:?}",
                 advertisement.incarnation,
                 advertisement.is_leaving,
                 advertisement.rate_milli
@@ -180,7 +181,7 @@
 ///
 /// Entries learn of pressure only from answers, and answers are late when calls queue. Without this
 /// check, entries keep admitting roots into the queue. No work has been done for a root yet, and
-/// its refusal tells the entry of the pressure at once.
+/// its refusal carries the pressure to the entry at once.
 fn refuse_root(
     traffic: &Traffic,
     call: &GuardedCall,
@@ -200,8 +201,8 @@
 
 /// Refuses a retry if the budget of a downstream service is spent; see
 /// [`crate::retry::WindowBudget::has_left`].
-fn refuse_repeat(traffic: &Traffic, call: &GuardedCall) -> Option<Refusal> {
-    if call.hop.repeated_permille < CERTAIN_REPEAT_PERMILLE {
+fn refuse_retry(traffic: &Traffic, call: &GuardedCall) -> Option<Refusal> {
+    if call.hop.repeated_permille < CERTAIN_RETRY_PERMILLE {
         return None;
     }
     let now = traffic.clock.now();
--- a/src/traffic/hop.rs
+++ b/src/traffic/hop.rs
@@ -29,18 +29,13 @@
 /// Retry-after when the connection to a target was lost, in milliseconds.
 const LOST_RETRY_AFTER_MS: u64 = 200;
 
-/// The repeat probability of a call that is certainly a retry, in thousandths.
-pub(super) const CERTAIN_REPEAT_PERMILLE: u16 = 1_000;
+/// The retry probability of a call that is certainly a retry, in thousandths.
+pub(super) const CERTAIN_RETRY_PERMILLE: u16 = 1_000;
 
 /// Builds the context of a call for the guard of its target.
 ///
-/// `is_repeat` means that an earlier attempt may have reached a backend server.
-pub(super) fn hop_call(
-    traffic: &Traffic,
-    call: &Call,
-    target: &Target,
-    is_repeat: bool,
-) -> HopCall {
+/// `is_retry` means that an earlier attempt may have reached a backend server.
+pub(super) fn hop_call(traffic: &Traffic, call: &Call, target: &Target, is_retry: bool) -> HopCall {
     let deadline = call.deadline - GUARD_MARGIN_MS;
     HopCall {
         service: call.service.clone(),
@@ -52,8 +47,8 @@
         account: call.account.clone(),
         priority: call.priority,
         objective_ms: call.objective_ms,
-        repeated_permille: if is_repeat {
-            CERTAIN_REPEAT_PERMILLE
+        repeated_permille: if is_retry {
+            CERTAIN_RETRY_PERMILLE
         } else {
             call.repeated_permille
         },
@@ -69,9 +64,9 @@
     target: &Target,
     progress: &Progress,
 ) -> AttemptEnd {
-    let is_repeat = progress.has_reached_backend();
-    let Some(request) = request(traffic, call, target, is_repeat) else {
-        return AttemptEnd::lost(Refusal::not_run(RefusalReason::BadRequest, 0), false);
+    let is_retry = progress.has_reached_backend();
+    let Some(request) = request(traffic, call, target, is_retry) else {
+        return AttemptEnd::without_status(Refusal::not_run(RefusalReason::BadRequest, 0), false);
     };
     progress.mark_sent();
     let is_guard = |response: &http::Response<hyper::body::Incoming>| {
@@ -97,7 +92,7 @@
     traffic: &Traffic,
     call: &Call,
     target: &Target,
-    is_repeat: bool,
+    is_retry: bool,
 ) -> Option<Request<Full<bytes::Bytes>>> {
     let message = &call.message;
     let mut request = Request::new(Full::new(message.body.clone()));
@@ -106,7 +101,7 @@
     let mut map = message.headers.clone();
     // The hop header carries the remaining time. The guard sets this header again.
     map.remove(&traffic.settings.header_names.deadline_ms);
-    let value = HeaderValue::from_str(&hop_call(traffic, call, target, is_repeat).encode()).ok()?;
+    let value = HeaderValue::from_str(&hop_call(traffic, call, target, is_retry).encode()).ok()?;
     map.insert(headers::HOP, value);
     *request.headers_mut() = map;
     Some(request)
@@ -118,7 +113,7 @@
         Err(error) => {
             traffic.metrics.wrong_answers.inc();
             log::warn!("entry: answer with an invalid hop header dropped, error={error}");
-            return AttemptEnd::lost(unknown(), true);
+            return AttemptEnd::without_status(unknown(), true);
         }
     };
     strip(&mut answer.headers, method);
@@ -150,16 +145,16 @@
 
 /// The end of an attempt at a target that became unreachable. The call may have run.
 pub(super) fn lost_unreachable() -> AttemptEnd {
-    AttemptEnd::lost(unknown(), true)
+    AttemptEnd::without_status(unknown(), true)
 }
 
 fn lost(error: &SendError) -> AttemptEnd {
     let retry_after_ms = LOST_RETRY_AFTER_MS + fastrand::u64(..LOST_RETRY_AFTER_MS);
     if error.is_unsent() {
         let refusal = Refusal::not_run(RefusalReason::PeerLost, retry_after_ms);
-        return AttemptEnd::lost(refusal, false);
+        return AttemptEnd::without_status(refusal, false);
     }
-    AttemptEnd::lost(unknown(), true)
+    AttemptEnd::without_status(unknown(), true)
 }
 
 fn unknown() -> Refusal {
--- a/src/traffic/local_server.rs
+++ b/src/traffic/local_server.rs
@@ -21,7 +21,7 @@
 /// heartbeat was missed, and the next one is late.
 const SILENT_PERCENT: u64 = 160;
 
-/// Thousandths in a whole.
+/// Advertised rate limits are exchanged in thousandths of a request per second.
 const MILLI: f64 = 1_000.0;
 
 /// The incarnation that serves at the backend server's address.
@@ -32,11 +32,12 @@
     service: Name,
     slots: u32,
     sequence: u64,
-    /// It is draining or has announced its departure. Never reset within an incarnation.
+    /// It is draining or has left. Never reset within an incarnation.
     is_leaving: bool,
     /// It refuses connections: it crashed, or has not opened its port yet.
     is_down: bool,
-    heard_at: TimeMs,
+    /// The time of its last new report, or of the answer that named it.
+    last_contact: TimeMs,
     rate: NamedRate,
 }
 
@@ -79,7 +80,7 @@
         self.heartbeat_ms = heartbeat_ms;
     }
 
-    /// Records an incarnation that announced its departure before this process started.
+    /// Records an incarnation that was leaving before this process started.
     pub fn mark_gone(&mut self, incarnation: &Name, started_unix_ms: Option<u64>) {
         self.gone.record(incarnation, started_unix_ms);
     }
@@ -98,7 +99,7 @@
             sequence: 0,
             is_leaving: false,
             is_down: false,
-            heard_at: now,
+            last_contact: now,
             rate: NamedRate::default(),
         });
         LocalChange::Changed
@@ -132,7 +133,7 @@
         LocalChange::Changed
     }
 
-    /// Applies a report that bears the identifier of the current incarnation.
+    /// Applies a report with the identifier of the current incarnation.
     ///
     /// A backend server may crash and restart under the same identifier. Its sequence numbers then
     /// start again, so without this check all its reports would count as late, and it would get no
@@ -143,9 +144,9 @@
         let Some(current) = self.current.as_mut() else {
             return LocalChange::NoChange;
         };
-        let is_silent = current.is_down || now.since(current.heard_at) > silent_ms;
+        let is_silent = current.is_down || now.since(current.last_contact) > silent_ms;
         let is_ready = report.state == ReportedState::Ready;
-        let starts_anew = match (report.started_unix_ms, current.started_unix_ms) {
+        let has_restarted = match (report.started_unix_ms, current.started_unix_ms) {
             // The machine's clock may have been set back in between.
             (Some(theirs), Some(ours)) if theirs < ours => is_silent && is_ready,
             (Some(theirs), Some(ours)) => theirs > ours,
@@ -156,7 +157,7 @@
                 sequence.is_some_and(|sequence| is_first(sequence) && lower(sequence))
             }
         };
-        if starts_anew {
+        if has_restarted {
             self.replace(now, report);
             return LocalChange::Changed;
         }
@@ -171,16 +172,16 @@
             .is_some_and(|sequence| sequence > current.sequence)
         {
             current.sequence = report.sequence.unwrap_or(current.sequence);
-            current.heard_at = now;
+            current.last_contact = now;
             current.slots = report.slots.unwrap_or(current.slots);
             current.service = report.service.clone().unwrap_or(current.service.clone());
             current.is_down = false;
         }
-        let is_news = before.is_leaving != current.is_leaving
+        let has_changed = before.is_leaving != current.is_leaving
             || before.is_down != current.is_down
             || before.slots != current.slots
             || before.service != current.service;
-        if is_news {
+        if has_changed {
             LocalChange::Changed
         } else {
             LocalChange::NoChange
@@ -198,7 +199,7 @@
         };
         current.is_leaving
             || current.is_down
-            || now.since(current.heard_at) > self.silent_ms()
+            || now.since(current.last_contact) > self.silent_ms()
             || report
                 .sequence
                 .is_some_and(|sequence| sequence <= FIRST_SEQUENCES)
@@ -218,7 +219,7 @@
             sequence: report.sequence.unwrap_or(0),
             is_leaving: report.state != ReportedState::Ready,
             is_down: false,
-            heard_at: now,
+            last_contact: now,
             rate: NamedRate::default(),
         });
     }
@@ -240,7 +241,7 @@
         let before = std::mem::replace(&mut current.incarnation, actual.clone());
         let started_unix_ms = current.started_unix_ms.take();
         current.sequence = 0;
-        current.heard_at = now;
+        current.last_contact = now;
         current.rate = NamedRate::default();
         current.is_leaving = self.gone.contains(actual);
         self.mark_gone(&before, started_unix_ms);
@@ -292,9 +293,9 @@
         } else {
             LocalChange::NoChange
         };
-        let is_meant =
+        let is_advertiser =
             |current: &&mut CurrentServer| current.incarnation == advertisement.incarnation;
-        let current = self.current.as_mut().filter(is_meant);
+        let current = self.current.as_mut().filter(is_advertiser);
         let change = current
             .zip(advertisement.rate_milli)
             .map(|(current, rate_milli)| {
@@ -327,8 +328,8 @@
     /// The incarnation that accepts requests for `service`.
     pub fn accepting_incarnation(&self, service: &str) -> Option<&Name> {
         let current = self.current.as_ref()?;
-        let may = !current.is_leaving && !current.is_down && &*current.service == service;
-        may.then_some(&current.incarnation)
+        let is_accepting = !current.is_leaving && !current.is_down && &*current.service == service;
+        is_accepting.then_some(&current.incarnation)
     }
 
     /// The state that is announced to other nodes.
--- a/src/traffic/maintenance.rs
+++ b/src/traffic/maintenance.rs
@@ -18,7 +18,7 @@
     let running = traffic.running.all();
     let highest = traffic
         .roots
-        .deepest_permille(traffic.clock.now(), &running);
+        .max_downstream_permille(traffic.clock.now(), &running);
     traffic
         .gate
         .set_deep_pressed(highest >= BOTTLENECK_PERMILLE);
--- a/src/traffic/peer_discovery.rs
+++ b/src/traffic/peer_discovery.rs
@@ -32,8 +32,8 @@
 /// milliseconds. A node that others have found by then does not read at all. The time grows with
 /// the parts, because a store with many parts serves many nodes.
 const READ_SPREAD_MS: u64 = 200;
-/// After a first start, all rows are written within this time, and their readers have asked the
-/// nodes found, in milliseconds.
+/// Time after a first start, in milliseconds. By then all nodes have written their rows, and the
+/// nodes that read a sample of rows have asked the nodes named there for others.
 const FIRST_WRITES_MS: u64 = 5_000;
 /// A node that knows this many nodes, itself included, has been found by others.
 const FOUND_NODES: usize = 12;
@@ -44,7 +44,7 @@
 ///
 /// If every node read all rows, the number of rows read at a start of the whole system would grow
 /// with the square of the number of nodes. So a node reads a sample, and not even that if others
-/// have read its row and announced the other nodes to it before its turn. If all nodes of a sample
+/// have read its row and sent it the other nodes before its turn. If all nodes of a sample
 /// are gone, the next sample is read, until another node answers.
 ///
 /// A fleet could also start as two groups of nodes that never learn of each other. To join them,
--- a/src/traffic/poison_watch.rs
+++ b/src/traffic/poison_watch.rs
@@ -25,9 +25,9 @@
 use crate::traffic::call::Message;
 use crate::traffic::traffic::Traffic;
 
-/// After this number of crashes, requests with the same content are refused. One more than at the
-/// nodes' own interface: there a crash report is sent before any answer. Here it is sent only once
-/// the crash is certain, and until then the call is retried at a second target.
+/// After this number of crashes, requests with the same content are refused. One more than for
+/// calls in the nodes' own protocol: there a crash report is sent before any answer. Here it is
+/// sent only once the crash is certain, and until then the call is retried at a second target.
 const CRASHES_TO_REFUSE: usize = 3;
 
 #[derive(Debug)]
@@ -148,11 +148,11 @@
             service: service.clone(),
             report: report.clone(),
         };
-        let deliveries = control
+        let delivery = control
             .clients
             .report_suspects(target.control_address, notice);
         async {
-            if let Err(error) = deliveries.await {
+            if let Err(error) = delivery.await {
                 log::warn!(
                     "poison: crash report not delivered, peer={} error={error}",
                     target.node
--- a/src/traffic/request_log.rs
+++ b/src/traffic/request_log.rs
@@ -149,10 +149,10 @@
         let (Some(service), Some(route)) = (&self.service, &self.route) else {
             return String::new();
         };
-        match traffic.roots.pressed_service_for(service, route) {
-            Some(pressed) => format!(
+        match traffic.roots.overloaded_service_for(service, route) {
+            Some(overloaded) => format!(
                 " pressed={} pressure_permille={} admitted_percent={}",
-                pressed.service, pressed.pressure_permille, pressed.admitted_percent
+                overloaded.service, overloaded.pressure_permille, overloaded.admitted_percent
             ),
             None => String::new(),
         }
--- a/src/traffic/retry_budgets.rs
+++ b/src/traffic/retry_budgets.rs
@@ -11,12 +11,13 @@
 use crate::retry::RetryBound;
 use crate::retry::WindowBudget;
 
-/// The part of the allowed retry ratio that is used. Some is kept in reserve, because the
+/// The fraction of the allowed retry ratio that is used. Some is kept in reserve, because the
 /// probability that a call's parent is a retry is known only as a mean, and because arrivals are
 /// counted a little later than sends.
-const USED_PART: f32 = 0.9;
-/// The part of the fixed retry allowance that is used: a node may know of fewer nodes than exist.
-const USED_SLACK_PART: f32 = 0.5;
+const USED_RATIO_FRACTION: f32 = 0.9;
+/// The fraction of the fixed retry allowance that is used: a node may know of fewer nodes than
+/// exist.
+const USED_SLACK_FRACTION: f32 = 0.5;
 /// Maximum number of budgets; beyond it those of services that are not in the view are dropped.
 const MAX_SERVICES: usize = 1_024;
 
@@ -80,8 +81,8 @@
     /// This node's share of the bound.
     fn share(&self) -> RetryBound {
         RetryBound {
-            ratio: self.bound.ratio * USED_PART,
-            slack: self.bound.slack * USED_SLACK_PART / self.nodes as f32,
+            ratio: self.bound.ratio * USED_RATIO_FRACTION,
+            slack: self.bound.slack * USED_SLACK_FRACTION / self.nodes as f32,
             window_ms: self.bound.window_ms,
         }
     }
--- a/src/traffic/root_admission.rs
+++ b/src/traffic/root_admission.rs
@@ -79,23 +79,27 @@
         priority: Priority,
     ) -> bool {
         let mut state = self.lock();
-        let Some(pressed) = state.pressures.pressed_service(service, route).cloned() else {
+        let Some(overloaded) = state.pressures.pressed_service(service, route).cloned() else {
             return true;
         };
-        state.control.may_pass(now, &pressed, priority)
+        state.control.may_pass(now, &overloaded, priority)
     }
 
     /// The overloaded service for which requests on a route are refused; `None` while all are
     /// admitted.
-    pub(super) fn pressed_service_for(&self, service: &str, route: &str) -> Option<PressedService> {
+    pub(super) fn overloaded_service_for(
+        &self,
+        service: &str,
+        route: &str,
+    ) -> Option<PressedService> {
         let state = self.lock();
         let downstream = state.pressures.pressed_service(service, route)?;
-        let mut pressed = state.control.pressed();
-        pressed.find(|pressed| pressed.service == *downstream)
+        let mut overloaded = state.control.pressed();
+        overloaded.find(|overloaded| overloaded.service == *downstream)
     }
 
     /// All overloaded services for which requests are refused.
-    pub(super) fn pressed(&self) -> Vec<PressedService> {
+    pub(super) fn overloaded(&self) -> Vec<PressedService> {
         self.lock().control.pressed().collect()
     }
 
@@ -110,18 +114,18 @@
     }
 
     /// The highest pressure downstream of any of these routes of the local service.
-    pub(super) fn deepest_permille(&self, now: TimeMs, routes: &[Name]) -> u32 {
+    pub(super) fn max_downstream_permille(&self, now: TimeMs, routes: &[Name]) -> u32 {
         self.lock().pressures.deepest_permille(now, routes)
     }
 
     /// Logs the services for which requests are currently refused.
     pub(super) fn log_restricted(&self) {
-        for pressed in self.pressed() {
+        for overloaded in self.overloaded() {
             log::info!(
                 "entry: refuses roots, service={} pressure_permille={} admitted_percent={}",
-                pressed.service,
-                pressed.pressure_permille,
-                pressed.admitted_percent
+                overloaded.service,
+                overloaded.pressure_permille,
+                overloaded.admitted_percent
             );
         }
     }
--- a/src/traffic/roster_row.rs
+++ b/src/traffic/roster_row.rs
@@ -37,7 +37,7 @@
     /// Its failure domain.
     #[serde(default)]
     pub domain: Option<Name>,
-    /// The incarnation of its backend server that announced its departure, if any.
+    /// The incarnation of its backend server that is leaving or has left, if any.
     pub leaving: Option<Name>,
     /// When that incarnation started, in Unix milliseconds, if it reported it.
     #[serde(default)]
--- a/src/traffic/route_origins.rs
+++ b/src/traffic/route_origins.rs
@@ -31,7 +31,7 @@
 #[derive(Debug, Default)]
 struct Callers {
     at_change: u64,
-    near: Vec<CallingService>,
+    own_domain: Vec<CallingService>,
     all: Vec<CallingService>,
 }
 
@@ -73,11 +73,11 @@
         let observed = HeardCall {
             route: &call.route,
             caller_service: &call.caller_service,
-            is_near: call.is_near && callers.near.len() > 1,
+            is_near: call.is_near && callers.own_domain.len() > 1,
             believed: call.origin,
         };
         let services = CallingServices {
-            near: &callers.near,
+            near: &callers.own_domain,
             all: &callers.all,
         };
         origins.note(observed, services)
@@ -124,7 +124,7 @@
             return;
         }
         self.at_change = view.changes;
-        self.near = calling_services(view, |other| other == domain);
+        self.own_domain = calling_services(view, |other| other == domain);
         self.all = calling_services(view, |_| true);
     }
 }
--- a/src/traffic/server_restore.rs
+++ b/src/traffic/server_restore.rs
@@ -41,8 +41,9 @@
 /// Otherwise a restarted node would serve nothing until the next report of its backend server,
 /// which ran on: up to two seconds, and if it is the only one of its service, all call trees
 /// through it fail in that time. This shows as refusals `backend_down` or `no_target` after each
-/// restart of a node. The health check's answer names the incarnation, and says that it is not
-/// leaving. If it is another incarnation, nothing is known of it, so the node waits for its report.
+/// restart of a node. The health check's answer names the incarnation, and shows whether it
+/// is leaving. If it is another incarnation, nothing is known of it, so the node waits for its
+/// report.
 pub(super) async fn restore_server(traffic: Arc<Traffic>, known: KnownServer) {
     let sent_at = traffic.clock.now();
     let checking = check_health(&traffic, &known.service);
--- a/src/traffic/traffic.rs
+++ b/src/traffic/traffic.rs
@@ -98,11 +98,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct LocalServerStatus {
     pub service: Name,
-    /// How many calls it can run at once: as reported, or, if it advertises a rate limit, as many of
-    /// these as that rate can use.
+    /// How many calls it can run at once, as reported. If it advertises a rate limit, only as many
+    /// as that rate keeps busy.
     pub slots: u32,
     pub state: TargetState,
-    /// The incarnation that announced its departure, if any.
+    /// The incarnation that is leaving or has left, if any.
     pub leaving: Option<Name>,
     /// When that incarnation started, if it reported it.
     pub leaving_started_unix_ms: Option<u64>,
--- a/src/traffic/version_fetch.rs
+++ b/src/traffic/version_fetch.rs
@@ -31,14 +31,14 @@
     pub from: SocketAddr,
     pub version: u64,
     /// The peer is in this node's failure domain.
-    pub is_near: bool,
+    pub same_domain: bool,
 }
 
 /// Fetches documents from peers.
 ///
 /// The store may refuse this node while it serves the operator and other nodes. The operator's
-/// change is then acknowledged, and only peers can deliver it. Conversely, if a peer announces a
-/// version but does not deliver it, the store is polled.
+/// change is then acknowledged, and only peers can deliver it. If a peer announces a version but
+/// does not deliver it, the store is polled.
 ///
 /// If every node fetched a document from another failure domain, such documents would make up most
 /// of the bytes between domains where states have hundreds of routes. So a few nodes of each domain
@@ -54,7 +54,8 @@
 impl VersionFetch {
     /// Runs until the channel of announcements is closed.
     pub(super) async fn run(self, mut announcements: Receiver<VersionAnnouncement>) {
-        // A version announced by another failure domain, and until when to wait for a near peer.
+        // A version announced by another failure domain, and until when to wait for a peer of the
+        // own domain.
         let mut waiting: Option<(VersionAnnouncement, Instant)> = None;
         loop {
             let until = waiting.map(|(_, until)| until);
@@ -70,7 +71,7 @@
                     continue;
                 }
             };
-            if announced.is_near || self.may_fetch_across() {
+            if announced.same_domain || self.may_fetch_across() {
                 waiting = None;
                 self.fetch(announced).await;
             } else if waiting.is_none() {
--- a/tests/traffic_local_server.rs
+++ b/tests/traffic_local_server.rs
@@ -84,7 +84,7 @@
     assert_eq!(server.mark_down(&Name::from("one")), LocalChange::Changed);
     assert_eq!(accepting(&server), None);
     server.apply_report(TimeMs(50), &report("one", ReportedState::Ready, 7));
-    assert_eq!(accepting(&server), None, "a late report says nothing new");
+    assert_eq!(accepting(&server), None, "a late report changes nothing");
     server.apply_report(TimeMs(60), &report("one", ReportedState::Ready, 8));
     assert_eq!(accepting(&server), Some("one"));
 }
@@ -108,7 +108,11 @@
         server.correct_incarnation(TimeMs(6), &two, &one),
         LocalChange::Changed
     );
-    assert_eq!(accepting(&server), None, "one was taken for gone");
+    assert_eq!(
+        accepting(&server),
+        None,
+        "incarnation one is recorded as gone"
+    );
 }
 
 /// Requests for another service are never sent to the backend server.
@@ -150,7 +154,7 @@
     assert_eq!(
         accepting(&server),
         Some("one"),
-        "a late report of its former life"
+        "a late report of the run before"
     );
     assert_eq!(server.started_unix_ms(), Some(900));
 }
@@ -168,7 +172,7 @@
 }
 
 /// A backend server leaves and restarts under the same identifier, and its old reports still
-/// arrive. The departure holds for the run in which it was announced, also after a restart of the
+/// arrive. The departure holds for the run in which it was reported, also after a restart of the
 /// node.
 #[rstest]
 fn a_departure_ends_with_its_run() {
--- a/tests/traffic_rate_fleet.rs
+++ b/tests/traffic_rate_fleet.rs
@@ -22,7 +22,7 @@
 use sassafrasgap::wire::ServerWord;
 
 const WINDOW_MS: u64 = 4_000;
-/// An entry is bound by an advertisement this long after it relayed it.
+/// This long after an entry relayed an advertisement, its calls count against the limit.
 const ADVERTISED_FOR_MS: u64 = 500;
 const HOP_MS: u64 = 2;
 const RUN_MS: u64 = 60;
@@ -338,9 +338,12 @@
         .iter()
         .filter(|(at, _)| at.0 >= 40_000)
         .count() as f64;
-    let named = per_s * (ENDS_MS - 40_000) as f64 / 1_000.0;
+    let at_limit = per_s * (ENDS_MS - 40_000) as f64 / 1_000.0;
     if fault != Fault::GuardKilledOften {
-        assert!(after_surge >= named * 0.9 - 1.0, "{after_surge} of {named}");
+        assert!(
+            after_surge >= at_limit * 0.9 - 1.0,
+            "{after_surge} of {at_limit}"
+        );
     }
 }
 
