--- a/src/traffic/roster.rs
+++ b/src/traffic/roster.rs
@@ -1,7 +1,7 @@
 //! Stores one row per node, for the discovery of other nodes and for the node's own restart.
 //!
 //! A row is written once the backend server is known, and when it is leaving, but not at
-//! heartbeats: liveness is detected by gossip. Discovery by the store and by gossip work without each other.
+//! heartbeats: liveness is detected by gossip. The store and gossip work without each other.
 
 use std::sync::Arc;
 use std::time::Duration;
