--- a/src/accounts/allowance_keeper.rs
+++ b/src/accounts/allowance_coordinator.rs
@@ -67,7 +67,7 @@
 /// the other one has. Of its own part, a failure domain leaves to entries that fell silent the equal shares
 /// that those take by themselves.
 #[derive(Clone, Debug, Default)]
-pub struct AllowanceKeeper {
+pub struct AllowanceCoordinator {
     allowances: FastMap<AccountId, Allowance>,
     fleet: Fleet,
     entries: FastMap<Name, Entry>,
@@ -79,7 +79,7 @@
     joined: Option<TimeMs>,
 }
 
-impl AllowanceKeeper {
+impl AllowanceCoordinator {
     /// Nothing is known yet.
     pub fn new(is_first_start: bool, now: TimeMs) -> Self {
         Self {
--- a/src/traffic/allowances.rs
+++ b/src/traffic/allowances.rs
@@ -10,7 +10,7 @@
 use crate::accounts::AccountUse;
 use crate::accounts::Allowance;
 use crate::accounts::AllowanceBound;
-use crate::accounts::AllowanceKeeper;
+use crate::accounts::AllowanceCoordinator;
 use crate::accounts::AllowanceMessage;
 use crate::accounts::Beyond;
 use crate::accounts::EntryAllowances;
@@ -30,7 +30,7 @@
 
 #[derive(Debug)]
 struct Keeping {
-    keeper: AllowanceKeeper,
+    keeper: AllowanceCoordinator,
     fleet: FleetWatch,
     /// The version whose allowances are kept.
     version: u64,
@@ -64,7 +64,7 @@
             nodes: AtomicUsize::new(0),
             entry: Mutex::new(EntryAllowances::new(bound, is_first_start, process, now)),
             keeping: Mutex::new(Keeping {
-                keeper: AllowanceKeeper::new(is_first_start, now),
+                keeper: AllowanceCoordinator::new(is_first_start, now),
                 fleet: FleetWatch::default(),
                 version: 0,
                 told_domains: now,
--- a/tests/accounts_fleet/node.rs
+++ b/tests/accounts_fleet/node.rs
@@ -1,7 +1,7 @@
 //! One node of the fleet.
 
 use sassafrasgap::accounts::AllowanceBound;
-use sassafrasgap::accounts::AllowanceKeeper;
+use sassafrasgap::accounts::AllowanceCoordinator;
 use sassafrasgap::accounts::EntryAllowances;
 use sassafrasgap::accounts::Fleet;
 use sassafrasgap::core::Name;
@@ -12,7 +12,7 @@
     /// It has been there from the beginning.
     pub is_first: bool,
     pub entry: EntryAllowances,
-    pub keeper: AllowanceKeeper,
+    pub keeper: AllowanceCoordinator,
 }
 
 impl Node {
@@ -29,7 +29,7 @@
             starts,
             is_first,
             entry: EntryAllowances::new(bound, is_first, process, starts),
-            keeper: AllowanceKeeper::new(is_first, starts),
+            keeper: AllowanceCoordinator::new(is_first, starts),
         }
     }
 }
--- a/tests/accounts_keeper.rs
+++ b/tests/accounts_keeper.rs
@@ -4,7 +4,7 @@
 use sassafrasgap::accounts::AccountId;
 use sassafrasgap::accounts::Allowance;
 use sassafrasgap::accounts::AllowanceBound;
-use sassafrasgap::accounts::AllowanceKeeper;
+use sassafrasgap::accounts::AllowanceCoordinator;
 use sassafrasgap::accounts::Count;
 use sassafrasgap::accounts::EntryAllowances;
 use sassafrasgap::accounts::Fleet;
@@ -14,12 +14,12 @@
 
 const ACCOUNT: AccountId = AccountId(7);
 
-fn keeper() -> AllowanceKeeper {
+fn keeper() -> AllowanceCoordinator {
     let allowance = Allowance {
         rate_per_s: 100.0,
         burst: 100.0,
     };
-    let mut keeper = AllowanceKeeper::new(true, TimeMs(0));
+    let mut keeper = AllowanceCoordinator::new(true, TimeMs(0));
     keeper.set_allowances([(ACCOUNT, allowance)].into_iter().collect());
     let fleet = Fleet {
         own: vec![Name::from("n1")],
@@ -30,13 +30,13 @@
 }
 
 /// The part that is let in after the next report of a process, of so many requests.
-fn told(keeper: &mut AllowanceKeeper, at_ms: u64, process: u32, wanted: u32) -> u16 {
+fn told(keeper: &mut AllowanceCoordinator, at_ms: u64, process: u32, wanted: u32) -> u16 {
     told_as(keeper, at_ms, (process, at_ms as u32), wanted)
 }
 
 /// The same after the report of a process with this number.
 fn told_as(
-    keeper: &mut AllowanceKeeper,
+    keeper: &mut AllowanceCoordinator,
     at_ms: u64,
     (process, sequence): (u32, u32),
     wanted: u32,
