--- a/src/accounts/entry_allowances.rs
+++ b/src/accounts/entry_allowances.rs
@@ -42,7 +42,7 @@
 
 /// A request that is beyond its account's allowance.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Beyond {
+pub struct AllowanceExceeded {
     /// When there is room again as things stand, in milliseconds.
     pub retry_after_ms: u64,
     /// The part that is let in here, in thousandths.
@@ -140,7 +140,7 @@
         allowance: Allowance,
         nodes: usize,
         random: f32,
-    ) -> Result<(), Beyond> {
+    ) -> Result<(), AllowanceExceeded> {
         self.evict_if_full(now);
         let standing = self.standing(now, account, allowance, nodes);
         let known = self.accounts.entry(account).or_insert_with(|| Known {
@@ -350,7 +350,7 @@
         true
     }
 
-    fn beyond(&self, now: TimeMs, standing: Standing) -> Beyond {
+    fn beyond(&self, now: TimeMs, standing: Standing) -> AllowanceExceeded {
         let usual_per_s = self.usual.per_s(now, USUAL_MS);
         let (per_s, told) = match standing {
             Standing::Free => (usual_per_s, None),
@@ -359,7 +359,7 @@
         };
         let lacks = (1.0 - self.credit).max(0.0);
         let later_ms = lacks * 1_000.0 / per_s.max(f32::MIN_POSITIVE);
-        Beyond {
+        AllowanceExceeded {
             retry_after_ms: later_ms.clamp(LEAST_LATER_MS, MOST_LATER_MS) as u64,
             part_permille: (per_s / usual_per_s.max(per_s) * 1_000.0) as u16,
             told_ms_ago: told.map(|at| now.since(at)),
--- a/src/accounts/mod.rs
+++ b/src/accounts/mod.rs
@@ -23,7 +23,7 @@
 pub use allowance_bound::AllowanceBound;
 pub use allowance_coordinator::AllowanceCoordinator;
 pub use entry_allowances::AccountUse;
-pub use entry_allowances::Beyond;
+pub use entry_allowances::AllowanceExceeded;
 pub use entry_allowances::EntryAllowances;
 pub use fleet::Fleet;
 pub use identity::Caller;
--- a/src/traffic/allowances.rs
+++ b/src/traffic/allowances.rs
@@ -11,8 +11,8 @@
 use crate::accounts::Allowance;
 use crate::accounts::AllowanceBound;
 use crate::accounts::AllowanceCoordinator;
+use crate::accounts::AllowanceExceeded;
 use crate::accounts::AllowanceMessage;
-use crate::accounts::Beyond;
 use crate::accounts::EntryAllowances;
 use crate::accounts::Report;
 use crate::core::FastMap;
@@ -83,7 +83,7 @@
         now: TimeMs,
         account: AccountId,
         allowance: Allowance,
-    ) -> Result<(), Beyond> {
+    ) -> Result<(), AllowanceExceeded> {
         let nodes = self.nodes.load(Ordering::Relaxed);
         let random = fastrand::f32();
         self.entry().ask(now, account, allowance, nodes, random)
--- a/src/traffic/story.rs
+++ b/src/traffic/story.rs
@@ -7,7 +7,7 @@
 use http::StatusCode;
 
 use crate::accounts::Allowance;
-use crate::accounts::Beyond;
+use crate::accounts::AllowanceExceeded;
 use crate::core::Name;
 use crate::core::Refusal;
 use crate::core::TimeMs;
@@ -245,7 +245,7 @@
     traffic: &Traffic,
     account: &CallAccount,
     allowance: Allowance,
-    beyond: Beyond,
+    beyond: AllowanceExceeded,
 ) {
     let told = beyond.told_ms_ago;
     let told = told.map_or_else(|| "-".to_owned(), |ms| ms.to_string());
