--- a/src/accounts/allowance_coordinator.rs
+++ b/src/accounts/allowance_coordinator.rs
@@ -2,13 +2,13 @@
 
 use crate::accounts::AccountId;
 use crate::accounts::Allowance;
+use crate::accounts::AllowanceReply;
 use crate::accounts::Count;
 use crate::accounts::Demand;
 use crate::accounts::DomainNews;
 use crate::accounts::Fleet;
 use crate::accounts::Part;
 use crate::accounts::Report;
-use crate::accounts::Word;
 use crate::accounts::used::Used;
 use crate::core::FastMap;
 use crate::core::Name;
@@ -111,9 +111,14 @@
 
     /// Takes in what an entry of the own failure domain has seen, and answers which parts it lets in, if it
     /// is asked and can tell.
-    pub fn take_report(&mut self, now: TimeMs, node: &Name, report: &Report) -> Option<Word> {
+    pub fn take_report(
+        &mut self,
+        now: TimeMs,
+        node: &Name,
+        report: &Report,
+    ) -> Option<AllowanceReply> {
         self.count(now, node, report);
-        if !report.wants_word || !self.knows_others(now) {
+        if !report.wants_reply || !self.knows_others(now) {
             return None;
         }
         let mut limited = self.limited(now);
@@ -121,7 +126,7 @@
             limited.select_nth_unstable_by_key(MOST_TOLD, |part| part.permille);
             limited.truncate(MOST_TOLD);
         }
-        Some(Word { limited })
+        Some(AllowanceReply { limited })
     }
 
     /// Guards against a node that takes itself for the whole fleet for a moment after a restart, and hands
--- a/src/accounts/entry_allowances.rs
+++ b/src/accounts/entry_allowances.rs
@@ -3,10 +3,10 @@
 use crate::accounts::AccountId;
 use crate::accounts::Allowance;
 use crate::accounts::AllowanceBound;
+use crate::accounts::AllowanceReply;
 use crate::accounts::Count;
 use crate::accounts::DecayedRate;
 use crate::accounts::Report;
-use crate::accounts::Word;
 use crate::core::FastMap;
 use crate::core::TimeMs;
 
@@ -201,13 +201,13 @@
         Some(Report {
             process: self.process,
             sequence: self.sequence,
-            wants_word: true,
+            wants_reply: true,
             counts,
         })
     }
 
     /// Takes in a keeper's word.
-    pub fn take_word(&mut self, now: TimeMs, word: &Word) {
+    pub fn take_word(&mut self, now: TimeMs, word: &AllowanceReply) {
         self.worded = Some(now);
         let parts = word.limited.iter();
         self.parts = parts.map(|part| (part.account, part.permille)).collect();
--- a/src/accounts/message.rs
+++ b/src/accounts/message.rs
@@ -25,7 +25,8 @@
     /// Numbers the reports of a process, so that one which was overtaken is known.
     pub sequence: u32,
     /// Only one keeper of the failure domain is asked to answer.
-    pub wants_word: bool,
+    #[serde(rename = "wants_word")]
+    pub wants_reply: bool,
     /// The accounts with news.
     pub counts: Vec<Count>,
 }
@@ -41,7 +42,7 @@
 /// From a keeper, in answer to a [`Report`]. Accounts that are not named are far below their allowance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Word {
+pub struct AllowanceReply {
     pub limited: Vec<Part>,
 }
 
@@ -65,6 +66,7 @@
 #[derive(Serialize, Deserialize)]
 pub enum AllowanceMessage {
     Report(Report),
-    Word(Word),
+    #[serde(rename = "Word")]
+    Reply(AllowanceReply),
     Domain(DomainNews),
 }
--- a/src/accounts/mod.rs
+++ b/src/accounts/mod.rs
@@ -33,12 +33,12 @@
 pub use key_hash::KeyHash;
 pub use key_hash::KeyTag;
 pub use message::AllowanceMessage;
+pub use message::AllowanceReply;
 pub use message::Count;
 pub use message::Demand;
 pub use message::DomainNews;
 pub use message::Part;
 pub use message::Report;
-pub use message::Word;
 pub use ranking::Ranking;
 
 use decayed_rate::DecayedRate;
--- a/src/traffic/allowances.rs
+++ b/src/traffic/allowances.rs
@@ -132,7 +132,7 @@
     ) -> Option<Told> {
         match message {
             AllowanceMessage::Report(report) => self.take_report(now, from, &report),
-            AllowanceMessage::Word(word) => {
+            AllowanceMessage::Reply(word) => {
                 self.entry().take_word(now, &word);
                 None
             }
@@ -168,7 +168,7 @@
             .is_some_and(|at| now.since(at) < EntryAllowances::WORD_MISSED_MS);
         for (order, keeper) in keepers.iter().enumerate() {
             let report = Report {
-                wants_word: order == 0 || !is_worded,
+                wants_reply: order == 0 || !is_worded,
                 ..report.clone()
             };
             if *keeper != self.node {
@@ -184,7 +184,7 @@
 
     fn take_report(&self, now: TimeMs, from: &Name, report: &Report) -> Option<Told> {
         let word = self.keeping().keeper.take_report(now, from, report)?;
-        Some((from.clone(), AllowanceMessage::Word(word)))
+        Some((from.clone(), AllowanceMessage::Reply(word)))
     }
 
     fn tell_domains(&self, now: TimeMs, told: &mut Vec<Told>) {
--- a/tests/accounts_fleet/mod.rs
+++ b/tests/accounts_fleet/mod.rs
@@ -262,7 +262,7 @@
             return;
         };
         for (order, keeper) in self.keepers(at % self.domains).into_iter().enumerate() {
-            report.wants_word = order == 0;
+            report.wants_reply = order == 0;
             self.send(at, keeper, AllowanceMessage::Report(report.clone()));
         }
     }
@@ -331,10 +331,10 @@
                     let name = node::name(from);
                     let word = self.nodes[to].keeper.take_report(now, &name, &report);
                     if let Some(word) = word {
-                        self.send(to, from, AllowanceMessage::Word(word));
+                        self.send(to, from, AllowanceMessage::Reply(word));
                     }
                 }
-                AllowanceMessage::Word(word) => self.nodes[to].entry.take_word(now, &word),
+                AllowanceMessage::Reply(word) => self.nodes[to].entry.take_word(now, &word),
                 AllowanceMessage::Domain(news) => {
                     let domain = node::domain(from % self.domains);
                     self.nodes[to].keeper.take_domain(now, &domain, &news);
--- a/tests/accounts_keeper.rs
+++ b/tests/accounts_keeper.rs
@@ -44,7 +44,7 @@
     let report = Report {
         process,
         sequence,
-        wants_word: true,
+        wants_reply: true,
         counts: vec![Count {
             account: ACCOUNT,
             wanted,
