--- a/src/accounts/allowance_coordinator.rs
+++ b/src/accounts/allowance_coordinator.rs
@@ -5,7 +5,7 @@
 use crate::accounts::AllowanceReply;
 use crate::accounts::Count;
 use crate::accounts::Demand;
-use crate::accounts::DomainNews;
+use crate::accounts::DomainDemands;
 use crate::accounts::Fleet;
 use crate::accounts::Part;
 use crate::accounts::Report;
@@ -137,7 +137,7 @@
     }
 
     /// Takes in what is asked for in another failure domain.
-    pub fn take_domain(&mut self, now: TimeMs, domain: &Name, news: &DomainNews) {
+    pub fn take_domain(&mut self, now: TimeMs, domain: &Name, news: &DomainDemands) {
         let other = self.others.entry(domain.clone()).or_default();
         other.heard = now;
         other
@@ -156,7 +156,7 @@
     }
 
     /// What the others have to know.
-    pub fn tell_domains(&mut self, now: TimeMs) -> DomainNews {
+    pub fn tell_domains(&mut self, now: TimeMs) -> DomainDemands {
         self.forget(now);
         let told = self.used.iter().filter_map(|(account, used)| {
             let allowance = self.allowances.get(account)?;
@@ -167,7 +167,7 @@
                 tenths_per_s: (per_s * 10.0) as u32,
             })
         });
-        DomainNews {
+        DomainDemands {
             demands: told.collect(),
         }
     }
--- a/src/accounts/message.rs
+++ b/src/accounts/message.rs
@@ -57,7 +57,7 @@
 /// From a keeper of one failure domain to those of the others: its accounts in use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct DomainNews {
+pub struct DomainDemands {
     pub demands: Vec<Demand>,
 }
 
@@ -68,5 +68,5 @@
     Report(Report),
     #[serde(rename = "Word")]
     Reply(AllowanceReply),
-    Domain(DomainNews),
+    Domain(DomainDemands),
 }
--- a/src/accounts/mod.rs
+++ b/src/accounts/mod.rs
@@ -36,7 +36,7 @@
 pub use message::AllowanceReply;
 pub use message::Count;
 pub use message::Demand;
-pub use message::DomainNews;
+pub use message::DomainDemands;
 pub use message::Part;
 pub use message::Report;
 pub use ranking::Ranking;
