--- a/src/accounts/allowance_coordinator.rs
+++ b/src/accounts/allowance_coordinator.rs
@@ -1,13 +1,13 @@
 //! What a failure domain may use of each account, and how its entries are told.
 
 use crate::accounts::AccountId;
+use crate::accounts::AdmittedShare;
 use crate::accounts::Allowance;
 use crate::accounts::AllowanceReply;
 use crate::accounts::Count;
 use crate::accounts::Demand;
 use crate::accounts::DomainDemands;
 use crate::accounts::Fleet;
-use crate::accounts::Part;
 use crate::accounts::Report;
 use crate::accounts::used::Used;
 use crate::core::FastMap;
@@ -173,10 +173,10 @@
     }
 
     /// The accounts of which not all is let in, and the part that is.
-    pub fn limited(&self, now: TimeMs) -> Vec<Part> {
+    pub fn limited(&self, now: TimeMs) -> Vec<AdmittedShare> {
         let is_fresh = |used: &Used| now.since(used.saved_at) < TOLD_HOLDS_MS;
         let limited = self.used.iter().filter_map(|(account, used)| {
-            (used.let_in < 1.0 && is_fresh(used)).then_some(Part {
+            (used.let_in < 1.0 && is_fresh(used)).then_some(AdmittedShare {
                 account: *account,
                 permille: (used.let_in * 1_000.0) as u16,
             })
--- a/src/accounts/message.rs
+++ b/src/accounts/message.rs
@@ -34,7 +34,7 @@
 /// Which part of an account's requests may be let in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Part {
+pub struct AdmittedShare {
     pub account: AccountId,
     pub permille: u16,
 }
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct AllowanceReply {
-    pub limited: Vec<Part>,
+    pub limited: Vec<AdmittedShare>,
 }
 
 /// How many requests a second come of an account in a failure domain, in tenths.
--- a/src/accounts/mod.rs
+++ b/src/accounts/mod.rs
@@ -32,12 +32,12 @@
 pub use identity::identify;
 pub use key_hash::KeyHash;
 pub use key_hash::KeyTag;
+pub use message::AdmittedShare;
 pub use message::AllowanceMessage;
 pub use message::AllowanceReply;
 pub use message::Count;
 pub use message::Demand;
 pub use message::DomainDemands;
-pub use message::Part;
 pub use message::Report;
 pub use ranking::Ranking;
 
