--- a/src/accounts/allowance_coordinator.rs
+++ b/src/accounts/allowance_coordinator.rs
@@ -8,7 +8,7 @@
 use crate::accounts::Demand;
 use crate::accounts::DomainDemands;
 use crate::accounts::Fleet;
-use crate::accounts::Report;
+use crate::accounts::UsageReport;
 use crate::accounts::used::Used;
 use crate::core::FastMap;
 use crate::core::Name;
@@ -115,7 +115,7 @@
         &mut self,
         now: TimeMs,
         node: &Name,
-        report: &Report,
+        report: &UsageReport,
     ) -> Option<AllowanceReply> {
         self.count(now, node, report);
         if !report.wants_reply || !self.knows_others(now) {
@@ -184,7 +184,7 @@
         limited.collect()
     }
 
-    fn count(&mut self, now: TimeMs, node: &Name, report: &Report) {
+    fn count(&mut self, now: TimeMs, node: &Name, report: &UsageReport) {
         let entry = self.entries.entry(node.clone()).or_default();
         if entry.process != report.process {
             *entry = Entry {
--- a/src/accounts/entry_allowances.rs
+++ b/src/accounts/entry_allowances.rs
@@ -6,7 +6,7 @@
 use crate::accounts::AllowanceReply;
 use crate::accounts::Count;
 use crate::accounts::DecayedRate;
-use crate::accounts::Report;
+use crate::accounts::UsageReport;
 use crate::core::FastMap;
 use crate::core::TimeMs;
 
@@ -173,7 +173,7 @@
     }
 
     /// The report that is due, if one is.
-    pub fn report(&mut self, now: TimeMs) -> Option<Report> {
+    pub fn report(&mut self, now: TimeMs) -> Option<UsageReport> {
         let since_ms = now.since(self.reported);
         // Until its first word an entry lets in a part only, so it asks for that often.
         let due_ms = match self.is_hasty || self.worded.is_none() {
@@ -198,7 +198,7 @@
                 });
             }
         }
-        Some(Report {
+        Some(UsageReport {
             process: self.process,
             sequence: self.sequence,
             wants_reply: true,
--- a/src/accounts/message.rs
+++ b/src/accounts/message.rs
@@ -19,7 +19,7 @@
 /// From an entry to a keeper of its failure domain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Report {
+pub struct UsageReport {
     /// Tells the reporting process from earlier ones of the same node.
     pub process: u32,
     /// Numbers the reports of a process, so that one which was overtaken is known.
@@ -39,7 +39,7 @@
     pub permille: u16,
 }
 
-/// From a keeper, in answer to a [`Report`]. Accounts that are not named are far below their allowance.
+/// From a keeper, in answer to a [`UsageReport`]. Accounts that are not named are far below their allowance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct AllowanceReply {
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum AllowanceMessage {
-    Report(Report),
+    Report(UsageReport),
     #[serde(rename = "Word")]
     Reply(AllowanceReply),
     Domain(DomainDemands),
--- a/src/accounts/mod.rs
+++ b/src/accounts/mod.rs
@@ -38,7 +38,7 @@
 pub use message::Count;
 pub use message::Demand;
 pub use message::DomainDemands;
-pub use message::Report;
+pub use message::UsageReport;
 pub use ranking::Ranking;
 
 use decayed_rate::DecayedRate;
--- a/src/traffic/allowances.rs
+++ b/src/traffic/allowances.rs
@@ -14,7 +14,7 @@
 use crate::accounts::AllowanceExceeded;
 use crate::accounts::AllowanceMessage;
 use crate::accounts::EntryAllowances;
-use crate::accounts::Report;
+use crate::accounts::UsageReport;
 use crate::core::FastMap;
 use crate::core::Name;
 use crate::core::TimeMs;
@@ -162,12 +162,18 @@
 
     /// Both keepers of the failure domain hear what is used, so that the second one knows all when the first
     /// is gone; the first one answers, and the second one if there was no word lately.
-    fn tell_report(&self, now: TimeMs, keepers: &[Name], report: Report, told: &mut Vec<Told>) {
+    fn tell_report(
+        &self,
+        now: TimeMs,
+        keepers: &[Name],
+        report: UsageReport,
+        told: &mut Vec<Told>,
+    ) {
         let is_worded = self
             .worded()
             .is_some_and(|at| now.since(at) < EntryAllowances::WORD_MISSED_MS);
         for (order, keeper) in keepers.iter().enumerate() {
-            let report = Report {
+            let report = UsageReport {
                 wants_reply: order == 0 || !is_worded,
                 ..report.clone()
             };
@@ -182,7 +188,7 @@
         }
     }
 
-    fn take_report(&self, now: TimeMs, from: &Name, report: &Report) -> Option<Told> {
+    fn take_report(&self, now: TimeMs, from: &Name, report: &UsageReport) -> Option<Told> {
         let word = self.keeping().keeper.take_report(now, from, report)?;
         Some((from.clone(), AllowanceMessage::Reply(word)))
     }
--- a/tests/accounts_keeper.rs
+++ b/tests/accounts_keeper.rs
@@ -8,7 +8,7 @@
 use sassafrasgap::accounts::Count;
 use sassafrasgap::accounts::EntryAllowances;
 use sassafrasgap::accounts::Fleet;
-use sassafrasgap::accounts::Report;
+use sassafrasgap::accounts::UsageReport;
 use sassafrasgap::core::Name;
 use sassafrasgap::core::TimeMs;
 
@@ -41,7 +41,7 @@
     (process, sequence): (u32, u32),
     wanted: u32,
 ) -> u16 {
-    let report = Report {
+    let report = UsageReport {
         process,
         sequence,
         wants_reply: true,
