--- a/src/accounts/allowance_coordinator.rs
+++ b/src/accounts/allowance_coordinator.rs
@@ -4,10 +4,10 @@
 use crate::accounts::AdmittedShare;
 use crate::accounts::Allowance;
 use crate::accounts::AllowanceReply;
-use crate::accounts::Count;
 use crate::accounts::Demand;
 use crate::accounts::DomainDemands;
 use crate::accounts::Fleet;
+use crate::accounts::UsageCount;
 use crate::accounts::UsageReport;
 use crate::accounts::used::Used;
 use crate::core::FastMap;
@@ -51,7 +51,7 @@
     /// The number of its newest report.
     sequence: u32,
     heard: TimeMs,
-    counts: FastMap<AccountId, Count>,
+    counts: FastMap<AccountId, UsageCount>,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -314,11 +314,11 @@
 /// From where a further count of an account goes.
 ///
 /// Guards against an account that its entry forgot, among thousands, and counts from nothing again.
-fn base_after(before: Count, count: &Count) -> Count {
+fn base_after(before: UsageCount, count: &UsageCount) -> UsageCount {
     if count.wanted.wrapping_sub(before.wanted) <= MOST_AHEAD {
         return before;
     }
-    Count {
+    UsageCount {
         wanted: 0,
         used: 0,
         ..*count
@@ -327,9 +327,9 @@
 
 /// From where the first count of an account goes that a keeper hears of an entry. A small one was made
 /// lately; of a large one it is not known how much of it is new, for the keeper may have begun after it.
-fn base_of(count: &Count) -> Count {
+fn base_of(count: &UsageCount) -> UsageCount {
     match count.wanted {
-        0..=MOST_NEW => Count {
+        0..=MOST_NEW => UsageCount {
             wanted: 0,
             used: 0,
             ..*count
--- a/src/accounts/entry_allowances.rs
+++ b/src/accounts/entry_allowances.rs
@@ -4,8 +4,8 @@
 use crate::accounts::Allowance;
 use crate::accounts::AllowanceBound;
 use crate::accounts::AllowanceReply;
-use crate::accounts::Count;
 use crate::accounts::DecayedRate;
+use crate::accounts::UsageCount;
 use crate::accounts::UsageReport;
 use crate::core::FastMap;
 use crate::core::TimeMs;
@@ -191,7 +191,7 @@
             known.fresh = 0.0;
             if known.to_report > 0 {
                 known.to_report -= 1;
-                counts.push(Count {
+                counts.push(UsageCount {
                     account: *account,
                     wanted: known.wanted,
                     used: known.used,
--- a/src/accounts/message.rs
+++ b/src/accounts/message.rs
@@ -8,7 +8,7 @@
 /// What one entry has seen of one account, counted since its process began: a lost report costs nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Count {
+pub struct UsageCount {
     pub account: AccountId,
     /// Requests that came.
     pub wanted: u32,
@@ -28,7 +28,7 @@
     #[serde(rename = "wants_word")]
     pub wants_reply: bool,
     /// The accounts with news.
-    pub counts: Vec<Count>,
+    pub counts: Vec<UsageCount>,
 }
 
 /// Which part of an account's requests may be let in.
--- a/src/accounts/mod.rs
+++ b/src/accounts/mod.rs
@@ -35,9 +35,9 @@
 pub use message::AdmittedShare;
 pub use message::AllowanceMessage;
 pub use message::AllowanceReply;
-pub use message::Count;
 pub use message::Demand;
 pub use message::DomainDemands;
+pub use message::UsageCount;
 pub use message::UsageReport;
 pub use ranking::Ranking;
 
--- a/tests/accounts_keeper.rs
+++ b/tests/accounts_keeper.rs
@@ -5,9 +5,9 @@
 use sassafrasgap::accounts::Allowance;
 use sassafrasgap::accounts::AllowanceBound;
 use sassafrasgap::accounts::AllowanceCoordinator;
-use sassafrasgap::accounts::Count;
 use sassafrasgap::accounts::EntryAllowances;
 use sassafrasgap::accounts::Fleet;
+use sassafrasgap::accounts::UsageCount;
 use sassafrasgap::accounts::UsageReport;
 use sassafrasgap::core::Name;
 use sassafrasgap::core::TimeMs;
@@ -45,7 +45,7 @@
         process,
         sequence,
         wants_reply: true,
-        counts: vec![Count {
+        counts: vec![UsageCount {
             account: ACCOUNT,
             wanted,
             used: wanted as i32,
