--- a/src/accounts/entry_allowances.rs
+++ b/src/accounts/entry_allowances.rs
@@ -226,7 +226,7 @@
     }
 
     /// When a keeper last gave a word.
-    pub fn worded(&self) -> Option<TimeMs> {
+    pub fn last_reply_at(&self) -> Option<TimeMs> {
         self.worded
     }
 
--- a/src/traffic/allowances.rs
+++ b/src/traffic/allowances.rs
@@ -101,7 +101,7 @@
 
     /// When a keeper last gave a word.
     pub(super) fn worded(&self) -> Option<TimeMs> {
-        self.entry().worded()
+        self.entry().last_reply_at()
     }
 
     /// Looks at the time, and answers what is to be told.
