--- a/src/accounts/entry_allowances.rs
+++ b/src/accounts/entry_allowances.rs
@@ -133,7 +133,7 @@
     ///
     /// # Errors
     /// When it is beyond the allowance.
-    pub fn ask(
+    pub fn admit(
         &mut self,
         now: TimeMs,
         account: AccountId,
--- a/src/traffic/allowances.rs
+++ b/src/traffic/allowances.rs
@@ -77,7 +77,7 @@
         self.entry().set_bound(bound);
     }
 
-    /// Decides about a request and counts it; see [`EntryAllowances::ask`].
+    /// Decides about a request and counts it; see [`EntryAllowances::admit`].
     pub(super) fn ask(
         &self,
         now: TimeMs,
@@ -86,7 +86,7 @@
     ) -> Result<(), AllowanceExceeded> {
         let nodes = self.nodes.load(Ordering::Relaxed);
         let random = fastrand::f32();
-        self.entry().ask(now, account, allowance, nodes, random)
+        self.entry().admit(now, account, allowance, nodes, random)
     }
 
     /// A request that was let in has reached no backend server.
--- a/tests/accounts_fleet/mod.rs
+++ b/tests/accounts_fleet/mod.rs
@@ -235,7 +235,7 @@
         let random = self.rng.f32();
         let asked = self.nodes[node]
             .entry
-            .ask(self.now, id, account.allowance, known, random);
+            .admit(self.now, id, account.allowance, known, random);
         let sent = self.sent.entry(account.name.clone()).or_default();
         sent.note(self.now, asked.is_ok());
     }
--- a/tests/accounts_keeper.rs
+++ b/tests/accounts_keeper.rs
@@ -88,7 +88,7 @@
             burst: 100.0,
         };
         // Whether it is let in does not matter: it is counted.
-        let _ = entry.ask(now(ms), account, allowance, 1, 0.5);
+        let _ = entry.admit(now(ms), account, allowance, 1, 0.5);
     };
     for step in 0..300 {
         (0..6).for_each(|_| ask(&mut entry, step * 100, ACCOUNT));
