--- a/src/accounts/entry_allowances.rs
+++ b/src/accounts/entry_allowances.rs
@@ -164,7 +164,7 @@
     }
 
     /// A request that was let in has reached no backend server.
-    pub fn give_back(&mut self, account: AccountId) {
+    pub fn refund(&mut self, account: AccountId) {
         if let Some(known) = self.accounts.get_mut(&account) {
             known.used -= 1;
             known.to_report = REPEATED_REPORTS;
--- a/src/traffic/allowances.rs
+++ b/src/traffic/allowances.rs
@@ -91,7 +91,7 @@
 
     /// A request that was let in has reached no backend server.
     pub(super) fn give_back(&self, account: AccountId) {
-        self.entry().give_back(account);
+        self.entry().refund(account);
     }
 
     /// What comes of each account here; see [`EntryAllowances::uses`].
