--- a/src/accounts/entry_allowances.rs
+++ b/src/accounts/entry_allowances.rs
@@ -207,7 +207,7 @@
     }
 
     /// Takes in a keeper's word.
-    pub fn take_word(&mut self, now: TimeMs, word: &AllowanceReply) {
+    pub fn apply_reply(&mut self, now: TimeMs, word: &AllowanceReply) {
         self.worded = Some(now);
         let parts = word.limited.iter();
         self.parts = parts.map(|part| (part.account, part.permille)).collect();
--- a/src/traffic/allowances.rs
+++ b/src/traffic/allowances.rs
@@ -133,7 +133,7 @@
         match message {
             AllowanceMessage::Report(report) => self.take_report(now, from, &report),
             AllowanceMessage::Reply(word) => {
-                self.entry().take_word(now, &word);
+                self.entry().apply_reply(now, &word);
                 None
             }
             AllowanceMessage::Domain(news) => {
@@ -183,7 +183,7 @@
             }
             let word = self.keeping().keeper.take_report(now, keeper, &report);
             if let Some(word) = word {
-                self.entry().take_word(now, &word);
+                self.entry().apply_reply(now, &word);
             }
         }
     }
--- a/tests/accounts_fleet/mod.rs
+++ b/tests/accounts_fleet/mod.rs
@@ -334,7 +334,7 @@
                         self.send(to, from, AllowanceMessage::Reply(word));
                     }
                 }
-                AllowanceMessage::Reply(word) => self.nodes[to].entry.take_word(now, &word),
+                AllowanceMessage::Reply(word) => self.nodes[to].entry.apply_reply(now, &word),
                 AllowanceMessage::Domain(news) => {
                     let domain = node::domain(from % self.domains);
                     self.nodes[to].keeper.take_domain(now, &domain, &news);
