--- a/src/accounts/entry_allowances.rs
+++ b/src/accounts/entry_allowances.rs
@@ -106,7 +106,7 @@
     pub const SHARE_HOLDS_MS: u64 = 20_000;
 
     /// After this time without a word another keeper is asked, in milliseconds.
-    pub const WORD_MISSED_MS: u64 = 700;
+    pub const REPLY_MISSED_MS: u64 = 700;
 
     /// Nothing is known yet. `process` is a random number for this process.
     pub fn new(bound: AllowanceBound, is_first_start: bool, process: u32, now: TimeMs) -> Self {
--- a/src/traffic/allowances.rs
+++ b/src/traffic/allowances.rs
@@ -171,7 +171,7 @@
     ) {
         let is_worded = self
             .worded()
-            .is_some_and(|at| now.since(at) < EntryAllowances::WORD_MISSED_MS);
+            .is_some_and(|at| now.since(at) < EntryAllowances::REPLY_MISSED_MS);
         for (order, keeper) in keepers.iter().enumerate() {
             let report = UsageReport {
                 wants_reply: order == 0 || !is_worded,
