--- a/src/accounts/entry_allowances.rs
+++ b/src/accounts/entry_allowances.rs
@@ -103,7 +103,7 @@
     /// An entry that is on its own goes on with its equal share for so long after its last word, in
     /// milliseconds. Others divide the share of a node that they take for dead no sooner than so long after
     /// its death is known.
-    pub const SHARE_HOLDS_MS: u64 = 20_000;
+    pub const SHARE_VALID_MS: u64 = 20_000;
 
     /// After this time without a word another keeper is asked, in milliseconds.
     pub const REPLY_MISSED_MS: u64 = 700;
@@ -252,7 +252,7 @@
     /// once they take those for dead. It holds because the cut-off ones end first.
     fn share_per_s(&self, now: TimeMs, allowance: Allowance, nodes: usize) -> f32 {
         let alone_ms = now.since(self.worded.unwrap_or(self.started));
-        if alone_ms >= Self::SHARE_HOLDS_MS {
+        if alone_ms >= Self::SHARE_VALID_MS {
             return 0.0;
         }
         allowance.rate_per_s / nodes.max(LEAST_NODES) as f32
--- a/src/traffic/fleet_watch.rs
+++ b/src/traffic/fleet_watch.rs
@@ -14,7 +14,7 @@
 const KEEPERS: usize = 2;
 /// A dead node counts as there for so long, in milliseconds: it may be alive behind a cut and go on using
 /// its share.
-const DEAD_COUNTS_MS: u64 = EntryAllowances::SHARE_HOLDS_MS;
+const DEAD_COUNTS_MS: u64 = EntryAllowances::SHARE_VALID_MS;
 
 /// Follows the view.
 #[derive(Clone, Debug, Default)]
--- a/tests/accounts_fleet/mod.rs
+++ b/tests/accounts_fleet/mod.rs
@@ -133,7 +133,7 @@
         let keepers = 2 * self.domains;
         let all = keepers..self.nodes.len();
         self.cut_nodes = all.filter(|at| at / self.domains % 2 == 1).collect();
-        self.cut_nodes_gone = self.now + DEATH_KNOWN_MS + EntryAllowances::SHARE_HOLDS_MS;
+        self.cut_nodes_gone = self.now + DEATH_KNOWN_MS + EntryAllowances::SHARE_VALID_MS;
     }
 
     /// No node hears any other one, so each has its equal share.
