--- a/src/accounts/allowance_coordinator.rs
+++ b/src/accounts/allowance_coordinator.rs
@@ -111,7 +111,7 @@
 
     /// Takes in what an entry of the own failure domain has seen, and answers which parts it lets in, if it
     /// is asked and can tell.
-    pub fn take_report(
+    pub fn apply_report(
         &mut self,
         now: TimeMs,
         node: &Name,
--- a/src/traffic/allowances.rs
+++ b/src/traffic/allowances.rs
@@ -181,7 +181,7 @@
                 told.push((keeper.clone(), AllowanceMessage::Report(report)));
                 continue;
             }
-            let word = self.keeping().keeper.take_report(now, keeper, &report);
+            let word = self.keeping().keeper.apply_report(now, keeper, &report);
             if let Some(word) = word {
                 self.entry().apply_reply(now, &word);
             }
@@ -189,7 +189,7 @@
     }
 
     fn take_report(&self, now: TimeMs, from: &Name, report: &UsageReport) -> Option<Told> {
-        let word = self.keeping().keeper.take_report(now, from, report)?;
+        let word = self.keeping().keeper.apply_report(now, from, report)?;
         Some((from.clone(), AllowanceMessage::Reply(word)))
     }
 
--- a/tests/accounts_fleet/mod.rs
+++ b/tests/accounts_fleet/mod.rs
@@ -329,7 +329,7 @@
             match message {
                 AllowanceMessage::Report(report) => {
                     let name = node::name(from);
-                    let word = self.nodes[to].keeper.take_report(now, &name, &report);
+                    let word = self.nodes[to].keeper.apply_report(now, &name, &report);
                     if let Some(word) = word {
                         self.send(to, from, AllowanceMessage::Reply(word));
                     }
--- a/tests/accounts_keeper.rs
+++ b/tests/accounts_keeper.rs
@@ -52,7 +52,7 @@
         }],
     };
     let node = Name::from("n1");
-    let word = keeper.take_report(TimeMs(at_ms), &node, &report).unwrap();
+    let word = keeper.apply_report(TimeMs(at_ms), &node, &report).unwrap();
     word.limited.first().map_or(1_000, |part| part.permille)
 }
 
@@ -93,7 +93,7 @@
     for step in 0..300 {
         (0..6).for_each(|_| ask(&mut entry, step * 100, ACCOUNT));
         if let Some(report) = entry.report(now(step * 100)) {
-            drop(keeper.take_report(now(step * 100), &node, &report));
+            drop(keeper.apply_report(now(step * 100), &node, &report));
         }
     }
     for other in 0..5_000 {
@@ -104,7 +104,7 @@
         let ms = 60_000 + step * 100;
         (0..40).for_each(|_| ask(&mut entry, ms, ACCOUNT));
         if let Some(report) = entry.report(now(ms)) {
-            word = keeper.take_report(now(ms), &node, &report);
+            word = keeper.apply_report(now(ms), &node, &report);
         }
     }
     let limited = word.unwrap().limited;
