--- a/src/accounts/allowance_coordinator.rs
+++ b/src/accounts/allowance_coordinator.rs
@@ -137,7 +137,7 @@
     }
 
     /// Takes in what is asked for in another failure domain.
-    pub fn take_domain(&mut self, now: TimeMs, domain: &Name, news: &DomainDemands) {
+    pub fn apply_domain_demands(&mut self, now: TimeMs, domain: &Name, news: &DomainDemands) {
         let other = self.others.entry(domain.clone()).or_default();
         other.heard = now;
         other
--- a/src/traffic/allowances.rs
+++ b/src/traffic/allowances.rs
@@ -139,7 +139,9 @@
             AllowanceMessage::Domain(news) => {
                 let sender = view.nodes.get(from)?;
                 let mut keeping = self.keeping();
-                keeping.keeper.take_domain(now, &sender.domain, &news);
+                keeping
+                    .keeper
+                    .apply_domain_demands(now, &sender.domain, &news);
                 None
             }
         }
--- a/tests/accounts_fleet/mod.rs
+++ b/tests/accounts_fleet/mod.rs
@@ -337,7 +337,9 @@
                 AllowanceMessage::Reply(word) => self.nodes[to].entry.apply_reply(now, &word),
                 AllowanceMessage::Domain(news) => {
                     let domain = node::domain(from % self.domains);
-                    self.nodes[to].keeper.take_domain(now, &domain, &news);
+                    self.nodes[to]
+                        .keeper
+                        .apply_domain_demands(now, &domain, &news);
                 }
             }
         }
