--- a/src/accounts/allowance_coordinator.rs
+++ b/src/accounts/allowance_coordinator.rs
@@ -156,7 +156,7 @@
     }
 
     /// What the others have to know.
-    pub fn tell_domains(&mut self, now: TimeMs) -> DomainDemands {
+    pub fn domain_demands(&mut self, now: TimeMs) -> DomainDemands {
         self.forget(now);
         let told = self.used.iter().filter_map(|(account, used)| {
             let allowance = self.allowances.get(account)?;
--- a/src/traffic/allowances.rs
+++ b/src/traffic/allowances.rs
@@ -201,7 +201,7 @@
             return;
         }
         keeping.told_domains = now;
-        let news = keeping.keeper.tell_domains(now);
+        let news = keeping.keeper.domain_demands(now);
         for keeper in keeping.fleet.other_keepers(&self.domain) {
             told.push((keeper.clone(), AllowanceMessage::Domain(news.clone())));
         }
--- a/tests/accounts_fleet/mod.rs
+++ b/tests/accounts_fleet/mod.rs
@@ -282,7 +282,7 @@
         if at != domain || !self.now.0.is_multiple_of(300) {
             return;
         }
-        let news = self.nodes[at].keeper.tell_domains(self.now);
+        let news = self.nodes[at].keeper.domain_demands(self.now);
         for other in (0..self.domains).filter(|other| *other != domain) {
             for keeper in self.keepers(other) {
                 self.send(at, keeper, AllowanceMessage::Domain(news.clone()));
