--- a/src/accounts/identity.rs
+++ b/src/accounts/identity.rs
@@ -33,7 +33,7 @@
 
 /// What the decision rests on.
 #[derive(Clone, Copy, Debug)]
-pub struct Identity<'a> {
+pub struct IdentityInputs<'a> {
     /// `None` where the deployment has no accounts.
     pub accounts: Option<&'a AccountTable>,
     pub route_is_public: bool,
@@ -50,7 +50,7 @@
 ///
 /// # Errors
 /// Why the request is turned away for good.
-pub fn identify(from: Identity<'_>) -> Result<Caller, RefusalReason> {
+pub fn identify(from: IdentityInputs<'_>) -> Result<Caller, RefusalReason> {
     let Some(accounts) = from.accounts else {
         return Ok(Caller::Anybody);
     };
--- a/src/accounts/mod.rs
+++ b/src/accounts/mod.rs
@@ -27,7 +27,7 @@
 pub use entry_allowances::EntryAllowances;
 pub use fleet::Fleet;
 pub use identity::Caller;
-pub use identity::Identity;
+pub use identity::IdentityInputs;
 pub use identity::Presented;
 pub use identity::identify;
 pub use key_hash::KeyHash;
--- a/src/traffic/entry_account.rs
+++ b/src/traffic/entry_account.rs
@@ -5,7 +5,7 @@
 
 use crate::accounts::AccountId;
 use crate::accounts::Caller;
-use crate::accounts::Identity;
+use crate::accounts::IdentityInputs;
 use crate::accounts::Presented;
 use crate::accounts::Ranking;
 use crate::accounts::identify;
@@ -36,7 +36,7 @@
     headers: &HeaderMap,
 ) -> Result<Caller, Refusal> {
     let route = &found.route;
-    let identity = Identity {
+    let identity = IdentityInputs {
         accounts: in_force.accounts.as_ref(),
         route_is_public: route.is_public,
         route_is_callers: traffic.keyed_routes.contains(&route.name),
--- a/tests/accounts_keys.rs
+++ b/tests/accounts_keys.rs
@@ -4,7 +4,7 @@
 use sassafrasgap::accounts::Account;
 use sassafrasgap::accounts::AccountTable;
 use sassafrasgap::accounts::Caller;
-use sassafrasgap::accounts::Identity;
+use sassafrasgap::accounts::IdentityInputs;
 use sassafrasgap::accounts::KeyHash;
 use sassafrasgap::accounts::Presented;
 use sassafrasgap::accounts::identify;
@@ -63,14 +63,14 @@
     #[case] expected: Result<&str, RefusalReason>,
 ) {
     let table = AccountTable::new(&[account("anna", &["k1", "k2"]), account("empty", &[])]);
-    let identity = Identity {
+    let identity = IdentityInputs {
         accounts: Some(&table),
         route_is_public,
         route_is_callers,
         presented,
     };
     assert_eq!(told(identify(identity)), expected.map(str::to_owned));
-    let without = Identity {
+    let without = IdentityInputs {
         accounts: None,
         ..identity
     };
