--- a/src/accounts/identity.rs
+++ b/src/accounts/identity.rs
@@ -13,7 +13,7 @@
 
 /// The key that a request came with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Presented<'a> {
+pub enum PresentedKey<'a> {
     None,
     One(&'a [u8]),
     /// Two keys or more; which of them is meant cannot be told.
@@ -39,7 +39,7 @@
     pub route_is_public: bool,
     /// Requests with a valid key were seen on the route, so it is callers' and not backend servers'.
     pub route_is_callers: bool,
-    pub presented: Presented<'a>,
+    pub presented: PresentedKey<'a>,
 }
 
 /// Tells whose a request is.
@@ -58,10 +58,10 @@
         return Ok(Caller::Anybody);
     }
     match from.presented {
-        Presented::Several => Err(RefusalReason::AccountKeyAmbiguous),
-        Presented::None if from.route_is_callers => Err(RefusalReason::AccountKeyMissing),
-        Presented::None => Ok(Caller::Backend),
-        Presented::One(key) => holder(accounts, key),
+        PresentedKey::Several => Err(RefusalReason::AccountKeyAmbiguous),
+        PresentedKey::None if from.route_is_callers => Err(RefusalReason::AccountKeyMissing),
+        PresentedKey::None => Ok(Caller::Backend),
+        PresentedKey::One(key) => holder(accounts, key),
     }
 }
 
--- a/src/accounts/mod.rs
+++ b/src/accounts/mod.rs
@@ -28,7 +28,7 @@
 pub use fleet::Fleet;
 pub use identity::Caller;
 pub use identity::IdentityInputs;
-pub use identity::Presented;
+pub use identity::PresentedKey;
 pub use identity::identify;
 pub use key_hash::KeyHash;
 pub use key_hash::KeyTag;
--- a/src/traffic/entry_account.rs
+++ b/src/traffic/entry_account.rs
@@ -6,7 +6,7 @@
 use crate::accounts::AccountId;
 use crate::accounts::Caller;
 use crate::accounts::IdentityInputs;
-use crate::accounts::Presented;
+use crate::accounts::PresentedKey;
 use crate::accounts::Ranking;
 use crate::accounts::identify;
 use crate::core::Priority;
@@ -52,12 +52,12 @@
     Ok(caller)
 }
 
-fn presented<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Presented<'a> {
+fn presented<'a>(headers: &'a HeaderMap, name: &HeaderName) -> PresentedKey<'a> {
     let mut keys = headers.get_all(name).iter();
     match (keys.next(), keys.next()) {
-        (None, _) => Presented::None,
-        (Some(key), None) => Presented::One(key.as_bytes()),
-        (Some(_), Some(_)) => Presented::Several,
+        (None, _) => PresentedKey::None,
+        (Some(key), None) => PresentedKey::One(key.as_bytes()),
+        (Some(_), Some(_)) => PresentedKey::Several,
     }
 }
 
--- a/tests/accounts_keys.rs
+++ b/tests/accounts_keys.rs
@@ -6,7 +6,7 @@
 use sassafrasgap::accounts::Caller;
 use sassafrasgap::accounts::IdentityInputs;
 use sassafrasgap::accounts::KeyHash;
-use sassafrasgap::accounts::Presented;
+use sassafrasgap::accounts::PresentedKey;
 use sassafrasgap::accounts::identify;
 use sassafrasgap::core::Name;
 use sassafrasgap::core::RefusalReason;
@@ -31,33 +31,33 @@
 const LONG: [u8; 300] = [b'k'; 300];
 
 #[rstest]
-#[case::holder(Presented::One(b"k1"), false, false, Ok("anna"))]
-#[case::other_key(Presented::One(b"k2"), false, true, Ok("anna"))]
+#[case::holder(PresentedKey::One(b"k1"), false, false, Ok("anna"))]
+#[case::other_key(PresentedKey::One(b"k2"), false, true, Ok("anna"))]
 #[case::unknown(
-    Presented::One(b"k3"),
+    PresentedKey::One(b"k3"),
     false,
     false,
     Err(RefusalReason::AccountKeyUnknown)
 )]
 #[case::half(
-    Presented::One(b"k"),
+    PresentedKey::One(b"k"),
     false,
     false,
     Err(RefusalReason::AccountKeyUnknown)
 )]
-#[case::long(Presented::One(&LONG), false, false, Err(RefusalReason::AccountKeyUnknown))]
+#[case::long(PresentedKey::One(&LONG), false, false, Err(RefusalReason::AccountKeyUnknown))]
 #[case::several(
-    Presented::Several,
+    PresentedKey::Several,
     false,
     false,
     Err(RefusalReason::AccountKeyAmbiguous)
 )]
-#[case::backend_server(Presented::None, false, false, Ok("backend server"))]
-#[case::missing(Presented::None, false, true, Err(RefusalReason::AccountKeyMissing))]
-#[case::public(Presented::One(b"k3"), true, false, Ok("anybody"))]
-#[case::public_without(Presented::None, true, true, Ok("anybody"))]
+#[case::backend_server(PresentedKey::None, false, false, Ok("backend server"))]
+#[case::missing(PresentedKey::None, false, true, Err(RefusalReason::AccountKeyMissing))]
+#[case::public(PresentedKey::One(b"k3"), true, false, Ok("anybody"))]
+#[case::public_without(PresentedKey::None, true, true, Ok("anybody"))]
 fn a_request_is_told_by_its_key(
-    #[case] presented: Presented<'_>,
+    #[case] presented: PresentedKey<'_>,
     #[case] route_is_public: bool,
     #[case] route_is_callers: bool,
     #[case] expected: Result<&str, RefusalReason>,
