--- a/src/accounts/identity.rs
+++ b/src/accounts/identity.rs
@@ -28,7 +28,7 @@
     /// The backend server beside this node, whose calls carry no key.
     Backend,
     /// Keys are not asked for here.
-    Anybody,
+    Anonymous,
 }
 
 /// What the decision rests on.
@@ -52,10 +52,10 @@
 /// Why the request is turned away for good.
 pub fn identify(from: IdentityInputs<'_>) -> Result<Caller, RefusalReason> {
     let Some(accounts) = from.accounts else {
-        return Ok(Caller::Anybody);
+        return Ok(Caller::Anonymous);
     };
     if from.route_is_public {
-        return Ok(Caller::Anybody);
+        return Ok(Caller::Anonymous);
     }
     match from.presented {
         PresentedKey::Several => Err(RefusalReason::AccountKeyAmbiguous),
--- a/src/traffic/entry.rs
+++ b/src/traffic/entry.rs
@@ -160,11 +160,11 @@
     let route = &found.route.name;
     let caller = caller_of(traffic, &in_force, &found, &parts.headers);
     let caller = caller.map_err(Rejected::Refusal)?;
-    let is_certain_origin = !matches!(caller, Caller::Anybody);
+    let is_certain_origin = !matches!(caller, Caller::Anonymous);
     let origin = match &caller {
         Caller::Account(..) => Some(RouteOrigin::Callers),
         Caller::Backend => Some(RouteOrigin::Backends),
-        Caller::Anybody => traffic.origins.of(route),
+        Caller::Anonymous => traffic.origins.of(route),
     };
     let class = class(&in_force.ranking, &found, origin, &caller);
     let priority = priority(traffic, class, &parts.headers);
--- a/src/traffic/entry_account.rs
+++ b/src/traffic/entry_account.rs
@@ -90,7 +90,7 @@
     }
     let of_account = match caller {
         Caller::Account(account, _) => account.rank,
-        Caller::Backend | Caller::Anybody => None,
+        Caller::Backend | Caller::Anonymous => None,
     };
     let place = ranking.place(of_account, found.route.rank);
     place.saturating_add(DEEP_CLASS + 1)
--- a/tests/accounts_keys.rs
+++ b/tests/accounts_keys.rs
@@ -24,7 +24,7 @@
     caller.map(|caller| match caller {
         Caller::Account(account, _) => account.name.to_string(),
         Caller::Backend => "backend server".to_owned(),
-        Caller::Anybody => "anybody".to_owned(),
+        Caller::Anonymous => "anybody".to_owned(),
     })
 }
 
