--- a/src/accounts/identity.rs
+++ b/src/accounts/identity.rs
@@ -38,7 +38,7 @@
     pub accounts: Option<&'a AccountTable>,
     pub route_is_public: bool,
     /// Requests with a valid key were seen on the route, so it is callers' and not backend servers'.
-    pub route_is_callers: bool,
+    pub route_saw_valid_key: bool,
     pub presented: PresentedKey<'a>,
 }
 
@@ -59,7 +59,7 @@
     }
     match from.presented {
         PresentedKey::Several => Err(RefusalReason::AccountKeyAmbiguous),
-        PresentedKey::None if from.route_is_callers => Err(RefusalReason::AccountKeyMissing),
+        PresentedKey::None if from.route_saw_valid_key => Err(RefusalReason::AccountKeyMissing),
         PresentedKey::None => Ok(Caller::Backend),
         PresentedKey::One(key) => holder(accounts, key),
     }
--- a/src/traffic/entry_account.rs
+++ b/src/traffic/entry_account.rs
@@ -39,7 +39,7 @@
     let identity = IdentityInputs {
         accounts: in_force.accounts.as_ref(),
         route_is_public: route.is_public,
-        route_is_callers: traffic.keyed_routes.contains(&route.name),
+        route_saw_valid_key: traffic.keyed_routes.contains(&route.name),
         presented: presented(headers, &traffic.settings.header_names.account_key),
     };
     let caller = identify(identity).map_err(not_allowed)?;
--- a/tests/accounts_keys.rs
+++ b/tests/accounts_keys.rs
@@ -59,14 +59,14 @@
 fn a_request_is_told_by_its_key(
     #[case] presented: PresentedKey<'_>,
     #[case] route_is_public: bool,
-    #[case] route_is_callers: bool,
+    #[case] route_saw_valid_key: bool,
     #[case] expected: Result<&str, RefusalReason>,
 ) {
     let table = AccountTable::new(&[account("anna", &["k1", "k2"]), account("empty", &[])]);
     let identity = IdentityInputs {
         accounts: Some(&table),
         route_is_public,
-        route_is_callers,
+        route_saw_valid_key,
         presented,
     };
     assert_eq!(told(identify(identity)), expected.map(str::to_owned));
