--- a/src/node/forward.rs
+++ b/src/node/forward.rs
@@ -17,7 +17,7 @@
 use crate::node::peer_call::AttemptEnd;
 use crate::node::peer_call::call_peer;
 use crate::retry::Failure;
-use crate::retry::Situation;
+use crate::retry::RetryContext;
 use crate::retry::retry_reason;
 use crate::routing::Pick;
 
@@ -111,7 +111,7 @@
         reason: refusal.reason,
         run_state: refusal.run_state,
     };
-    let situation = Situation {
+    let situation = RetryContext {
         non_idempotent: call.non_idempotent,
         body_is_held: call.body_is_held,
         room_elsewhere: node.targets.has_room(&view, &call.service, tried, now),
--- a/src/retry/decision.rs
+++ b/src/retry/decision.rs
@@ -13,7 +13,7 @@
 
 /// What is known of the call and of the targets when an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Situation {
+pub struct RetryContext {
     pub non_idempotent: bool,
     /// The body is still held whole, so it can be sent again.
     pub body_is_held: bool,
@@ -25,7 +25,7 @@
 /// The reason for another attempt, or none when there must be no other.
 ///
 /// The caller then has to take it out of the allotment and the budget.
-pub fn retry_reason(failure: Failure, situation: Situation) -> Option<RetryReason> {
+pub fn retry_reason(failure: Failure, situation: RetryContext) -> Option<RetryReason> {
     if !situation.body_is_held || situation.deadline_left_ms == 0 {
         return None;
     }
@@ -37,7 +37,7 @@
 }
 
 /// An attempt that may have run is repeated only when a second run does no harm.
-fn after_unknown(reason: RefusalReason, situation: Situation) -> Option<RetryReason> {
+fn after_unknown(reason: RefusalReason, situation: RetryContext) -> Option<RetryReason> {
     if situation.non_idempotent {
         return None;
     }
@@ -48,7 +48,7 @@
     }
 }
 
-fn after_not_run(reason: RefusalReason, situation: Situation) -> Option<RetryReason> {
+fn after_not_run(reason: RefusalReason, situation: RetryContext) -> Option<RetryReason> {
     match reason {
         // Overload: another attempt helps only where there is room, else it feeds the overload.
         RefusalReason::Overloaded
--- a/src/retry/mod.rs
+++ b/src/retry/mod.rs
@@ -9,7 +9,7 @@
 pub use allotment::Allotment;
 pub use budget::RetryBudget;
 pub use decision::Failure;
-pub use decision::Situation;
+pub use decision::RetryContext;
 pub use decision::retry_reason;
 pub use retry_bound::RetryBound;
 pub use window_budget::WindowBudget;
--- a/src/traffic/forward.rs
+++ b/src/traffic/forward.rs
@@ -15,7 +15,7 @@
 use crate::core::RouteOrigin;
 use crate::core::Target;
 use crate::retry::Failure;
-use crate::retry::Situation;
+use crate::retry::RetryContext;
 use crate::retry::retry_reason;
 use crate::routing::Pick;
 use crate::routing::TargetPressure;
@@ -235,7 +235,7 @@
         reason: refusal.reason,
         run_state: refusal.run_state,
     };
-    let situation = Situation {
+    let situation = RetryContext {
         non_idempotent: !call.repeatability.may_repeat(),
         body_is_held: true,
         room_elsewhere: traffic.targets.has_room(&view, &call.service, tried, now),
