--- a/src/node/forward.rs
+++ b/src/node/forward.rs
@@ -16,7 +16,7 @@
 use crate::node::keyed_forward::forward_keyed;
 use crate::node::peer_call::AttemptEnd;
 use crate::node::peer_call::call_peer;
-use crate::retry::Failure;
+use crate::retry::AttemptFailure;
 use crate::retry::RetryContext;
 use crate::retry::retry_reason;
 use crate::routing::Pick;
@@ -107,7 +107,7 @@
 fn next_attempt(node: &Node, call: &Call, refusal: Refusal, tried: &[Name]) -> Option<RetryReason> {
     let now = node.inputs.clock.now();
     let view = node.inputs.view.load();
-    let failure = Failure {
+    let failure = AttemptFailure {
         reason: refusal.reason,
         run_state: refusal.run_state,
     };
--- a/src/retry/decision.rs
+++ b/src/retry/decision.rs
@@ -6,7 +6,7 @@
 
 /// How an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Failure {
+pub struct AttemptFailure {
     pub reason: RefusalReason,
     pub run_state: RunState,
 }
@@ -25,7 +25,7 @@
 /// The reason for another attempt, or none when there must be no other.
 ///
 /// The caller then has to take it out of the allotment and the budget.
-pub fn retry_reason(failure: Failure, situation: RetryContext) -> Option<RetryReason> {
+pub fn retry_reason(failure: AttemptFailure, situation: RetryContext) -> Option<RetryReason> {
     if !situation.body_is_held || situation.deadline_left_ms == 0 {
         return None;
     }
--- a/src/retry/mod.rs
+++ b/src/retry/mod.rs
@@ -8,7 +8,7 @@
 
 pub use allotment::Allotment;
 pub use budget::RetryBudget;
-pub use decision::Failure;
+pub use decision::AttemptFailure;
 pub use decision::RetryContext;
 pub use decision::retry_reason;
 pub use retry_bound::RetryBound;
--- a/src/traffic/forward.rs
+++ b/src/traffic/forward.rs
@@ -14,7 +14,7 @@
 use crate::core::RetryReason;
 use crate::core::RouteOrigin;
 use crate::core::Target;
-use crate::retry::Failure;
+use crate::retry::AttemptFailure;
 use crate::retry::RetryContext;
 use crate::retry::retry_reason;
 use crate::routing::Pick;
@@ -231,7 +231,7 @@
     }
     let now = traffic.clock.now();
     let view = traffic.view.load();
-    let failure = Failure {
+    let failure = AttemptFailure {
         reason: refusal.reason,
         run_state: refusal.run_state,
     };
