--- a/src/retry/window_budget.rs
+++ b/src/retry/window_budget.rs
@@ -84,7 +84,7 @@
     /// Guards against repeats that nobody paid for: those calls are repeats as well, and when the bound is
     /// reached already they go beyond it, call by call. It holds because such work is refused before it
     /// makes any.
-    pub fn has_left(&self, now: TimeMs) -> bool {
+    pub fn has_remaining(&self, now: TimeMs) -> bool {
         self.spent(now) + 1.0 <= self.allowed(now)
     }
 
--- a/src/traffic/guard.rs
+++ b/src/traffic/guard.rs
@@ -196,7 +196,7 @@
     Some(Refusal::not_run(RefusalReason::Overloaded, later_ms))
 }
 
-/// Refuses a repeat whose calls could not be paid for; see [`crate::retry::WindowBudget::has_left`].
+/// Refuses a repeat whose calls could not be paid for; see [`crate::retry::WindowBudget::has_remaining`].
 fn refuse_repeat(traffic: &Traffic, call: &GuardedCall) -> Option<Refusal> {
     if call.hop.repeated_permille < CERTAIN_PERMILLE {
         return None;
--- a/src/traffic/retry_budgets.rs
+++ b/src/traffic/retry_budgets.rs
@@ -64,9 +64,9 @@
         self.lock().budget_of(service).try_retry(now)
     }
 
-    /// Whether a repeat may begin that makes calls to the service; see [`WindowBudget::has_left`].
+    /// Whether a repeat may begin that makes calls to the service; see [`WindowBudget::has_remaining`].
     pub(super) fn has_left(&self, now: TimeMs, service: &Name) -> bool {
-        self.lock().budget_of(service).has_left(now)
+        self.lock().budget_of(service).has_remaining(now)
     }
 
     fn lock(&self) -> MutexGuard<'_, Known> {
--- a/tests/retry_window_budget.rs
+++ b/tests/retry_window_budget.rs
@@ -157,7 +157,7 @@
         let now = TimeMs(at);
         budget.first_attempt(now, 0.0);
         first += 1;
-        if at % 20 == 0 && (!asks || budget.has_left(now)) {
+        if at % 20 == 0 && (!asks || budget.has_remaining(now)) {
             budget.first_attempt(now, 1.0);
             repeated += 1;
         }
