--- a/src/capacity/protocol_sizes.rs
+++ b/src/capacity/protocol_sizes.rs
@@ -19,7 +19,7 @@
 use crate::membership::encode_datagram;
 use crate::membership::encoded_bytes;
 use crate::poison::CrashReport;
-use crate::poison::Running;
+use crate::poison::RunningRequest;
 use crate::wire::AnswerHeader;
 use crate::wire::CallHeader;
 use crate::wire::LoadReport;
@@ -151,7 +151,7 @@
 }
 
 fn suspect_request_bytes() -> usize {
-    let running = Running {
+    let running = RunningRequest {
         request: RequestId(u128::MAX),
         fingerprint: u64::MAX,
     };
--- a/src/node/live_calls.rs
+++ b/src/node/live_calls.rs
@@ -11,7 +11,7 @@
 use crate::core::TimeMs;
 use crate::node::child_clock::ChildClock;
 use crate::node::child_keys::ChildKeys;
-use crate::poison::Running;
+use crate::poison::RunningRequest;
 use crate::retry::Allotment;
 
 /// What a child call inherits. A caller's own call has one at its entry as well, for the allotment.
@@ -66,8 +66,8 @@
     }
 
     /// The call as a suspect, should the backend server crash.
-    pub(super) fn running(&self) -> Running {
-        Running {
+    pub(super) fn running(&self) -> RunningRequest {
+        RunningRequest {
             request: self.request,
             fingerprint: self.fingerprint,
         }
@@ -158,7 +158,7 @@
     }
 
     /// Everything that runs at present.
-    pub(super) fn running(&self) -> Vec<Running> {
+    pub(super) fn running(&self) -> Vec<RunningRequest> {
         self.lock().values().map(|call| call.running()).collect()
     }
 
--- a/src/node/poison_guard.rs
+++ b/src/node/poison_guard.rs
@@ -18,7 +18,7 @@
 use crate::node::live_calls::LiveCall;
 use crate::poison::CrashId;
 use crate::poison::PoisonSettings;
-use crate::poison::Running;
+use crate::poison::RunningRequest;
 use crate::poison::Suspects;
 use crate::poison::Verdict;
 
@@ -32,7 +32,7 @@
     id: CrashId,
     /// When it was noticed, in microseconds: what was sent before broke in it.
     at_us: u64,
-    running: Vec<Running>,
+    running: Vec<RunningRequest>,
 }
 
 /// The suspects of the local service.
@@ -122,7 +122,7 @@
     node.inputs.local.borrow().state() == TargetState::Starting
 }
 
-fn new_crash(node: &Node, this: Running) -> LastCrash {
+fn new_crash(node: &Node, this: RunningRequest) -> LastCrash {
     let mut running = node.live_calls.running();
     if !running.contains(&this) {
         running.push(this);
--- a/src/poison/broken_calls.rs
+++ b/src/poison/broken_calls.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use crate::core::TimeMs;
-use crate::poison::Running;
+use crate::poison::RunningRequest;
 
 /// How long a broken call may be held against a crash, in milliseconds: a backend server that has
 /// crashed refuses the next connection, and the one after it reports within a few seconds.
@@ -17,12 +17,12 @@
 /// costs it a connection, and the caller the time. Whether it crashed shows by itself.
 #[derive(Clone, Debug, Default)]
 pub struct BrokenCalls {
-    calls: VecDeque<(TimeMs, Running)>,
+    calls: VecDeque<(TimeMs, RunningRequest)>,
 }
 
 impl BrokenCalls {
     /// Notes a call that broke.
-    pub fn note(&mut self, now: TimeMs, call: Running) {
+    pub fn note(&mut self, now: TimeMs, call: RunningRequest) {
         self.expire(now);
         if self.calls.len() >= MOST_CALLS {
             self.calls.pop_front();
@@ -31,13 +31,13 @@
     }
 
     /// The backend server has crashed: answers what was running then, and forgets it.
-    pub fn take(&mut self, now: TimeMs) -> Vec<Running> {
+    pub fn take(&mut self, now: TimeMs) -> Vec<RunningRequest> {
         self.expire(now);
         self.calls.drain(..).map(|(_, call)| call).collect()
     }
 
     fn expire(&mut self, now: TimeMs) {
-        let is_old = |(at, _): &(TimeMs, Running)| now.since(*at) > KEEP_MS;
+        let is_old = |(at, _): &(TimeMs, RunningRequest)| now.since(*at) > KEEP_MS;
         while self.calls.front().is_some_and(is_old) {
             self.calls.pop_front();
         }
--- a/src/poison/crash_report.rs
+++ b/src/poison/crash_report.rs
@@ -21,7 +21,7 @@
 /// A request that was running when the backend server crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Running {
+pub struct RunningRequest {
     pub request: RequestId,
     /// As of [`fingerprint_of`](crate::core::fingerprint_of).
     pub fingerprint: u64,
@@ -41,6 +41,6 @@
 #[derive(Serialize, Deserialize)]
 pub struct CrashReport {
     pub crash: CrashId,
-    pub running: Vec<Running>,
+    pub running: Vec<RunningRequest>,
     pub cleared: Vec<Cleared>,
 }
--- a/src/poison/mod.rs
+++ b/src/poison/mod.rs
@@ -10,7 +10,7 @@
 pub use crash_report::Cleared;
 pub use crash_report::CrashId;
 pub use crash_report::CrashReport;
-pub use crash_report::Running;
+pub use crash_report::RunningRequest;
 pub use suspects::PoisonSettings;
 pub use suspects::Suspects;
 pub use suspects::Verdict;
--- a/src/poison/suspects.rs
+++ b/src/poison/suspects.rs
@@ -8,7 +8,7 @@
 use crate::poison::crash_report::Cleared;
 use crate::poison::crash_report::CrashId;
 use crate::poison::crash_report::CrashReport;
-use crate::poison::crash_report::Running;
+use crate::poison::crash_report::RunningRequest;
 use crate::poison::crashes::Crashes;
 
 /// How many clearances one report carries at most.
@@ -85,7 +85,12 @@
 
     /// Notes that the own backend server crashed. The report goes to every other target of the
     /// service before any of the running requests is answered.
-    pub fn note_crash(&mut self, now: TimeMs, crash: CrashId, running: &[Running]) -> CrashReport {
+    pub fn note_crash(
+        &mut self,
+        now: TimeMs,
+        crash: CrashId,
+        running: &[RunningRequest],
+    ) -> CrashReport {
         let report = CrashReport {
             crash,
             running: running.to_vec(),
@@ -162,7 +167,7 @@
     }
 
     /// What is known to the good of the contents that ran at this crash, and then of others.
-    fn clearances(&self, running: &[Running]) -> Vec<Cleared> {
+    fn clearances(&self, running: &[RunningRequest]) -> Vec<Cleared> {
         let own = running.iter().map(|running| running.fingerprint);
         let own = own.filter_map(|fingerprint| self.contents.get_key_value(&fingerprint));
         let all = own.chain(&self.contents);
--- a/src/traffic/backend.rs
+++ b/src/traffic/backend.rs
@@ -1,4 +1,4 @@
-//! Running an admitted call at the local backend server.
+//! RunningRequest an admitted call at the local backend server.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 use crate::core::RefusalReason;
 use crate::errors::SendError;
 use crate::node::permit::Permit;
-use crate::poison::Running;
+use crate::poison::RunningRequest;
 use crate::traffic::backend_answer::check;
 use crate::traffic::backend_answer::is_for;
 use crate::traffic::call::GuardedCall;
@@ -154,7 +154,12 @@
     Some(request)
 }
 
-fn lost(traffic: &Traffic, incarnation: &Name, suspect: Running, error: &SendError) -> BackendEnd {
+fn lost(
+    traffic: &Traffic,
+    incarnation: &Name,
+    suspect: RunningRequest,
+    error: &SendError,
+) -> BackendEnd {
     if error.is_unsent() {
         traffic.change_local(|local| local.note_refused(incarnation));
         return BackendEnd::not_sent(not_run(RefusalReason::BackendDown));
--- a/src/traffic/call.rs
+++ b/src/traffic/call.rs
@@ -17,7 +17,7 @@
 use crate::core::RunState;
 use crate::core::TimeMs;
 use crate::desired::Repeatability;
-use crate::poison::Running;
+use crate::poison::RunningRequest;
 use crate::wire::CallAccount;
 use crate::wire::HopCall;
 
@@ -59,7 +59,7 @@
 pub(super) struct GuardedCall {
     pub message: Message,
     /// What is held against it should the backend server crash.
-    pub suspect: Running,
+    pub suspect: RunningRequest,
     pub hop: HopCall,
     pub deadline: TimeMs,
 }
--- a/src/traffic/poison_watch.rs
+++ b/src/traffic/poison_watch.rs
@@ -19,7 +19,7 @@
 use crate::poison::CrashId;
 use crate::poison::CrashReport;
 use crate::poison::PoisonSettings;
-use crate::poison::Running;
+use crate::poison::RunningRequest;
 use crate::poison::Suspects;
 use crate::poison::Verdict;
 use crate::traffic::call::Message;
@@ -63,7 +63,7 @@
     }
 
     /// Whether a call may run.
-    pub(super) fn is_harmless(&self, call: &Running) -> bool {
+    pub(super) fn is_harmless(&self, call: &RunningRequest) -> bool {
         let now = self.clock.now();
         let known = self.lock();
         let (request, fingerprint) = (call.request, call.fingerprint);
@@ -71,7 +71,7 @@
     }
 
     /// A call came to its end.
-    pub(super) fn note_success(&self, call: &Running) {
+    pub(super) fn note_success(&self, call: &RunningRequest) {
         let mut known = self.lock();
         if !known.suspects.is_empty() && known.suspects.note_success(call.fingerprint) {
             log::info!("poison: cleared, fingerprint={:016x}", call.fingerprint);
@@ -79,7 +79,7 @@
     }
 
     /// The connection of a call to the backend server broke.
-    pub(super) fn note_broken(&self, call: Running) {
+    pub(super) fn note_broken(&self, call: RunningRequest) {
         let now = self.clock.now();
         self.lock().broken.note(now, call);
     }
@@ -116,10 +116,10 @@
 
 /// The call as a suspect, should the backend server crash. Whoever sends a poisoned request again
 /// gives it another identifier, so its content tells: where it comes from, method, path and body.
-pub(super) fn as_suspect(message: &Message, caller_service: &str, id: &str) -> Running {
+pub(super) fn as_suspect(message: &Message, caller_service: &str, id: &str) -> RunningRequest {
     let path = message.path_and_query.as_str();
     let method = message.method.as_str();
-    Running {
+    RunningRequest {
         request: RequestId::of_key("", id),
         fingerprint: fingerprint_of(caller_service, method, path, &message.body),
     }
--- a/tests/poison_suspects.rs
+++ b/tests/poison_suspects.rs
@@ -8,7 +8,7 @@
 use sassafrasgap::poison::CrashId;
 use sassafrasgap::poison::CrashReport;
 use sassafrasgap::poison::PoisonSettings;
-use sassafrasgap::poison::Running;
+use sassafrasgap::poison::RunningRequest;
 use sassafrasgap::poison::Suspects;
 use sassafrasgap::poison::Verdict;
 
@@ -24,15 +24,15 @@
     (0..count).map(|_| Suspects::new(settings)).collect()
 }
 
-fn running(request: u128, fingerprint: u64) -> Running {
-    Running {
+fn running(request: u128, fingerprint: u64) -> RunningRequest {
+    RunningRequest {
         request: RequestId(request),
         fingerprint,
     }
 }
 
 /// The guard `at` sees a crash and tells all others before it answers.
-fn crash(guards: &mut [Suspects], at: usize, now_ms: u64, crash: u64, running: &[Running]) {
+fn crash(guards: &mut [Suspects], at: usize, now_ms: u64, crash: u64, running: &[RunningRequest]) {
     let now = TimeMs(now_ms);
     let report = guards[at].note_crash(now, CrashId(crash), running);
     for guard in guards.iter_mut() {
@@ -40,8 +40,8 @@
     }
 }
 
-fn allows(guard: &Suspects, now_ms: u64, running: Running, non_idempotent: bool) -> bool {
-    let Running {
+fn allows(guard: &Suspects, now_ms: u64, running: RunningRequest, non_idempotent: bool) -> bool {
+    let RunningRequest {
         request,
         fingerprint,
     } = running;
@@ -134,7 +134,7 @@
     guard.note_crash(TimeMs(0), CrashId(1), &[poison]);
     guard.note_crash(TimeMs(1), CrashId(2), &[poison]);
     for at in 0..40_u64 {
-        let others: Vec<Running> = (0..30)
+        let others: Vec<RunningRequest> = (0..30)
             .map(|each| running(u128::from(1_000 + at * 30 + each), 1_000 + at * 30 + each))
             .collect();
         guard.note_crash(TimeMs(2 + at), CrashId(10 + at), &others);
@@ -196,7 +196,7 @@
                     }
                 }
                 Event::Crash { at, contents } => {
-                    let ran: Vec<Running> = contents
+                    let ran: Vec<RunningRequest> = contents
                         .iter()
                         .map(|&content| running(2_000 + step as u128, content))
                         .collect();
@@ -222,7 +222,7 @@
             .iter()
             .enumerate()
             .map(|(number, contents)| {
-                let ran: Vec<Running> = contents
+                let ran: Vec<RunningRequest> = contents
                     .iter()
                     .map(|&content| running(u128::from(content), content))
                     .collect();
