--- a/src/poison/crash_report.rs
+++ b/src/poison/crash_report.rs
@@ -30,7 +30,7 @@
 /// A content that ran to its end after it had been suspected of a crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Cleared {
+pub struct Clearance {
     pub fingerprint: u64,
     pub crash: CrashId,
 }
@@ -42,5 +42,5 @@
 pub struct CrashReport {
     pub crash: CrashId,
     pub running: Vec<RunningRequest>,
-    pub cleared: Vec<Cleared>,
+    pub cleared: Vec<Clearance>,
 }
--- a/src/poison/mod.rs
+++ b/src/poison/mod.rs
@@ -7,7 +7,7 @@
 mod suspects;
 
 pub use broken_calls::BrokenCalls;
-pub use crash_report::Cleared;
+pub use crash_report::Clearance;
 pub use crash_report::CrashId;
 pub use crash_report::CrashReport;
 pub use crash_report::RunningRequest;
--- a/src/poison/suspects.rs
+++ b/src/poison/suspects.rs
@@ -5,7 +5,7 @@
 use crate::core::FastMap;
 use crate::core::RequestId;
 use crate::core::TimeMs;
-use crate::poison::crash_report::Cleared;
+use crate::poison::crash_report::Clearance;
 use crate::poison::crash_report::CrashId;
 use crate::poison::crash_report::CrashReport;
 use crate::poison::crash_report::RunningRequest;
@@ -167,16 +167,16 @@
     }
 
     /// What is known to the good of the contents that ran at this crash, and then of others.
-    fn clearances(&self, running: &[RunningRequest]) -> Vec<Cleared> {
+    fn clearances(&self, running: &[RunningRequest]) -> Vec<Clearance> {
         let own = running.iter().map(|running| running.fingerprint);
         let own = own.filter_map(|fingerprint| self.contents.get_key_value(&fingerprint));
         let all = own.chain(&self.contents);
-        let mut cleared: Vec<Cleared> = Vec::new();
+        let mut cleared: Vec<Clearance> = Vec::new();
         for (&fingerprint, crashes) in all {
             let known = crashes
                 .cleared()
-                .map(|crash| Cleared { fingerprint, crash });
-            let fresh: Vec<Cleared> = known.filter(|each| !cleared.contains(each)).collect();
+                .map(|crash| Clearance { fingerprint, crash });
+            let fresh: Vec<Clearance> = known.filter(|each| !cleared.contains(each)).collect();
             cleared.extend(fresh);
             if cleared.len() >= MAX_REPORTED_CLEARANCES {
                 break;
