--- a/src/poison/crashes.rs
+++ b/src/poison/crashes.rs
@@ -16,12 +16,12 @@
 
 /// The crashes during which a request, or a content, was running.
 #[derive(Clone, Debug, Default)]
-pub struct Crashes {
+pub struct CrashHistory {
     entries: Vec<Entry>,
     last_at: TimeMs,
 }
 
-impl Crashes {
+impl CrashHistory {
     /// When the last one was noted.
     pub fn last_at(&self) -> TimeMs {
         self.last_at
--- a/src/poison/suspects.rs
+++ b/src/poison/suspects.rs
@@ -9,7 +9,7 @@
 use crate::poison::crash_report::CrashId;
 use crate::poison::crash_report::CrashReport;
 use crate::poison::crash_report::RunningRequest;
-use crate::poison::crashes::Crashes;
+use crate::poison::crashes::CrashHistory;
 
 /// How many clearances one report carries at most.
 const MAX_REPORTED_CLEARANCES: usize = 256;
@@ -59,8 +59,8 @@
 #[derive(Debug)]
 pub struct Suspects {
     settings: PoisonSettings,
-    requests: FastMap<RequestId, Crashes>,
-    contents: FastMap<u64, Crashes>,
+    requests: FastMap<RequestId, CrashHistory>,
+    contents: FastMap<u64, CrashHistory>,
 }
 
 impl Suspects {
@@ -154,12 +154,15 @@
 
     /// How many crashes count against the request itself or against its content.
     fn crashes_held(&self, now: TimeMs, request: RequestId, fingerprint: u64) -> usize {
-        let fresh = |crashes: &&Crashes| now.since(crashes.last_at()) < self.settings.keep_ms;
+        let fresh = |crashes: &&CrashHistory| now.since(crashes.last_at()) < self.settings.keep_ms;
         let of_content = self.contents.get(&fingerprint).filter(fresh);
         let of_request = self.requests.get(&request).filter(fresh);
         let is_innocent = |crash: &CrashId| of_content.is_some_and(|own| own.is_cleared(*crash));
-        let mut held: Vec<CrashId> = of_content.into_iter().flat_map(Crashes::held).collect();
-        let further = of_request.into_iter().flat_map(Crashes::held);
+        let mut held: Vec<CrashId> = of_content
+            .into_iter()
+            .flat_map(CrashHistory::held)
+            .collect();
+        let further = of_request.into_iter().flat_map(CrashHistory::held);
         held.extend(further.filter(|crash| !is_innocent(crash)));
         held.sort_unstable();
         held.dedup();
@@ -188,7 +191,7 @@
 
     fn expire(&mut self, now: TimeMs) {
         let keep_ms = self.settings.keep_ms;
-        let fresh = |crashes: &Crashes| now.since(crashes.last_at()) < keep_ms;
+        let fresh = |crashes: &CrashHistory| now.since(crashes.last_at()) < keep_ms;
         self.contents.retain(|_, crashes| fresh(crashes));
         self.requests.retain(|_, crashes| fresh(crashes));
     }
@@ -196,11 +199,11 @@
 
 /// Drops those with the fewest crashes held, and among them the oldest, until the rest fits: a
 /// flood of harmless suspects must not push out one that is refused.
-fn shrink<K: Copy + Eq + Hash>(suspects: &mut FastMap<K, Crashes>, max: usize) {
+fn shrink<K: Copy + Eq + Hash>(suspects: &mut FastMap<K, CrashHistory>, max: usize) {
     let Some(excess) = suspects.len().checked_sub(max + 1) else {
         return;
     };
-    let weight = |crashes: &Crashes| (crashes.held().count(), crashes.last_at());
+    let weight = |crashes: &CrashHistory| (crashes.held().count(), crashes.last_at());
     let mut weights: Vec<_> = suspects
         .iter()
         .map(|(&key, crashes)| (weight(crashes), key))
