--- a/src/poison/mod.rs
+++ b/src/poison/mod.rs
@@ -2,8 +2,8 @@
 //! ([docs/POISON.md](../../docs/POISON.md)).
 
 mod broken_calls;
+mod crash_history;
 mod crash_report;
-mod crashes;
 mod suspects;
 
 pub use broken_calls::BrokenCalls;
--- a/src/poison/suspects.rs
+++ b/src/poison/suspects.rs
@@ -5,11 +5,11 @@
 use crate::core::FastMap;
 use crate::core::RequestId;
 use crate::core::TimeMs;
+use crate::poison::crash_history::CrashHistory;
 use crate::poison::crash_report::Clearance;
 use crate::poison::crash_report::CrashId;
 use crate::poison::crash_report::CrashReport;
 use crate::poison::crash_report::RunningRequest;
-use crate::poison::crashes::CrashHistory;
 
 /// How many clearances one report carries at most.
 const MAX_REPORTED_CLEARANCES: usize = 256;
