--- a/src/desired/mod.rs
+++ b/src/desired/mod.rs
@@ -19,7 +19,7 @@
 pub use route_table::RouteInForce;
 pub use route_table::RouteTable;
 pub use split::Split;
-pub use store_watch::Known;
+pub use store_watch::StateFreshness;
 pub use store_watch::WATCH_LOOK_MS;
 pub use store_watch::WATCH_PAUSE_MS;
 pub use store_watch::WATCH_WAIT_MS;
--- a/src/desired/store_watch.rs
+++ b/src/desired/store_watch.rs
@@ -37,7 +37,7 @@
 
 /// How fresh a node's knowledge of the desired state is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Known {
+pub struct StateFreshness {
     /// It knows a desired state.
     pub any: bool,
     /// For how long nodes have found each other, if the whole system starts for the first time: below 0
@@ -62,7 +62,13 @@
 /// but there. Cut off from all others it hears nothing, and asks within the time that a change has. Where
 /// all watchers are lost or turned away by the store, those that hear each other miss the store's word,
 /// which gossip carries with its age; then a few of them ask, whichever, and tell the others.
-pub fn asks_store(view: &View, node: &str, domain: &str, known: Known, random: f64) -> bool {
+pub fn asks_store(
+    view: &View,
+    node: &str,
+    domain: &str,
+    known: StateFreshness,
+    random: f64,
+) -> bool {
     if !known.any {
         return match known.found_for_ms {
             Some(for_ms) if for_ms < 0 => false,
--- a/src/traffic/control_link.rs
+++ b/src/traffic/control_link.rs
@@ -12,7 +12,7 @@
 use crate::control::ControlSettings;
 use crate::core::Clock;
 use crate::core::TargetState;
-use crate::desired::Known;
+use crate::desired::StateFreshness;
 use crate::desired::asks_store;
 use crate::membership::MembershipSettings;
 use crate::store::EraWatch;
@@ -85,7 +85,7 @@
     Arc::new(move || {
         let settings = &traffic.settings;
         let now = traffic.clock.now();
-        let known = Known {
+        let known = StateFreshness {
             any: traffic.desired.version() > 0,
             found_for_ms: settings.is_first_start.then(|| {
                 let found_after_ms = found_after_ms(settings.store_rates);
--- a/tests/desired_store_watch.rs
+++ b/tests/desired_store_watch.rs
@@ -10,7 +10,7 @@
 use sassafrasgap::core::Target;
 use sassafrasgap::core::TargetState;
 use sassafrasgap::core::View;
-use sassafrasgap::desired::Known;
+use sassafrasgap::desired::StateFreshness;
 use sassafrasgap::desired::asks_store;
 use sassafrasgap::desired::fetches_across;
 use sassafrasgap::desired::is_watcher;
@@ -38,7 +38,7 @@
 }
 
 /// What a node knows while all is well.
-const WELL: Known = Known {
+const WELL: StateFreshness = StateFreshness {
     any: true,
     found_for_ms: None,
     heard_ms_ago: 300,
@@ -96,7 +96,7 @@
 /// there: nobody can tell it.
 #[rstest]
 fn a_node_that_hears_nobody_asks() {
-    let silent = Known {
+    let silent = StateFreshness {
         heard_ms_ago: 1_500,
         ..WELL
     };
@@ -111,7 +111,7 @@
 #[case(195)]
 #[case(720)]
 fn a_few_ask_when_the_store_has_not_been_heard_of(#[case] size: usize) {
-    let unconfirmed = Known {
+    let unconfirmed = StateFreshness {
         confirmed_ms_ago: 6_100,
         ..WELL
     };
@@ -134,7 +134,7 @@
     #[case] watcher_asks: bool,
     #[case] other_asks: bool,
 ) {
-    let known = Known {
+    let known = StateFreshness {
         any: false,
         found_for_ms: Some(found_for_ms),
         ..WELL
@@ -147,7 +147,7 @@
 /// A node that is restarted knows no desired state, and is not ready before it does: it asks at once.
 #[rstest]
 fn a_restarted_node_asks_at_once() {
-    let known = Known { any: false, ..WELL };
+    let known = StateFreshness { any: false, ..WELL };
     assert!(asks_store(&fleet(195), "a0100", "a", known, 0.99));
 }
 
