--- a/src/desired/store_watch.rs
+++ b/src/desired/store_watch.rs
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StateFreshness {
     /// It knows a desired state.
-    pub any: bool,
+    pub has_state: bool,
     /// For how long nodes have found each other, if the whole system starts for the first time: below 0
     /// while they still look for each other, and each would take itself for a watcher.
     pub found_for_ms: Option<i64>,
@@ -69,7 +69,7 @@
     known: StateFreshness,
     random: f64,
 ) -> bool {
-    if !known.any {
+    if !known.has_state {
         return match known.found_for_ms {
             Some(for_ms) if for_ms < 0 => false,
             Some(for_ms) if for_ms < TOLD_AFTER_MS => is_watcher(view, node, domain),
--- a/tests/desired_store_watch.rs
+++ b/tests/desired_store_watch.rs
@@ -39,7 +39,7 @@
 
 /// What a node knows while all is well.
 const WELL: StateFreshness = StateFreshness {
-    any: true,
+    has_state: true,
     found_for_ms: None,
     heard_ms_ago: 300,
     confirmed_ms_ago: 2_500,
@@ -135,7 +135,7 @@
     #[case] other_asks: bool,
 ) {
     let known = StateFreshness {
-        any: false,
+        has_state: false,
         found_for_ms: Some(found_for_ms),
         ..WELL
     };
@@ -147,7 +147,10 @@
 /// A node that is restarted knows no desired state, and is not ready before it does: it asks at once.
 #[rstest]
 fn a_restarted_node_asks_at_once() {
-    let known = StateFreshness { any: false, ..WELL };
+    let known = StateFreshness {
+        has_state: false,
+        ..WELL
+    };
     assert!(asks_store(&fleet(195), "a0100", "a", known, 0.99));
 }
 
