--- a/src/desired/store_watch.rs
+++ b/src/desired/store_watch.rs
@@ -62,7 +62,7 @@
 /// but there. Cut off from all others it hears nothing, and asks within the time that a change has. Where
 /// all watchers are lost or turned away by the store, those that hear each other miss the store's word,
 /// which gossip carries with its age; then a few of them ask, whichever, and tell the others.
-pub fn asks_store(
+pub fn should_query_store(
     view: &View,
     node: &str,
     domain: &str,
--- a/src/traffic/control_link.rs
+++ b/src/traffic/control_link.rs
@@ -13,7 +13,7 @@
 use crate::core::Clock;
 use crate::core::TargetState;
 use crate::desired::StateFreshness;
-use crate::desired::asks_store;
+use crate::desired::should_query_store;
 use crate::membership::MembershipSettings;
 use crate::store::EraWatch;
 use crate::traffic::DesiredInForce;
@@ -78,7 +78,7 @@
     }
 }
 
-/// Whether this node asks the store now; see [`asks_store`].
+/// Whether this node asks the store now; see [`should_query_store`].
 pub(super) fn asks(traffic: &Arc<Traffic>, control: &Arc<ControlHandle>) -> AsksStore {
     let (traffic, control) = (traffic.clone(), control.clone());
     let started = traffic.clock.now();
@@ -96,7 +96,7 @@
             keys_hold_ms: traffic.live().keys_hold_ms,
         };
         let view = traffic.view.load();
-        asks_store(
+        should_query_store(
             &view,
             &settings.node,
             &settings.domain,
--- a/tests/desired_store_watch.rs
+++ b/tests/desired_store_watch.rs
@@ -11,9 +11,9 @@
 use sassafrasgap::core::TargetState;
 use sassafrasgap::core::View;
 use sassafrasgap::desired::StateFreshness;
-use sassafrasgap::desired::asks_store;
 use sassafrasgap::desired::fetches_across;
 use sassafrasgap::desired::is_watcher;
+use sassafrasgap::desired::should_query_store;
 
 fn view(nodes: &[(&str, &str, TargetState)]) -> View {
     let nodes = nodes.iter().map(|(name, domain, state)| {
@@ -88,8 +88,8 @@
 #[rstest]
 fn a_node_that_hears_others_asks_nothing() {
     let fleet = fleet(195);
-    assert!(!asks_store(&fleet, "a0100", "a", WELL, 0.0));
-    assert!(asks_store(&fleet, "a0001", "a", WELL, 0.99));
+    assert!(!should_query_store(&fleet, "a0100", "a", WELL, 0.0));
+    assert!(should_query_store(&fleet, "a0001", "a", WELL, 0.99));
 }
 
 /// A node is cut off from all others and not from the store. A change would be in force everywhere but
@@ -100,8 +100,14 @@
         heard_ms_ago: 1_500,
         ..WELL
     };
-    assert!(asks_store(&fleet(195), "a0100", "a", silent, 0.99));
-    assert!(asks_store(&View::default(), "a0100", "a", silent, 0.99));
+    assert!(should_query_store(&fleet(195), "a0100", "a", silent, 0.99));
+    assert!(should_query_store(
+        &View::default(),
+        "a0100",
+        "a",
+        silent,
+        0.99
+    ));
 }
 
 /// All watchers are turned away by the store and everybody hears everybody. The store's word grows old;
@@ -116,7 +122,7 @@
         ..WELL
     };
     let fleet = fleet(size);
-    let asking = |random| asks_store(&fleet, "a0009", "a", unconfirmed, random);
+    let asking = |random| should_query_store(&fleet, "a0009", "a", unconfirmed, random);
     let asking = (0..1_000).filter(|draw| asking(f64::from(*draw) / 1_000.0));
     let in_fleet = asking.count() * size / 1_000;
     assert!((3..=5).contains(&in_fleet), "{in_fleet}");
@@ -140,8 +146,14 @@
         ..WELL
     };
     let fleet = fleet(195);
-    assert_eq!(asks_store(&fleet, "a0000", "a", known, 0.0), watcher_asks);
-    assert_eq!(asks_store(&fleet, "a0100", "a", known, 0.0), other_asks);
+    assert_eq!(
+        should_query_store(&fleet, "a0000", "a", known, 0.0),
+        watcher_asks
+    );
+    assert_eq!(
+        should_query_store(&fleet, "a0100", "a", known, 0.0),
+        other_asks
+    );
 }
 
 /// A node that is restarted knows no desired state, and is not ready before it does: it asks at once.
@@ -151,7 +163,7 @@
         has_state: false,
         ..WELL
     };
-    assert!(asks_store(&fleet(195), "a0100", "a", known, 0.99));
+    assert!(should_query_store(&fleet(195), "a0100", "a", known, 0.99));
 }
 
 /// Each node took a changed document over from any peer, most of them across a border between failure
