--- a/src/desired/mod.rs
+++ b/src/desired/mod.rs
@@ -23,6 +23,6 @@
 pub use store_watch::WATCH_LOOK_MS;
 pub use store_watch::WATCH_PAUSE_MS;
 pub use store_watch::WATCH_WAIT_MS;
-pub use store_watch::fetches_across;
 pub use store_watch::is_watcher;
+pub use store_watch::should_fetch_across_domains;
 pub use store_watch::should_query_store;
--- a/src/desired/store_watch.rs
+++ b/src/desired/store_watch.rs
@@ -94,7 +94,7 @@
 
 /// Whether a node takes a document over from a peer of another failure domain at once, rather than wait for
 /// one of its own to have it. `random` is uniform in 0..1.
-pub fn fetches_across(view: &View, domain: &str, random: f64) -> bool {
+pub fn should_fetch_across_domains(view: &View, domain: &str, random: f64) -> bool {
     let living = view.nodes.values().filter(|peer| lives(peer));
     let near = living.filter(|peer| &*peer.domain == domain).count();
     random * (near as f64) < FETCHERS
--- a/src/traffic/version_news.rs
+++ b/src/traffic/version_news.rs
@@ -12,7 +12,7 @@
 
 use crate::control::ControlHandle;
 use crate::core::Name;
-use crate::desired::fetches_across;
+use crate::desired::should_fetch_across_domains;
 use crate::errors::PeerCallError;
 use crate::traffic::DesiredInForce;
 use crate::traffic::desired_task::AnnounceVersion;
@@ -81,7 +81,7 @@
 
     fn goes_across(&self) -> bool {
         let view = self.control.view.load();
-        fetches_across(&view, &self.domain, fastrand::f64())
+        should_fetch_across_domains(&view, &self.domain, fastrand::f64())
     }
 
     async fn fetch(&self, told: VersionNews) {
--- a/tests/desired_store_watch.rs
+++ b/tests/desired_store_watch.rs
@@ -11,8 +11,8 @@
 use sassafrasgap::core::TargetState;
 use sassafrasgap::core::View;
 use sassafrasgap::desired::StateFreshness;
-use sassafrasgap::desired::fetches_across;
 use sassafrasgap::desired::is_watcher;
+use sassafrasgap::desired::should_fetch_across_domains;
 use sassafrasgap::desired::should_query_store;
 
 fn view(nodes: &[(&str, &str, TargetState)]) -> View {
@@ -176,6 +176,6 @@
 fn few_take_a_document_over_from_another_domain(#[case] size: usize, #[case] expected: usize) {
     let fleet = fleet(size);
     let draws = (0..size).map(|draw| draw as f64 / size as f64);
-    let across = draws.filter(|draw| fetches_across(&fleet, "a", *draw));
+    let across = draws.filter(|draw| should_fetch_across_domains(&fleet, "a", *draw));
     assert_eq!(across.count(), expected);
 }
