--- a/src/desired/store_watch.rs
+++ b/src/desired/store_watch.rs
@@ -28,7 +28,7 @@
 
 /// How long a question to the store stays open, in milliseconds. With the time that its answer may take
 /// it ends within 3 s: an outage that swallowed it is noticed before the store counts as calm again.
-pub const WATCH_WAIT_MS: u64 = 2_000;
+pub const WATCH_LONG_POLL_MS: u64 = 2_000;
 /// The longest pause after failures, in milliseconds: well within the time in which a change has to be
 /// in force.
 pub const WATCH_PAUSE_MS: u64 = 1_000;
--- a/src/traffic/desired_task.rs
+++ b/src/traffic/desired_task.rs
@@ -8,9 +8,9 @@
 use tokio::time::sleep;
 
 use crate::desired::DesiredState;
+use crate::desired::WATCH_LONG_POLL_MS;
 use crate::desired::WATCH_LOOK_MS;
 use crate::desired::WATCH_PAUSE_MS;
-use crate::desired::WATCH_WAIT_MS;
 use crate::errors::DesiredStateError;
 use crate::store::RowChange;
 use crate::store::RowName;
@@ -64,7 +64,7 @@
         let mut was_reached = true;
         loop {
             self.until_it_asks().await;
-            match watch.next(WATCH_WAIT_MS).await {
+            match watch.next(WATCH_LONG_POLL_MS).await {
                 Ok(news) => {
                     pause.reset();
                     self.reached.set(1);
