--- a/src/desired/mod.rs
+++ b/src/desired/mod.rs
@@ -22,7 +22,7 @@
 pub use store_watch::StateFreshness;
 pub use store_watch::WATCH_LONG_POLL_MS;
 pub use store_watch::WATCH_LOOK_MS;
-pub use store_watch::WATCH_PAUSE_MS;
+pub use store_watch::WATCH_MAX_BACKOFF_MS;
 pub use store_watch::is_watcher;
 pub use store_watch::should_fetch_across_domains;
 pub use store_watch::should_query_store;
--- a/src/desired/store_watch.rs
+++ b/src/desired/store_watch.rs
@@ -31,7 +31,7 @@
 pub const WATCH_LONG_POLL_MS: u64 = 2_000;
 /// The longest pause after failures, in milliseconds: well within the time in which a change has to be
 /// in force.
-pub const WATCH_PAUSE_MS: u64 = 1_000;
+pub const WATCH_MAX_BACKOFF_MS: u64 = 1_000;
 /// How often a node that relies on others looks whether it still can, in milliseconds.
 pub const WATCH_LOOK_MS: u64 = 500;
 
--- a/src/traffic/desired_task.rs
+++ b/src/traffic/desired_task.rs
@@ -10,7 +10,7 @@
 use crate::desired::DesiredState;
 use crate::desired::WATCH_LONG_POLL_MS;
 use crate::desired::WATCH_LOOK_MS;
-use crate::desired::WATCH_PAUSE_MS;
+use crate::desired::WATCH_MAX_BACKOFF_MS;
 use crate::errors::DesiredStateError;
 use crate::store::RowChange;
 use crate::store::RowName;
@@ -80,7 +80,7 @@
                         log::warn!("store: lost, error={error}");
                     }
                     was_reached = false;
-                    let pause_ms = pause.up_to(WATCH_PAUSE_MS, fastrand::f64());
+                    let pause_ms = pause.up_to(WATCH_MAX_BACKOFF_MS, fastrand::f64());
                     sleep(Duration::from_millis(pause_ms)).await;
                 }
             }
