--- a/src/desired/store_watch.rs
+++ b/src/desired/store_watch.rs
@@ -33,7 +33,7 @@
 /// in force.
 pub const WATCH_MAX_BACKOFF_MS: u64 = 1_000;
 /// How often a node that relies on others looks whether it still can, in milliseconds.
-pub const WATCH_LOOK_MS: u64 = 500;
+pub const WATCH_CHECK_INTERVAL_MS: u64 = 500;
 
 /// How fresh a node's knowledge of the desired state is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/traffic/desired_task.rs
+++ b/src/traffic/desired_task.rs
@@ -8,8 +8,8 @@
 use tokio::time::sleep;
 
 use crate::desired::DesiredState;
+use crate::desired::WATCH_CHECK_INTERVAL_MS;
 use crate::desired::WATCH_LONG_POLL_MS;
-use crate::desired::WATCH_LOOK_MS;
 use crate::desired::WATCH_MAX_BACKOFF_MS;
 use crate::errors::DesiredStateError;
 use crate::store::RowChange;
@@ -127,7 +127,7 @@
 
     async fn until_it_asks(&self) {
         while !(self.asks)() {
-            let look = sleep(Duration::from_millis(WATCH_LOOK_MS));
+            let look = sleep(Duration::from_millis(WATCH_CHECK_INTERVAL_MS));
             tokio::select! {
                 () = look => {}
                 () = self.ask_now.notified() => return,
