--- a/src/desired/route_table.rs
+++ b/src/desired/route_table.rs
@@ -10,7 +10,7 @@
 
 /// A route together with the division of its requests.
 #[derive(Debug)]
-pub struct RouteInForce {
+pub struct ActiveRoute {
     pub route: Route,
     pub split: Split,
 }
@@ -21,15 +21,15 @@
 /// long with thousands of routes as with one.
 #[derive(Debug, Default)]
 pub struct RouteTable {
-    by_host: FastMap<Name, FastMap<Name, Arc<RouteInForce>>>,
+    by_host: FastMap<Name, FastMap<Name, Arc<ActiveRoute>>>,
 }
 
 impl RouteTable {
     /// Prepares the routes of a desired state.
     pub fn new(state: &DesiredState) -> Self {
-        let mut by_host: FastMap<Name, FastMap<Name, Arc<RouteInForce>>> = FastMap::default();
+        let mut by_host: FastMap<Name, FastMap<Name, Arc<ActiveRoute>>> = FastMap::default();
         for route in &state.routes {
-            let in_force = RouteInForce {
+            let in_force = ActiveRoute {
                 split: Split::new(route.destinations.clone()),
                 route: route.clone(),
             };
@@ -43,7 +43,7 @@
 
     /// The route with the longest prefix that begins the path. `host` may carry a port; `path` has
     /// no query.
-    pub fn find(&self, host: &str, path: &str) -> Option<&Arc<RouteInForce>> {
+    pub fn find(&self, host: &str, path: &str) -> Option<&Arc<ActiveRoute>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = match self.by_host.get(name) {
             Some(routes) => routes,
--- a/src/traffic/entry_account.rs
+++ b/src/traffic/entry_account.rs
@@ -14,7 +14,7 @@
 use crate::core::RefusalReason;
 use crate::core::RequestId;
 use crate::core::RouteOrigin;
-use crate::desired::RouteInForce;
+use crate::desired::ActiveRoute;
 use crate::traffic::HeaderNames;
 use crate::traffic::InForce;
 use crate::traffic::call::Call;
@@ -32,7 +32,7 @@
 pub(super) fn caller_of(
     traffic: &Traffic,
     in_force: &InForce,
-    found: &RouteInForce,
+    found: &ActiveRoute,
     headers: &HeaderMap,
 ) -> Result<Caller, Refusal> {
     let route = &found.route;
@@ -81,7 +81,7 @@
 /// Calls of backend servers first, then callers' requests by the ranks of account and route.
 pub(super) fn class(
     ranking: &Ranking,
-    found: &RouteInForce,
+    found: &ActiveRoute,
     origin: Option<RouteOrigin>,
     caller: &Caller,
 ) -> u8 {
