--- a/src/node/targets.rs
+++ b/src/node/targets.rs
@@ -200,7 +200,7 @@
 
     /// Notes a first attempt in the budget of its service.
     pub(crate) fn first_attempt(&self, service: &Name) {
-        self.lock().budget_of(service).first_attempt();
+        self.lock().budget_of(service).record_first_attempt();
     }
 
     /// Takes a retry out of the budget of its service.
--- a/src/retry/budget.rs
+++ b/src/retry/budget.rs
@@ -27,7 +27,7 @@
     }
 
     /// Notes a first attempt.
-    pub fn first_attempt(&mut self) {
+    pub fn record_first_attempt(&mut self) {
         self.tokens = (self.tokens + self.per_first_attempt).min(self.cap);
     }
 
--- a/src/retry/window_budget.rs
+++ b/src/retry/window_budget.rs
@@ -61,7 +61,7 @@
 
     /// Notes a call that is sent for the first time. `repeated` is the part of it that is a repeat all
     /// the same, because the work that makes it may be one.
-    pub fn first_attempt(&mut self, now: TimeMs, repeated: f32) {
+    pub fn record_first_attempt(&mut self, now: TimeMs, repeated: f32) {
         let part = self.part(now);
         part.first += 1.0 - repeated;
         part.repeated += repeated;
--- a/src/traffic/retry_budgets.rs
+++ b/src/traffic/retry_budgets.rs
@@ -52,11 +52,11 @@
         known.share_anew();
     }
 
-    /// Notes a call that is sent for the first time; see [`WindowBudget::first_attempt`].
+    /// Notes a call that is sent for the first time; see [`WindowBudget::record_first_attempt`].
     pub(super) fn first_attempt(&self, now: TimeMs, view: &View, service: &Name, repeated: f32) {
         let mut known = self.lock();
         known.follow(view);
-        known.budget_of(service).first_attempt(now, repeated);
+        known.budget_of(service).record_first_attempt(now, repeated);
     }
 
     /// Pays for a repeat; false when none is left.
--- a/tests/retry_window_budget.rs
+++ b/tests/retry_window_budget.rs
@@ -16,7 +16,7 @@
     let mut first = 0;
     let mut paid = Vec::new();
     for at in (from_ms..to_ms).step_by(5) {
-        budget.first_attempt(TimeMs(at), 0.0);
+        budget.record_first_attempt(TimeMs(at), 0.0);
         first += 1;
         if fails && budget.try_retry(TimeMs(at)) {
             paid.push(at);
@@ -59,7 +59,7 @@
 fn calls_of_repeats_take_from_the_budget() {
     let mut budget = WindowBudget::new(SHARE);
     for at in (100_000..110_000).step_by(5) {
-        budget.first_attempt(TimeMs(at), 0.15);
+        budget.record_first_attempt(TimeMs(at), 0.15);
     }
     let (_, paid) = play(&mut budget, 110_000, 112_000, true);
     let made_by_repeats = 8_000 / 5 * 15 / 100;
@@ -113,7 +113,7 @@
         let (mut first, mut repeated) = (0, 0);
         for node in &busy[..NODES / 2] {
             for _ in 0..4 {
-                budgets[*node].first_attempt(now, 0.0);
+                budgets[*node].record_first_attempt(now, 0.0);
                 first += 1;
                 let fails = step > 150 && random.f32() < 0.55;
                 repeated += u32::from(fails && budgets[*node].try_retry(now));
@@ -155,10 +155,10 @@
     let mut first = 1_200;
     for at in (116_000..120_000).step_by(5) {
         let now = TimeMs(at);
-        budget.first_attempt(now, 0.0);
+        budget.record_first_attempt(now, 0.0);
         first += 1;
         if at % 20 == 0 && (!asks || budget.has_remaining(now)) {
-            budget.first_attempt(now, 1.0);
+            budget.record_first_attempt(now, 1.0);
             repeated += 1;
         }
     }
