--- a/src/accounts/allowance_coordinator.rs
+++ b/src/accounts/allowance_coordinator.rs
@@ -9,7 +9,7 @@
 use crate::accounts::Fleet;
 use crate::accounts::UsageCount;
 use crate::accounts::UsageReport;
-use crate::accounts::used::Used;
+use crate::accounts::domain_usage::DomainUsage;
 use crate::core::FastMap;
 use crate::core::Name;
 use crate::core::TimeMs;
@@ -71,7 +71,7 @@
     allowances: FastMap<AccountId, Allowance>,
     fleet: Fleet,
     entries: FastMap<Name, Entry>,
-    used: FastMap<AccountId, Used>,
+    used: FastMap<AccountId, DomainUsage>,
     others: FastMap<Name, Other>,
     started: TimeMs,
     is_first_start: bool,
@@ -174,7 +174,7 @@
 
     /// The accounts of which not all is let in, and the part that is.
     pub fn limited(&self, now: TimeMs) -> Vec<AdmittedShare> {
-        let is_fresh = |used: &Used| now.since(used.saved_at) < TOLD_HOLDS_MS;
+        let is_fresh = |used: &DomainUsage| now.since(used.saved_at) < TOLD_HOLDS_MS;
         let limited = self.used.iter().filter_map(|(account, used)| {
             (used.let_in < 1.0 && is_fresh(used)).then_some(AdmittedShare {
                 account: *account,
@@ -226,12 +226,12 @@
         }
     }
 
-    fn used_of(&mut self, now: TimeMs, account: AccountId) -> &mut Used {
+    fn used_of(&mut self, now: TimeMs, account: AccountId) -> &mut DomainUsage {
         let own_part = self.fleet.own_part();
         let has_watched = self.is_first_start || now.since(self.started) >= WATCHED_MS;
         let burst = self.allowances.get(&account).map_or(0.0, |all| all.burst);
         let saved = if has_watched { burst * own_part } else { 0.0 };
-        let new = || Used::new(now, own_part, saved);
+        let new = || DomainUsage::new(now, own_part, saved);
         self.used.entry(account).or_insert_with(new)
     }
 
--- a/src/accounts/used.rs
+++ b/src/accounts/domain_usage.rs
@@ -12,7 +12,7 @@
 
 /// One account, as its use shows to a keeper.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Used {
+pub(super) struct DomainUsage {
     /// Of the own failure domain.
     short: DecayedRate,
     long: DecayedRate,
@@ -30,7 +30,7 @@
     pub let_in: f32,
 }
 
-impl Used {
+impl DomainUsage {
     /// Nothing has come yet; all of it is let in.
     pub fn new(now: TimeMs, part: f32, saved: f32) -> Self {
         Self {
--- a/src/accounts/mod.rs
+++ b/src/accounts/mod.rs
@@ -8,13 +8,13 @@
 mod allowance_bound;
 mod allowance_coordinator;
 mod decayed_rate;
+mod domain_usage;
 mod entry_allowances;
 mod fleet;
 mod identity;
 mod key_hash;
 mod message;
 mod ranking;
-mod used;
 
 pub use account::Account;
 pub use account::Allowance;
