--- a/src/accounts/account.rs
+++ b/src/accounts/account.rs
@@ -1,4 +1,4 @@
-//! One client account, as the operator sets it.
+//! Configuration of a client account.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,13 +6,13 @@
 use crate::accounts::KeyHash;
 use crate::core::Name;
 
-/// How much an account may send, over all nodes together.
+/// The rate that an account may send, over all nodes together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Allowance {
-    /// Requests a second in the long run; above 0.
+    /// Requests per second in the long run; above 0.
     pub rate_per_s: f32,
-    /// Requests beyond that at once, after a quiet time.
+    /// Requests allowed beyond the rate at once, after a quiet time.
     pub burst: f32,
 }
 
@@ -21,10 +21,10 @@
 #[derive(Serialize, Deserialize)]
 pub struct Account {
     pub name: Name,
-    /// None is a valid state: all its keys were taken away.
+    /// May be empty: all keys of the account were revoked.
     pub keys: Vec<KeyHash>,
-    /// Goes before the rank of the route; 0 is the most important.
+    /// Takes precedence over the rank of the route; 0 is the most important.
     pub rank: Option<u8>,
-    /// `None` is no limit.
+    /// `None` means no limit.
     pub allowance: Option<Allowance>,
 }
--- a/src/accounts/account_id.rs
+++ b/src/accounts/account_id.rs
@@ -1,12 +1,12 @@
-//! An account as nodes name it to each other.
+//! The identifier of an account in messages between nodes.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::core::stable_hash;
 
-/// A hash of an account's name. Of two accounts with the same hash, which one in a million pairs of a
-/// thousand accounts has, each is held to what both use.
+/// A hash of an account's name. If two accounts have the same hash, each is limited by what both
+/// use. Among a thousand accounts one pair in a million collides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct AccountId(#[serde(with = "postcard::fixint::le")] pub u32);
--- a/src/accounts/account_table.rs
+++ b/src/accounts/account_table.rs
@@ -1,4 +1,4 @@
-//! Finding the account of a key.
+//! Looks up accounts by key and by name.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use crate::core::FastMap;
 use crate::core::Name;
 
-/// The accounts of one desired state, found by key and by name.
+/// The accounts of one desired state, indexed by key and by name.
 #[derive(Debug, Default)]
 pub struct AccountTable {
     by_key: FastMap<KeyHash, Arc<Account>>,
@@ -16,7 +16,7 @@
 }
 
 impl AccountTable {
-    /// Prepares the accounts of a desired state, which has made sure that no two share a key.
+    /// Indexes the accounts of a desired state, which guarantees that no two share a key.
     pub fn new(accounts: &[Account]) -> Self {
         let mut table = Self::default();
         for account in accounts {
@@ -34,7 +34,6 @@
         self.by_key.get(&key)
     }
 
-    /// The account of this name.
     pub fn named(&self, name: &str) -> Option<&Arc<Account>> {
         self.by_name.get(name)
     }
@@ -45,12 +44,10 @@
         account.is_some_and(|account| account.keys.iter().any(|key| key.tag() == tag))
     }
 
-    /// How many accounts there are.
     pub fn len(&self) -> usize {
         self.by_name.len()
     }
 
-    /// Whether there is none.
     pub fn is_empty(&self) -> bool {
         self.by_name.is_empty()
     }
--- a/src/accounts/allowance_bound.rs
+++ b/src/accounts/allowance_bound.rs
@@ -1,7 +1,7 @@
-//! How far the fleet may run ahead of an account's allowance.
+//! The bound on how far the fleet may exceed an account's allowance.
 
-/// The bound on what is sent of one account, over all nodes, in any window of this length: the allowance of
-/// the window, times one and the overage, and the slack.
+/// The bound on the requests of one account, over all nodes, in any window of this length: the
+/// allowance of the window, multiplied by 1 + `overage`, plus `slack`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AllowanceBound {
     pub window_ms: u64,
@@ -10,7 +10,7 @@
 }
 
 impl Default for AllowanceBound {
-    /// A deployment that states no bound is kept close to its allowances.
+    /// Used by a deployment that sets no bound: keeps the fleet close to the allowances.
     fn default() -> Self {
         Self {
             window_ms: 5_000,
--- a/src/accounts/allowance_coordinator.rs
+++ b/src/accounts/allowance_coordinator.rs
@@ -1,4 +1,4 @@
-//! What a failure domain may use of each account, and how its entries are told.
+//! Computes what a failure domain may use of each account, and replies to its entries.
 
 use crate::accounts::AccountId;
 use crate::accounts::AdmittedShare;
@@ -14,73 +14,76 @@
 use crate::core::Name;
 use crate::core::TimeMs;
 
-/// Beside what they ask for, failure domains share by their nodes, as if so much of the rate were asked for
-/// evenly: the few requests of a small account say little of the next ones.
-const EVEN_PART: f32 = 0.25;
-/// In which time what is saved of a burst is handed out, in milliseconds.
-const BURST_MS: f32 = 1_000.0;
-/// A failure domain from which nothing came for so long may be cut off, in milliseconds: two messages of it
-/// are missing.
+/// Weight of an equal split by nodes beside the split by demand: failure domains share as if this
+/// part of the rate were demanded evenly. The few requests of a small account predict its next ones
+/// poorly.
+const EVEN_SHARE: f32 = 0.25;
+/// Time over which saved burst tokens are handed out, in milliseconds.
+const BURST_SPREAD_MS: f32 = 1_000.0;
+/// A failure domain that sent nothing for this time may be partitioned, in milliseconds. Two of its
+/// messages are missing then.
 const DOMAIN_SILENT_MS: u64 = 650;
-/// An entry that reported nothing for so long is on its own or gone, in milliseconds.
+/// An entry that sent no report for this time is isolated or gone, in milliseconds.
 const ENTRY_SILENT_MS: u64 = 1_500;
-/// Less than this part of its rate is told to other failure domains of an account only if they have to know
-/// it, as a fraction.
-const TOLD_FROM: f32 = 0.25;
-/// What is told of an account holds for so long, in milliseconds.
-const TOLD_HOLDS_MS: u64 = 2_000;
-/// A number further ahead of another one than this is behind it.
-const MOST_AHEAD: u32 = u32::MAX / 2;
-/// A first count up to this one is all new.
-const MOST_NEW: u32 = 8;
-/// So long after it knew of another node a keeper knows most of them, in milliseconds.
-const JOINED_MS: u64 = 500;
-/// One that knows of nobody else for so long is alone, in milliseconds.
+/// Smallest demand that is sent to other failure domains, as a fraction of the domain's share of
+/// the account's rate by nodes. They need not know a smaller one.
+const MIN_SENT_DEMAND: f32 = 0.25;
+/// How long a demand or an admitted share stays valid, in milliseconds.
+const DEMAND_VALID_MS: u64 = 2_000;
+/// A sequence number or count further ahead than this is behind, as they wrap around.
+const MAX_AHEAD: u32 = u32::MAX / 2;
+/// A first count up to this value consists of new requests only.
+const MAX_NEW_COUNT: u32 = 8;
+/// Time after its first contact with another node at which a coordinator knows most nodes, in
+/// milliseconds.
+const JOIN_SETTLE_MS: u64 = 500;
+/// A coordinator that has known no other node for this time is alone, in milliseconds.
 const ALONE_MS: u64 = 5_000;
-/// After this time a keeper has seen all that could still count against a burst, in milliseconds; what was
-/// used before it began counts as the whole burst.
-const WATCHED_MS: u64 = 10_000;
-/// Accounts told in one word at most, the most limited ones: about as much as one datagram holds.
-const MOST_TOLD: usize = 150;
-/// Accounts without news for so long are forgotten, in milliseconds.
-const FORGOTTEN_MS: u64 = 60_000;
+/// After this time a coordinator has seen all usage that could still count against a burst, in
+/// milliseconds. Usage from before its start counts as the whole burst.
+const BURST_MEMORY_MS: u64 = 10_000;
+/// Maximum number of accounts in one reply, the most limited ones: about as much as one datagram
+/// holds.
+const MAX_REPLY_ACCOUNTS: usize = 150;
+/// Accounts without updates for this time are evicted, in milliseconds.
+const ACCOUNT_RETENTION_MS: u64 = 60_000;
 
 #[derive(Clone, Debug, Default)]
 struct Entry {
     process: u32,
-    /// The number of its newest report.
+    /// Sequence number of its newest report.
     sequence: u32,
-    heard: TimeMs,
+    last_heard: TimeMs,
     counts: FastMap<AccountId, UsageCount>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Other {
-    heard: TimeMs,
+struct OtherDomain {
+    last_heard: TimeMs,
     demands: FastMap<AccountId, (f32, TimeMs)>,
 }
 
-/// Keeps the allowances of one failure domain.
+/// Coordinates the allowances of one failure domain.
 ///
-/// Each failure domain has a part of every allowance by what it asks for, while all of them tell each other.
-/// One that falls silent keeps the part that it had, and so do the others theirs: no side of a cut gets what
-/// the other one has. Of its own part, a failure domain leaves to entries that fell silent the equal shares
-/// that those take by themselves.
+/// Each failure domain has a share of every allowance according to its demand, as long as all
+/// domains hear each other. If one falls silent, every domain keeps the share that it had, so
+/// neither side of a partition takes over the share of the other. Within its own share, a failure
+/// domain reserves the equal shares of silent entries, which those use without coordination.
 #[derive(Clone, Debug, Default)]
 pub struct AllowanceCoordinator {
     allowances: FastMap<AccountId, Allowance>,
     fleet: Fleet,
     entries: FastMap<Name, Entry>,
-    used: FastMap<AccountId, DomainUsage>,
-    others: FastMap<Name, Other>,
+    usage: FastMap<AccountId, DomainUsage>,
+    others: FastMap<Name, OtherDomain>,
     started: TimeMs,
     is_first_start: bool,
     /// When it first knew of another node.
-    joined: Option<TimeMs>,
+    joined_at: Option<TimeMs>,
 }
 
 impl AllowanceCoordinator {
-    /// Nothing is known yet.
+    /// Creates a coordinator that knows nothing yet.
     pub fn new(is_first_start: bool, now: TimeMs) -> Self {
         Self {
             started: now,
@@ -89,102 +92,108 @@
         }
     }
 
-    /// Takes over the allowances in force.
+    /// Replaces the allowances by those of the active desired state.
     pub fn set_allowances(&mut self, allowances: FastMap<AccountId, Allowance>) {
         self.allowances = allowances;
     }
 
-    /// Takes over who is there.
+    /// Replaces the known nodes.
     pub fn set_fleet(&mut self, now: TimeMs, fleet: Fleet) {
         if fleet.nodes() > 1 {
-            self.joined.get_or_insert(now);
+            self.joined_at.get_or_insert(now);
         }
         self.entries.retain(|node, _| fleet.own.contains(node));
         let is_known = |domain: &Name| fleet.others.iter().any(|(other, _)| other == domain);
         self.others.retain(|domain, _| is_known(domain));
         self.fleet = fleet;
-        let own_part = self.fleet.own_part();
-        for used in self.used.values_mut().filter(|used| !used.is_agreed) {
-            used.part = own_part;
+        let own_share = self.fleet.own_share();
+        for usage in self
+            .usage
+            .values_mut()
+            .filter(|usage| !usage.is_share_agreed)
+        {
+            usage.share = own_share;
         }
     }
 
-    /// Takes in what an entry of the own failure domain has seen, and answers which parts it lets in, if it
-    /// is asked and can tell.
+    /// Applies the usage report of an entry in the own failure domain. Returns the limited accounts
+    /// if the entry asks for a reply and this coordinator knows enough of the fleet.
     pub fn apply_report(
         &mut self,
         now: TimeMs,
         node: &Name,
         report: &UsageReport,
     ) -> Option<AllowanceReply> {
-        self.count(now, node, report);
-        if !report.wants_reply || !self.knows_others(now) {
+        self.count_report(now, node, report);
+        if !report.wants_reply || !self.has_joined_fleet(now) {
             return None;
         }
         let mut limited = self.limited(now);
-        if limited.len() > MOST_TOLD {
-            limited.select_nth_unstable_by_key(MOST_TOLD, |part| part.permille);
-            limited.truncate(MOST_TOLD);
+        if limited.len() > MAX_REPLY_ACCOUNTS {
+            limited.select_nth_unstable_by_key(MAX_REPLY_ACCOUNTS, |share| share.permille);
+            limited.truncate(MAX_REPLY_ACCOUNTS);
         }
         Some(AllowanceReply { limited })
     }
 
-    /// Guards against a node that takes itself for the whole fleet for a moment after a restart, and hands
-    /// out whole allowances, as all the others do.
-    fn knows_others(&self, now: TimeMs) -> bool {
-        let has_joined = self.joined.is_some_and(|at| now.since(at) >= JOINED_MS);
+    /// Whether the coordinator knows enough of the fleet to reply. Without this check, each
+    /// restarted node would briefly consider itself the whole fleet and hand out whole allowances.
+    fn has_joined_fleet(&self, now: TimeMs) -> bool {
+        let has_joined = self
+            .joined_at
+            .is_some_and(|at| now.since(at) >= JOIN_SETTLE_MS);
         has_joined || self.is_first_start || now.since(self.started) >= ALONE_MS
     }
 
-    /// Takes in what is asked for in another failure domain.
-    pub fn apply_domain_demands(&mut self, now: TimeMs, domain: &Name, news: &DomainDemands) {
+    /// Applies the demand in another failure domain.
+    pub fn apply_domain_demands(&mut self, now: TimeMs, domain: &Name, demands: &DomainDemands) {
         let other = self.others.entry(domain.clone()).or_default();
-        other.heard = now;
+        other.last_heard = now;
         other
             .demands
-            .retain(|_, (_, told)| now.since(*told) < FORGOTTEN_MS);
-        for demand in &news.demands {
+            .retain(|_, (_, heard_at)| now.since(*heard_at) < ACCOUNT_RETENTION_MS);
+        for demand in &demands.demands {
             let per_s = demand.tenths_per_s as f32 / 10.0;
             other.demands.insert(demand.account, (per_s, now));
         }
-        for demand in &news.demands {
+        for demand in &demands.demands {
             if self.allowances.contains_key(&demand.account) {
-                self.used_of(now, demand.account);
+                self.usage_of(now, demand.account);
             }
         }
-        self.share_anew(now);
+        self.recompute_shares(now);
     }
 
-    /// What the others have to know.
+    /// The demands that the other failure domains have to know.
     pub fn domain_demands(&mut self, now: TimeMs) -> DomainDemands {
-        self.forget(now);
-        let told = self.used.iter().filter_map(|(account, used)| {
+        self.evict_idle(now);
+        let demands = self.usage.iter().filter_map(|(account, usage)| {
             let allowance = self.allowances.get(account)?;
-            let per_s = used.shared_per_s(now);
-            let least = allowance.rate_per_s * TOLD_FROM * self.fleet.own_part();
+            let per_s = usage.sharing_demand_per_s(now);
+            let least = allowance.rate_per_s * MIN_SENT_DEMAND * self.fleet.own_share();
             (per_s >= least).then_some(Demand {
                 account: *account,
                 tenths_per_s: (per_s * 10.0) as u32,
             })
         });
         DomainDemands {
-            demands: told.collect(),
+            demands: demands.collect(),
         }
     }
 
-    /// The accounts of which not all is let in, and the part that is.
+    /// The limited accounts and the share of their requests to admit.
     pub fn limited(&self, now: TimeMs) -> Vec<AdmittedShare> {
-        let is_fresh = |used: &DomainUsage| now.since(used.saved_at) < TOLD_HOLDS_MS;
-        let limited = self.used.iter().filter_map(|(account, used)| {
-            (used.let_in < 1.0 && is_fresh(used)).then_some(AdmittedShare {
+        let is_fresh = |usage: &DomainUsage| now.since(usage.tokens_at) < DEMAND_VALID_MS;
+        let limited = self.usage.iter().filter_map(|(account, usage)| {
+            (usage.admitted < 1.0 && is_fresh(usage)).then_some(AdmittedShare {
                 account: *account,
-                permille: (used.let_in * 1_000.0) as u16,
+                permille: (usage.admitted * 1_000.0) as u16,
             })
         });
         limited.collect()
     }
 
-    fn count(&mut self, now: TimeMs, node: &Name, report: &UsageReport) {
+    fn count_report(&mut self, now: TimeMs, node: &Name, report: &UsageReport) {
         let entry = self.entries.entry(node.clone()).or_default();
         if entry.process != report.process {
             *entry = Entry {
@@ -195,127 +204,137 @@
             return;
         }
         entry.sequence = report.sequence;
-        entry.heard = now;
-        let mut news = Vec::with_capacity(report.counts.len());
+        entry.last_heard = now;
+        let mut increments = Vec::with_capacity(report.counts.len());
         for count in &report.counts {
             let before = entry.counts.insert(count.account, *count);
-            let before = before.map_or_else(|| base_of(count), |before| base_after(before, count));
+            let before =
+                before.map_or_else(|| first_base(count), |before| next_base(before, count));
             let wanted = count.wanted.wrapping_sub(before.wanted);
             let used = count.used.wrapping_sub(before.used);
-            news.push((count.account, wanted, used));
+            increments.push((count.account, wanted, used));
         }
-        for (account, wanted, used) in news {
-            self.note(now, account, wanted as f32, used as f32);
+        for (account, wanted, used) in increments {
+            self.record_usage(now, account, wanted as f32, used as f32);
         }
     }
 
-    fn note(&mut self, now: TimeMs, account: AccountId, wanted: f32, used: f32) {
+    fn record_usage(&mut self, now: TimeMs, account: AccountId, wanted: f32, used: f32) {
         let Some(allowance) = self.allowances.get(&account).copied() else {
             return;
         };
-        let known = self.used_of(now, account);
-        known.note_wanted(now, wanted);
-        known.saved -= used;
-        let per_s = self.work_out(now, account, allowance);
+        let usage = self.usage_of(now, account);
+        usage.record_requests(now, wanted);
+        usage.tokens -= used;
+        let per_s = self.usable_per_s(now, account, allowance);
         let demand = self
-            .used
+            .usage
             .get(&account)
-            .map_or(0.0, |known| known.demand_per_s(now));
-        if let Some(known) = self.used.get_mut(&account) {
-            known.let_in = (per_s / demand.max(f32::MIN_POSITIVE)).clamp(0.0, 1.0);
+            .map_or(0.0, |usage| usage.demand_per_s(now));
+        if let Some(usage) = self.usage.get_mut(&account) {
+            usage.admitted = (per_s / demand.max(f32::MIN_POSITIVE)).clamp(0.0, 1.0);
         }
     }
 
-    fn used_of(&mut self, now: TimeMs, account: AccountId) -> &mut DomainUsage {
-        let own_part = self.fleet.own_part();
-        let has_watched = self.is_first_start || now.since(self.started) >= WATCHED_MS;
+    fn usage_of(&mut self, now: TimeMs, account: AccountId) -> &mut DomainUsage {
+        let own_share = self.fleet.own_share();
+        let remembers_bursts = self.is_first_start || now.since(self.started) >= BURST_MEMORY_MS;
         let burst = self.allowances.get(&account).map_or(0.0, |all| all.burst);
-        let saved = if has_watched { burst * own_part } else { 0.0 };
-        let new = || DomainUsage::new(now, own_part, saved);
-        self.used.entry(account).or_insert_with(new)
+        let tokens = if remembers_bursts {
+            burst * own_share
+        } else {
+            0.0
+        };
+        let new = || DomainUsage::new(now, own_share, tokens);
+        self.usage.entry(account).or_insert_with(new)
     }
 
-    /// Works out the parts of all accounts, also of those that nobody asks for here: others may.
-    fn share_anew(&mut self, now: TimeMs) {
-        let accounts: Vec<AccountId> = self.used.keys().copied().collect();
+    /// Recomputes the shares of all accounts, including those without demand here: other failure
+    /// domains may have some.
+    fn recompute_shares(&mut self, now: TimeMs) {
+        let accounts: Vec<AccountId> = self.usage.keys().copied().collect();
         for account in accounts {
             let Some(allowance) = self.allowances.get(&account) else {
                 continue;
             };
-            let part = self.agreed_part(now, account, allowance.rate_per_s);
-            if let (Some(part), Some(known)) = (part, self.used.get_mut(&account)) {
-                known.part = part;
-                known.is_agreed = true;
+            let share = self.agreed_share(now, account, allowance.rate_per_s);
+            if let (Some(share), Some(usage)) = (share, self.usage.get_mut(&account)) {
+                usage.share = share;
+                usage.is_share_agreed = true;
             }
         }
     }
 
-    /// How much of an account may be used a second in the own failure domain now.
-    fn work_out(&mut self, now: TimeMs, account: AccountId, allowance: Allowance) -> f32 {
-        let left_alone = self.left_alone(now);
-        let Some(known) = self.used.get_mut(&account) else {
+    /// Adds the tokens earned since the last call, and returns the requests per second that the own
+    /// failure domain may use now.
+    fn usable_per_s(&mut self, now: TimeMs, account: AccountId, allowance: Allowance) -> f32 {
+        let silent_entries_share = self.silent_entries_share(now);
+        let Some(usage) = self.usage.get_mut(&account) else {
             return allowance.rate_per_s;
         };
-        let per_s = (allowance.rate_per_s * (known.part - left_alone)).max(0.0);
-        let passed_s = now.since(known.saved_at) as f32 / 1_000.0;
-        known.saved_at = now;
-        let most = allowance.burst * known.part;
-        known.saved = (known.saved + per_s * passed_s).clamp(-most.max(per_s), most);
-        (per_s + known.saved * 1_000.0 / BURST_MS).max(0.0)
+        let per_s = (allowance.rate_per_s * (usage.share - silent_entries_share)).max(0.0);
+        let passed_s = now.since(usage.tokens_at) as f32 / 1_000.0;
+        usage.tokens_at = now;
+        let most = allowance.burst * usage.share;
+        usage.tokens = (usage.tokens + per_s * passed_s).clamp(-most.max(per_s), most);
+        (per_s + usage.tokens * 1_000.0 / BURST_SPREAD_MS).max(0.0)
     }
 
-    /// The own failure domain's part by demand; `None` while some other one is silent.
+    /// The own failure domain's share by demand; `None` while another one is silent.
     ///
-    /// Guards against two sides of a cut that each take what the other one does not ask for any more, as far
-    /// as they hear: the part stays as it was when all were heard.
-    fn agreed_part(&self, now: TimeMs, account: AccountId, rate_per_s: f32) -> Option<f32> {
-        let own = self.used.get(&account)?.shared_per_s(now);
+    /// In a partition, each side hears no demand of the other and would take over its share. The
+    /// share therefore stays as it was when all domains were heard.
+    fn agreed_share(&self, now: TimeMs, account: AccountId, rate_per_s: f32) -> Option<f32> {
+        let own = self.usage.get(&account)?.sharing_demand_per_s(now);
         let mut all = own;
         for (domain, _) in &self.fleet.others {
             let other = self.others.get(domain)?;
-            if now.since(other.heard) >= DOMAIN_SILENT_MS {
+            if now.since(other.last_heard) >= DOMAIN_SILENT_MS {
                 return None;
             }
-            let told = other.demands.get(&account);
-            all += told
-                .filter(|(_, at)| now.since(*at) < TOLD_HOLDS_MS)
+            let demand = other.demands.get(&account);
+            all += demand
+                .filter(|(_, at)| now.since(*at) < DEMAND_VALID_MS)
                 .map_or(0.0, |(per_s, _)| *per_s);
         }
-        let even = rate_per_s * EVEN_PART;
-        Some((own + even * self.fleet.own_part()) / (all + even))
+        let even = rate_per_s * EVEN_SHARE;
+        Some((own + even * self.fleet.own_share()) / (all + even))
     }
 
-    /// The part of the whole that entries of the own failure domain take by themselves, since they do not
-    /// report here.
-    fn left_alone(&self, now: TimeMs) -> f32 {
+    /// The fraction of the whole allowance that silent entries of the own failure domain use
+    /// without coordination, as they do not report here.
+    fn silent_entries_share(&self, now: TimeMs) -> f32 {
         let is_silent = |node: &&Name| {
             let entry = self.entries.get(*node);
-            entry.is_none_or(|entry| now.since(entry.heard) >= ENTRY_SILENT_MS)
+            entry.is_none_or(|entry| now.since(entry.last_heard) >= ENTRY_SILENT_MS)
         };
         let silent = self.fleet.own.iter().filter(is_silent).count();
         silent as f32 / self.fleet.nodes().max(1) as f32
     }
 
-    fn forget(&mut self, now: TimeMs) {
-        self.used
-            .retain(|_, used| now.since(used.heard) < FORGOTTEN_MS);
-        let used = &self.used;
+    fn evict_idle(&mut self, now: TimeMs) {
+        self.usage
+            .retain(|_, usage| now.since(usage.last_heard) < ACCOUNT_RETENTION_MS);
+        let usage = &self.usage;
         for entry in self.entries.values_mut() {
-            entry.counts.retain(|account, _| used.contains_key(account));
+            entry
+                .counts
+                .retain(|account, _| usage.contains_key(account));
         }
     }
 }
 
-/// Whether a report comes after another one of the same process; their numbers wrap around.
+/// Whether a report is newer than another one of the same process. Sequence numbers wrap around.
 fn is_newer(sequence: u32, other: u32) -> bool {
-    sequence != other && sequence.wrapping_sub(other) <= MOST_AHEAD
+    sequence != other && sequence.wrapping_sub(other) <= MAX_AHEAD
 }
 
-/// From where a further count of an account goes.
+/// The base from which a further count of an account increases.
 ///
-/// Guards against an account that its entry forgot, among thousands, and counts from nothing again.
-fn base_after(before: UsageCount, count: &UsageCount) -> UsageCount {
-    if count.wanted.wrapping_sub(before.wanted) <= MOST_AHEAD {
+/// An entry that tracks thousands of accounts may evict one and count it from 0 again. The new
+/// count is then behind the old one, and the base is 0.
+fn next_base(before: UsageCount, count: &UsageCount) -> UsageCount {
+    if count.wanted.wrapping_sub(before.wanted) <= MAX_AHEAD {
         return before;
     }
     UsageCount {
@@ -325,11 +344,12 @@
     }
 }
 
-/// From where the first count of an account goes that a keeper hears of an entry. A small one was made
-/// lately; of a large one it is not known how much of it is new, for the keeper may have begun after it.
-fn base_of(count: &UsageCount) -> UsageCount {
+/// The base of the first count of an account that a coordinator receives from an entry. A small
+/// count is recent, so its base is 0. Of a large one it is unknown how much is new, as the
+/// coordinator may have started after it; none of it counts.
+fn first_base(count: &UsageCount) -> UsageCount {
     match count.wanted {
-        0..=MOST_NEW => UsageCount {
+        0..=MAX_NEW_COUNT => UsageCount {
             wanted: 0,
             used: 0,
             ..*count
--- a/src/accounts/entry_allowances.rs
+++ b/src/accounts/entry_allowances.rs
@@ -1,4 +1,4 @@
-//! What one entry lets in of each account.
+//! Admission of each account's requests at one entry.
 
 use crate::accounts::AccountId;
 use crate::accounts::Allowance;
@@ -10,105 +10,108 @@
 use crate::core::FastMap;
 use crate::core::TimeMs;
 
-/// Accounts followed at most; beyond it those not seen for longest go.
-const MOST_ACCOUNTS: usize = 4_096;
-/// How often an entry reports, in milliseconds.
-const REPORT_MS: u64 = 300;
-/// The least time between two reports, in milliseconds, when requests come faster than usual or no word has
-/// come yet.
-const HASTY_REPORT_MS: u64 = 100;
-/// A report goes out early after so many requests of one account and so many times those expected.
-const HASTY_COUNT: f32 = 3.0;
-const HASTY_FACTOR: f32 = 3.0;
-/// Counts stay in so many reports after their last change: one may be lost.
-const REPEATED_REPORTS: u32 = 2;
-/// After this time without a word an entry is on its own, in milliseconds.
-const WORD_HOLDS_MS: u64 = 1_500;
-/// After a start the first word comes within this time, in milliseconds, if there is anybody to give it.
-const FIRST_WORD_MS: u64 = 3_000;
-/// How long a restarted fleet takes to give words, in milliseconds, for the part let in until then.
-const FIRST_WORD_USUAL_MS: f32 = 2_000.0;
-/// How many times its allowance an account asks for at the worst, as taken for the same.
-const SURGE: f32 = 6.0;
-/// Memory of an account's usual rate at one entry, in milliseconds.
-const USUAL_MS: f32 = 4_000.0;
-/// Nodes that there are at least, as far as a node without a word can know.
-const LEAST_NODES: usize = 8;
-/// An entry that is on its own saves so much at most, in requests.
-const MOST_SAVED: f32 = 1.5;
-/// Bounds of the time to come back, in milliseconds.
-const LEAST_LATER_MS: f32 = 200.0;
-const MOST_LATER_MS: f32 = 3_000.0;
+/// Maximum number of tracked accounts. Beyond it, those idle for longest are evicted.
+const MAX_ACCOUNTS: usize = 4_096;
+/// How often an entry sends a usage report, in milliseconds.
+const REPORT_INTERVAL_MS: u64 = 300;
+/// Shortest time between two reports, in milliseconds, while requests arrive faster than usual or
+/// no reply has arrived yet.
+const EARLY_REPORT_INTERVAL_MS: u64 = 100;
+/// A report is sent early after this many requests of one account since the last report, and at
+/// least `EARLY_REPORT_FACTOR` times as many as expected.
+const EARLY_REPORT_COUNT: f32 = 3.0;
+const EARLY_REPORT_FACTOR: f32 = 3.0;
+/// A changed count is sent in this many reports, since one report may be lost.
+const REPORTS_PER_CHANGE: u32 = 2;
+/// A reply is valid for this time, in milliseconds. Without a newer one the entry is isolated.
+const REPLY_VALID_MS: u64 = 1_500;
+/// Latest time after a start, in milliseconds, at which the first reply arrives if any coordinator
+/// is reachable.
+const FIRST_REPLY_MS: u64 = 3_000;
+/// Time that a restarted fleet takes to send the first replies, in milliseconds. It sets the
+/// fraction of requests admitted until then.
+const FIRST_REPLY_TYPICAL_MS: f32 = 2_000.0;
+/// Largest demand of an account that this fraction allows for, as a multiple of the allowance.
+const SURGE_FACTOR: f32 = 6.0;
+/// Time constant of the usual rate of an account at one entry, in milliseconds.
+const USUAL_RATE_MEMORY_MS: f32 = 4_000.0;
+/// Least number of nodes that an isolated node assumes, as it cannot know the actual number.
+const MIN_NODES: usize = 8;
+/// Maximum credit of an isolated entry, in requests.
+const MAX_CREDIT: f32 = 1.5;
+/// Bounds of `retry_after_ms`.
+const MIN_RETRY_AFTER_MS: f32 = 200.0;
+const MAX_RETRY_AFTER_MS: f32 = 3_000.0;
 
-/// A request that is beyond its account's allowance.
+/// The error for a request that exceeds its account's allowance.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AllowanceExceeded {
-    /// When there is room again as things stand, in milliseconds.
+    /// When the next request can be admitted at the present rates, in milliseconds.
     pub retry_after_ms: u64,
-    /// The part that is let in here, in thousandths.
+    /// The part of the account's requests admitted here, in thousandths.
     pub part_permille: u16,
-    /// How long ago that was told; `None` if it was not told but worked out here.
+    /// Age of the coordinator's reply that set this part; `None` if the entry computed it.
     pub told_ms_ago: Option<u64>,
 }
 
-/// What comes of one account at an entry.
+/// The traffic of one account at an entry.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AccountUse {
     pub account: AccountId,
-    /// Requests a second, lately.
+    /// Recent requests per second.
     pub per_s: f32,
-    /// The part that a keeper says to let in, in thousandths.
+    /// The part that a coordinator tells the entry to admit, in thousandths.
     pub part_permille: u16,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Known {
+struct AccountState {
     wanted: u32,
     used: i32,
-    /// Reports that still carry the counts.
-    to_report: u32,
-    /// Requests since the last report.
-    fresh: f32,
-    usual: DecayedRate,
-    /// What is saved up toward the next request that is let in.
+    /// Number of further reports that carry the counts.
+    pending_reports: u32,
+    since_report: f32,
+    usual_rate: DecayedRate,
+    /// Credit toward the next admitted request; one request costs 1.
     credit: f32,
-    credited: TimeMs,
-    seen: TimeMs,
+    credited_at: TimeMs,
+    last_seen: TimeMs,
 }
 
-/// Decides at one entry.
+/// Admission control for client accounts at one entry.
 ///
-/// Guards against a fleet that lets in, all entries together, far more of an account than it may: an entry
-/// sees some tenths of a request a second of an account, and knows nothing of the others. It holds because
-/// entries report what they see to a keeper of their failure domain, which answers with the part to let in;
-/// an account far below its allowance needs none. An entry without a word lets in its equal share.
+/// A single entry sees only a few tenths of a request per second of an account and does not know
+/// what other entries admit. Without coordination, all entries together would admit far more than
+/// the allowance. Entries therefore report their usage to a coordinator of their failure domain,
+/// which replies with the part to admit. An account far below its allowance is not limited. An
+/// entry without a valid reply admits its equal share.
 #[derive(Clone, Debug)]
 pub struct EntryAllowances {
     bound: AllowanceBound,
     process: u32,
     started: TimeMs,
-    /// The whole system started for the first time, so nothing was used before.
+    /// The whole system starts for the first time, so nothing was used before.
     is_first_start: bool,
-    accounts: FastMap<AccountId, Known>,
-    /// When a keeper last gave a word, and what it said.
-    worded: Option<TimeMs>,
-    parts: FastMap<AccountId, u16>,
-    reported: TimeMs,
-    /// The number of the last report.
+    accounts: FastMap<AccountId, AccountState>,
+    /// When a coordinator last replied.
+    last_reply_at: Option<TimeMs>,
+    admitted_permille: FastMap<AccountId, u16>,
+    last_report_at: TimeMs,
+    /// Sequence number of the last report.
     sequence: u32,
-    is_hasty: bool,
+    is_report_urgent: bool,
 }
 
 impl EntryAllowances {
-    /// An entry that is on its own goes on with its equal share for so long after its last word, in
-    /// milliseconds. Others divide the share of a node that they take for dead no sooner than so long after
-    /// its death is known.
+    /// How long an isolated entry goes on with its equal share after its last reply, in
+    /// milliseconds. The other nodes redistribute the share of a node that they consider dead no
+    /// sooner than this long after its death is known.
     pub const SHARE_VALID_MS: u64 = 20_000;
 
-    /// After this time without a word another keeper is asked, in milliseconds.
+    /// After this time without a reply, the entry also asks the other coordinator, in milliseconds.
     pub const REPLY_MISSED_MS: u64 = 700;
 
-    /// Nothing is known yet. `process` is a random number for this process.
+    /// Creates an entry that knows no account. `process` is a random number for this process.
     pub fn new(bound: AllowanceBound, is_first_start: bool, process: u32, now: TimeMs) -> Self {
         Self {
             bound,
@@ -116,23 +119,24 @@
             started: now,
             is_first_start,
             accounts: FastMap::default(),
-            worded: None,
-            parts: FastMap::default(),
-            reported: now,
+            last_reply_at: None,
+            admitted_permille: FastMap::default(),
+            last_report_at: now,
             sequence: 0,
-            is_hasty: false,
+            is_report_urgent: false,
         }
     }
 
-    /// Changes the bound.
+    /// Replaces the bound.
     pub fn set_bound(&mut self, bound: AllowanceBound) {
         self.bound = bound;
     }
 
-    /// Decides about a request and counts it. `nodes` is how many nodes are known, `random` uniform in 0..1.
+    /// Decides whether a request is admitted and counts it. `nodes` is the number of known nodes,
+    /// and `random` is uniform in 0..1.
     ///
     /// # Errors
-    /// When it is beyond the allowance.
+    /// When the request exceeds the allowance.
     pub fn admit(
         &mut self,
         now: TimeMs,
@@ -142,59 +146,63 @@
         random: f32,
     ) -> Result<(), AllowanceExceeded> {
         self.evict_if_full(now);
-        let standing = self.standing(now, account, allowance, nodes);
-        let known = self.accounts.entry(account).or_insert_with(|| Known {
-            // Entries that begin together must not all let in their first request together.
-            credit: random,
-            credited: now,
-            ..Known::default()
-        });
-        known.note_wanted(now);
-        self.is_hasty |= known.is_surging(now);
-        let takes = match standing {
-            Standing::Free => true,
-            Standing::Part { part, .. } => known.take_part(now, part),
-            Standing::Share { per_s } => known.take_share(now, per_s),
+        let rule = self.rule_for(now, account, allowance, nodes);
+        let state = self
+            .accounts
+            .entry(account)
+            .or_insert_with(|| AccountState {
+                // A random credit keeps entries that start together from all admitting their first
+                // request at once.
+                credit: random,
+                credited_at: now,
+                ..AccountState::default()
+            });
+        state.record_request(now);
+        self.is_report_urgent |= state.is_surging(now);
+        let is_admitted = match rule {
+            AdmissionRule::Unlimited => true,
+            AdmissionRule::Fraction { fraction, .. } => state.take_fraction(now, fraction),
+            AdmissionRule::EqualShare { per_s } => state.take_equal_share(now, per_s),
         };
-        if takes {
-            known.used += 1;
+        if is_admitted {
+            state.used += 1;
             return Ok(());
         }
-        Err(known.beyond(now, standing))
+        Err(state.exceeded(now, rule))
     }
 
-    /// A request that was let in has reached no backend server.
+    /// Returns what an admitted request used, because it reached no backend server.
     pub fn refund(&mut self, account: AccountId) {
-        if let Some(known) = self.accounts.get_mut(&account) {
-            known.used -= 1;
-            known.to_report = REPEATED_REPORTS;
-            known.credit = (known.credit + 1.0).min(MOST_SAVED);
+        if let Some(state) = self.accounts.get_mut(&account) {
+            state.used -= 1;
+            state.pending_reports = REPORTS_PER_CHANGE;
+            state.credit = (state.credit + 1.0).min(MAX_CREDIT);
         }
     }
 
-    /// The report that is due, if one is.
+    /// Returns the usage report if one is due.
     pub fn report(&mut self, now: TimeMs) -> Option<UsageReport> {
-        let since_ms = now.since(self.reported);
-        // Until its first word an entry lets in a part only, so it asks for that often.
-        let due_ms = match self.is_hasty || self.worded.is_none() {
-            true => HASTY_REPORT_MS,
-            false => REPORT_MS,
+        let since_ms = now.since(self.last_report_at);
+        // Before its first reply an entry admits only a fraction of requests, so it reports often.
+        let due_ms = match self.is_report_urgent || self.last_reply_at.is_none() {
+            true => EARLY_REPORT_INTERVAL_MS,
+            false => REPORT_INTERVAL_MS,
         };
         if since_ms < due_ms {
             return None;
         }
-        self.reported = now;
+        self.last_report_at = now;
         self.sequence = self.sequence.wrapping_add(1);
-        self.is_hasty = false;
+        self.is_report_urgent = false;
         let mut counts = Vec::new();
-        for (account, known) in &mut self.accounts {
-            known.fresh = 0.0;
-            if known.to_report > 0 {
-                known.to_report -= 1;
+        for (account, state) in &mut self.accounts {
+            state.since_report = 0.0;
+            if state.pending_reports > 0 {
+                state.pending_reports -= 1;
                 counts.push(UsageCount {
                     account: *account,
-                    wanted: known.wanted,
-                    used: known.used,
+                    wanted: state.wanted,
+                    used: state.used,
                 });
             }
         }
@@ -206,143 +214,157 @@
         })
     }
 
-    /// Takes in a keeper's word.
-    pub fn apply_reply(&mut self, now: TimeMs, word: &AllowanceReply) {
-        self.worded = Some(now);
-        let parts = word.limited.iter();
-        self.parts = parts.map(|part| (part.account, part.permille)).collect();
+    /// Applies a coordinator's reply.
+    pub fn apply_reply(&mut self, now: TimeMs, reply: &AllowanceReply) {
+        self.last_reply_at = Some(now);
+        let shares = reply.limited.iter();
+        self.admitted_permille = shares
+            .map(|share| (share.account, share.permille))
+            .collect();
     }
 
-    /// What comes of each account here, the busiest first, and which part of it is let in.
+    /// The traffic of each account here, the busiest first, and the part of it that is admitted.
     pub fn uses(&self, now: TimeMs) -> Vec<AccountUse> {
-        let uses = self.accounts.iter().map(|(account, known)| AccountUse {
+        let uses = self.accounts.iter().map(|(account, state)| AccountUse {
             account: *account,
-            per_s: known.usual.per_s(now, USUAL_MS),
-            part_permille: self.parts.get(account).copied().unwrap_or(1_000),
+            per_s: state.usual_rate.per_s(now, USUAL_RATE_MEMORY_MS),
+            part_permille: self
+                .admitted_permille
+                .get(account)
+                .copied()
+                .unwrap_or(1_000),
         });
         let mut uses: Vec<AccountUse> = uses.collect();
         uses.sort_unstable_by(|one, other| other.per_s.total_cmp(&one.per_s));
         uses
     }
 
-    /// When a keeper last gave a word.
+    /// When a coordinator last replied.
     pub fn last_reply_at(&self) -> Option<TimeMs> {
-        self.worded
+        self.last_reply_at
     }
 
-    fn standing(
+    fn rule_for(
         &self,
         now: TimeMs,
         account: AccountId,
         allowance: Allowance,
         nodes: usize,
-    ) -> Standing {
-        match self.worded {
-            Some(at) if now.since(at) < WORD_HOLDS_MS => self.told(at, account),
-            None if now.since(self.started) < FIRST_WORD_MS => self.before_word(allowance),
-            _ => Standing::Share {
-                per_s: self.share_per_s(now, allowance, nodes),
+    ) -> AdmissionRule {
+        match self.last_reply_at {
+            Some(at) if now.since(at) < REPLY_VALID_MS => self.rule_from_reply(at, account),
+            None if now.since(self.started) < FIRST_REPLY_MS => self.rule_before_reply(allowance),
+            _ => AdmissionRule::EqualShare {
+                per_s: self.equal_share_per_s(now, allowance, nodes),
             },
         }
     }
 
-    /// The equal share of an entry that is on its own.
+    /// The equal share of an isolated entry.
     ///
-    /// Guards against a share that is used twice: by nodes that are cut off from everybody, and by all others
-    /// once they take those for dead. It holds because the cut-off ones end first.
-    fn share_per_s(&self, now: TimeMs, allowance: Allowance, nodes: usize) -> f32 {
-        let alone_ms = now.since(self.worded.unwrap_or(self.started));
-        if alone_ms >= Self::SHARE_VALID_MS {
+    /// After [`Self::SHARE_VALID_MS`] it is 0. Otherwise the share would be used twice: by nodes
+    /// that are partitioned from all others, and by the others once they consider those nodes dead.
+    /// The isolated nodes stop first.
+    fn equal_share_per_s(&self, now: TimeMs, allowance: Allowance, nodes: usize) -> f32 {
+        let isolated_ms = now.since(self.last_reply_at.unwrap_or(self.started));
+        if isolated_ms >= Self::SHARE_VALID_MS {
             return 0.0;
         }
-        allowance.rate_per_s / nodes.max(LEAST_NODES) as f32
+        allowance.rate_per_s / nodes.max(MIN_NODES) as f32
     }
 
-    fn before_word(&self, allowance: Allowance) -> Standing {
+    fn rule_before_reply(&self, allowance: Allowance) -> AdmissionRule {
         if self.is_first_start {
-            return Standing::Free;
+            return AdmissionRule::Unlimited;
         }
-        Standing::Part {
-            part: self.part_before_word(allowance),
-            told: None,
+        AdmissionRule::Fraction {
+            fraction: self.fraction_before_reply(allowance),
+            told_at: None,
         }
     }
 
-    fn told(&self, at: TimeMs, account: AccountId) -> Standing {
-        match self.parts.get(&account) {
-            Some(permille) => Standing::Part {
-                part: f32::from(*permille) / 1_000.0,
-                told: Some(at),
+    fn rule_from_reply(&self, at: TimeMs, account: AccountId) -> AdmissionRule {
+        match self.admitted_permille.get(&account) {
+            Some(permille) => AdmissionRule::Fraction {
+                fraction: f32::from(*permille) / 1_000.0,
+                told_at: Some(at),
             },
-            None => Standing::Free,
+            None => AdmissionRule::Unlimited,
         }
     }
 
-    /// The part of requests that a restarted entry lets in before it has heard anything, so that the bound
-    /// holds even if all were restarted together while the account asks for many times its allowance: what
-    /// was let in before, a burst and the rate at most, counts against the same window.
-    fn part_before_word(&self, allowance: Allowance) -> f32 {
+    /// The fraction of requests that a restarted entry admits before its first reply. The bound has
+    /// to hold even if all entries restarted together while the account asks for many times its
+    /// allowance. What may have been admitted before the restart, at most a burst and the rate,
+    /// therefore counts against the same window.
+    fn fraction_before_reply(&self, allowance: Allowance) -> f32 {
         let window_s = self.bound.window_ms as f32 / 1_000.0;
-        let silent_s = FIRST_WORD_USUAL_MS / 1_000.0;
+        let unanswered_s = FIRST_REPLY_TYPICAL_MS / 1_000.0;
         let rate = allowance.rate_per_s;
-        let may = (rate * window_s + allowance.burst) * (1.0 + self.bound.overage);
-        let before = allowance.burst + rate * (window_s - silent_s).max(0.0);
-        let left = may + self.bound.slack - before;
-        (left / (SURGE * silent_s * rate)).clamp(0.0, 1.0)
+        let allowed = (rate * window_s + allowance.burst) * (1.0 + self.bound.overage);
+        let before = allowance.burst + rate * (window_s - unanswered_s).max(0.0);
+        let left = allowed + self.bound.slack - before;
+        (left / (SURGE_FACTOR * unanswered_s * rate)).clamp(0.0, 1.0)
     }
 
     fn evict_if_full(&mut self, now: TimeMs) {
-        if self.accounts.len() < MOST_ACCOUNTS {
+        if self.accounts.len() < MAX_ACCOUNTS {
             return;
         }
         let mut idle_ms: Vec<u64> = self
             .accounts
             .values()
-            .map(|known| now.since(known.seen))
+            .map(|state| now.since(state.last_seen))
             .collect();
         let half = idle_ms.len() / 2;
-        let (_, middle_ms, _) = idle_ms.select_nth_unstable(half);
-        let middle_ms = *middle_ms;
+        let (_, median_ms, _) = idle_ms.select_nth_unstable(half);
+        let median_ms = *median_ms;
         self.accounts
-            .retain(|_, known| now.since(known.seen) < middle_ms);
+            .retain(|_, state| now.since(state.last_seen) < median_ms);
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Standing {
-    Free,
-    Part { part: f32, told: Option<TimeMs> },
-    Share { per_s: f32 },
+enum AdmissionRule {
+    Unlimited,
+    Fraction {
+        fraction: f32,
+        told_at: Option<TimeMs>,
+    },
+    EqualShare {
+        per_s: f32,
+    },
 }
 
-impl Known {
-    fn note_wanted(&mut self, now: TimeMs) {
+impl AccountState {
+    fn record_request(&mut self, now: TimeMs) {
         self.wanted = self.wanted.wrapping_add(1);
-        self.to_report = REPEATED_REPORTS;
-        self.fresh += 1.0;
-        self.usual.note(now, 1.0, USUAL_MS);
-        self.seen = now;
+        self.pending_reports = REPORTS_PER_CHANGE;
+        self.since_report += 1.0;
+        self.usual_rate.note(now, 1.0, USUAL_RATE_MEMORY_MS);
+        self.last_seen = now;
     }
 
     fn is_surging(&self, now: TimeMs) -> bool {
-        let usual = self.usual.per_s(now, USUAL_MS) * REPORT_MS as f32 / 1_000.0;
-        self.fresh >= HASTY_COUNT.max(usual * HASTY_FACTOR)
+        let usual =
+            self.usual_rate.per_s(now, USUAL_RATE_MEMORY_MS) * REPORT_INTERVAL_MS as f32 / 1_000.0;
+        self.since_report >= EARLY_REPORT_COUNT.max(usual * EARLY_REPORT_FACTOR)
     }
 
-    fn take_part(&mut self, now: TimeMs, part: f32) -> bool {
-        self.credited = now;
-        self.credit += part;
-        self.take_whole()
+    fn take_fraction(&mut self, now: TimeMs, fraction: f32) -> bool {
+        self.credited_at = now;
+        self.credit += fraction;
+        self.take_credit()
     }
 
-    fn take_share(&mut self, now: TimeMs, per_s: f32) -> bool {
-        let earned = now.since(self.credited) as f32 / 1_000.0 * per_s;
-        self.credited = now;
-        self.credit = (self.credit + earned).min(MOST_SAVED.max(per_s));
-        self.take_whole()
+    fn take_equal_share(&mut self, now: TimeMs, per_s: f32) -> bool {
+        let earned = now.since(self.credited_at) as f32 / 1_000.0 * per_s;
+        self.credited_at = now;
+        self.credit = (self.credit + earned).min(MAX_CREDIT.max(per_s));
+        self.take_credit()
     }
 
-    fn take_whole(&mut self) -> bool {
+    fn take_credit(&mut self) -> bool {
         if self.credit < 1.0 {
             return false;
         }
@@ -350,19 +372,19 @@
         true
     }
 
-    fn beyond(&self, now: TimeMs, standing: Standing) -> AllowanceExceeded {
-        let usual_per_s = self.usual.per_s(now, USUAL_MS);
-        let (per_s, told) = match standing {
-            Standing::Free => (usual_per_s, None),
-            Standing::Part { part, told } => (usual_per_s * part, told),
-            Standing::Share { per_s } => (per_s, None),
+    fn exceeded(&self, now: TimeMs, rule: AdmissionRule) -> AllowanceExceeded {
+        let usual_per_s = self.usual_rate.per_s(now, USUAL_RATE_MEMORY_MS);
+        let (per_s, told_at) = match rule {
+            AdmissionRule::Unlimited => (usual_per_s, None),
+            AdmissionRule::Fraction { fraction, told_at } => (usual_per_s * fraction, told_at),
+            AdmissionRule::EqualShare { per_s } => (per_s, None),
         };
-        let lacks = (1.0 - self.credit).max(0.0);
-        let later_ms = lacks * 1_000.0 / per_s.max(f32::MIN_POSITIVE);
+        let missing = (1.0 - self.credit).max(0.0);
+        let wait_ms = missing * 1_000.0 / per_s.max(f32::MIN_POSITIVE);
         AllowanceExceeded {
-            retry_after_ms: later_ms.clamp(LEAST_LATER_MS, MOST_LATER_MS) as u64,
+            retry_after_ms: wait_ms.clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS) as u64,
             part_permille: (per_s / usual_per_s.max(per_s) * 1_000.0) as u16,
-            told_ms_ago: told.map(|at| now.since(at)),
+            told_ms_ago: told_at.map(|at| now.since(at)),
         }
     }
 }
--- a/src/accounts/identity.rs
+++ b/src/accounts/identity.rs
@@ -1,4 +1,4 @@
-//! Whose a request is.
+//! Identifies the sender of a request by its API key.
 
 use std::sync::Arc;
 
@@ -8,65 +8,65 @@
 use crate::accounts::KeyTag;
 use crate::core::RefusalReason;
 
-/// A longer key is no key of any account, and is not even hashed.
-const LONGEST_KEY_BYTES: usize = 256;
+/// A longer key belongs to no account and is not hashed.
+const MAX_KEY_BYTES: usize = 256;
 
-/// The key that a request came with.
+/// The API key that a request presents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PresentedKey<'a> {
     None,
     One(&'a [u8]),
-    /// Two keys or more; which of them is meant cannot be told.
+    /// Two keys or more, so it is ambiguous which one is meant.
     Several,
 }
 
-/// Who sent a request.
+/// The sender of a request.
 #[derive(Clone, Debug)]
 pub enum Caller {
     /// The holder of a valid key.
     Account(Arc<Account>, KeyTag),
     /// The backend server beside this node, whose calls carry no key.
     Backend,
-    /// Keys are not asked for here.
+    /// No key is required here.
     Anonymous,
 }
 
-/// What the decision rests on.
+/// What the identification depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct IdentityInputs<'a> {
     /// `None` where the deployment has no accounts.
     pub accounts: Option<&'a AccountTable>,
     pub route_is_public: bool,
-    /// Requests with a valid key were seen on the route, so it is callers' and not backend servers'.
+    /// A request with a valid key was seen on the route, so callers use it and not backend servers.
     pub route_saw_valid_key: bool,
     pub presented: PresentedKey<'a>,
 }
 
-/// Tells whose a request is.
+/// Identifies the sender of a request.
 ///
-/// Calls of a backend server carry no key and come from the same machine as callers' requests, so the
-/// lack of a key tells them apart, until the route has shown whose it is: from then on it is a mistake
-/// or an attempt to pass for one.
+/// Calls of a backend server carry no key and come from the same machine as callers' requests. A
+/// missing key therefore means a backend server, until a request with a valid key was seen on the
+/// route. From then on a missing key is a mistake or an attempt to pass for a backend server.
 ///
 /// # Errors
-/// Why the request is turned away for good.
-pub fn identify(from: IdentityInputs<'_>) -> Result<Caller, RefusalReason> {
-    let Some(accounts) = from.accounts else {
+/// The reason why the request is refused for good.
+pub fn identify(inputs: IdentityInputs<'_>) -> Result<Caller, RefusalReason> {
+    let Some(accounts) = inputs.accounts else {
         return Ok(Caller::Anonymous);
     };
-    if from.route_is_public {
+    if inputs.route_is_public {
         return Ok(Caller::Anonymous);
     }
-    match from.presented {
+    match inputs.presented {
         PresentedKey::Several => Err(RefusalReason::AccountKeyAmbiguous),
-        PresentedKey::None if from.route_saw_valid_key => Err(RefusalReason::AccountKeyMissing),
+        PresentedKey::None if inputs.route_saw_valid_key => Err(RefusalReason::AccountKeyMissing),
         PresentedKey::None => Ok(Caller::Backend),
         PresentedKey::One(key) => holder(accounts, key),
     }
 }
 
 fn holder(accounts: &AccountTable, key: &[u8]) -> Result<Caller, RefusalReason> {
-    if key.len() > LONGEST_KEY_BYTES {
+    if key.len() > MAX_KEY_BYTES {
         return Err(RefusalReason::AccountKeyUnknown);
     }
     let key = KeyHash::of(key);
--- a/src/accounts/key_hash.rs
+++ b/src/accounts/key_hash.rs
@@ -1,4 +1,4 @@
-//! A key of a client account, kept so that nobody can use what is kept.
+//! Hashes of API keys of client accounts, from which the key cannot be recovered.
 
 use std::fmt;
 
@@ -7,29 +7,28 @@
 use sha2::Digest;
 use sha2::Sha256;
 
-/// Hashed before each key, so that hashes made elsewhere for other purposes never fit.
-const PURPOSE: &[u8] = b"sassafrasgap account key\0";
+/// Hashed before each key, so that hashes of the same key made for other purposes never match.
+const DOMAIN_SEPARATOR: &[u8] = b"sassafrasgap account key\0";
 
 /// The hash of a key, by which its account is found.
 ///
-/// Guards against a key that leaks through a log line, a peer or a dump of what is in force: only the
-/// hash is kept after decoding, and it opens nothing. It is not shown either, for a short key could be
-/// guessed from it.
+/// Only the hash is kept after decoding, so a key cannot leak through a log line, a peer or a dump
+/// of the active configuration. `Debug` does not print the hash either, because a short key could
+/// be guessed from it.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct KeyHash(u64, u64);
 
-/// What nodes tell each other of the key that a request came with: enough to ask whether its account
-/// still holds it, and nothing that could be used in its place.
+/// The part of a key's hash that nodes send to each other with a request. It suffices to check
+/// whether the account still holds the key, and cannot be used in place of the key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct KeyTag(u32);
 
 impl KeyHash {
-    /// Hashes a key.
     pub fn of(key: &[u8]) -> Self {
         let digest = Sha256::new()
-            .chain_update(PURPOSE)
+            .chain_update(DOMAIN_SEPARATOR)
             .chain_update(key)
             .finalize();
         let part = |from: usize| {
@@ -39,7 +38,7 @@
         Self(part(0), part(8))
     }
 
-    /// The part of it that travels.
+    /// The part of the hash that is sent to other nodes.
     pub fn tag(self) -> KeyTag {
         KeyTag(self.0 as u32)
     }
--- a/src/accounts/message.rs
+++ b/src/accounts/message.rs
@@ -1,37 +1,39 @@
-//! What entries and allowance keepers tell each other.
+//! Messages between entries and allowance coordinators.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::accounts::AccountId;
 
-/// What one entry has seen of one account, counted since its process began: a lost report costs nothing.
+/// What one entry has seen of one account. The counts run since the process started, so a lost
+/// report loses nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct UsageCount {
     pub account: AccountId,
-    /// Requests that came.
+    /// Requests that arrived.
     pub wanted: u32,
-    /// Requests that took a part of the allowance, less those that gave it back.
+    /// Requests that used the allowance, less those refunded.
     pub used: i32,
 }
 
-/// From an entry to a keeper of its failure domain.
+/// A usage report from an entry to a coordinator of its failure domain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct UsageReport {
-    /// Tells the reporting process from earlier ones of the same node.
+    /// Distinguishes the reporting process from earlier ones of the same node.
     pub process: u32,
-    /// Numbers the reports of a process, so that one which was overtaken is known.
+    /// Sequence number within the process, so that a report that arrives out of order is detected.
     pub sequence: u32,
-    /// Only one keeper of the failure domain is asked to answer.
+    /// Whether the coordinator has to reply. Only one coordinator of the failure domain is asked
+    /// to, unless its replies are missing.
     #[serde(rename = "wants_word")]
     pub wants_reply: bool,
-    /// The accounts with news.
+    /// The accounts whose counts changed.
     pub counts: Vec<UsageCount>,
 }
 
-/// Which part of an account's requests may be let in.
+/// The part of an account's requests that may be admitted, in thousandths.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct AdmittedShare {
@@ -39,14 +41,15 @@
     pub permille: u16,
 }
 
-/// From a keeper, in answer to a [`UsageReport`]. Accounts that are not named are far below their allowance.
+/// A coordinator's reply to a [`UsageReport`]. Accounts that are not listed are far below their
+/// allowance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct AllowanceReply {
     pub limited: Vec<AdmittedShare>,
 }
 
-/// How many requests a second come of an account in a failure domain, in tenths.
+/// Requests per second of an account in a failure domain, in tenths.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Demand {
@@ -54,14 +57,15 @@
     pub tenths_per_s: u32,
 }
 
-/// From a keeper of one failure domain to those of the others: its accounts in use.
+/// Sent by a coordinator of one failure domain to those of the others: the demand of each account
+/// in use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct DomainDemands {
     pub demands: Vec<Demand>,
 }
 
-/// Any of them.
+/// Any message about allowances.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum AllowanceMessage {
--- a/src/accounts/mod.rs
+++ b/src/accounts/mod.rs
@@ -1,6 +1,8 @@
-//! Client accounts: whose a request is, what that allows, and how much of it. Pure decisions.
+//! Client accounts: who sent a request, with which rank, and how much the account may send. Pure
+//! decisions.
 //!
-//! See [docs/design/shifted-work.md](../../docs/design/shifted-work.md) for the ways weighed.
+//! See [docs/design/shifted-work.md](../../docs/design/shifted-work.md) for the alternatives
+//! considered.
 
 mod account;
 mod account_id;
--- a/src/accounts/ranking.rs
+++ b/src/accounts/ranking.rs
@@ -1,21 +1,21 @@
-//! One order of importance out of the ranks of accounts and of routes.
+//! Combines the ranks of accounts and of routes into one order of importance.
 
 use std::collections::BTreeSet;
 
-/// Places that there are; beyond them neighbours share one.
-const MOST_PLACES: usize = 14;
+/// Maximum number of places. With more pairs, neighbouring pairs share a place.
+const MAX_PLACES: usize = 14;
 
-/// The order in which requests are kept under pressure: by the account's rank first, then by the route's, so
-/// that requests of accounts of one rank keep the order of their routes. Where an account has no rank, or a
-/// request no account, the route's rank stands for both.
+/// The order in which requests are kept under overload: by the account's rank first, then by the
+/// route's. Requests of accounts of one rank thus keep the order of their routes. Where an account
+/// has no rank, or a request has no account, the route's rank stands for both.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Ranking {
-    /// All pairs that may come, the most important first.
+    /// All possible pairs of account rank and route rank, the most important first.
     pairs: Vec<(u8, u8)>,
 }
 
 impl Ranking {
-    /// Prepares the order for these ranks.
+    /// Builds the order for these ranks.
     pub fn new(accounts: &[Option<u8>], routes: &[u8]) -> Self {
         let mut pairs = BTreeSet::new();
         for route in routes {
@@ -28,16 +28,16 @@
         }
     }
 
-    /// How many places there are.
+    /// The number of places.
     pub fn places(&self) -> usize {
-        self.pairs.len().min(MOST_PLACES)
+        self.pairs.len().min(MAX_PLACES)
     }
 
-    /// The place of a request, 0 being the most important.
+    /// The place of a request; 0 is the most important.
     pub fn place(&self, account: Option<u8>, route: u8) -> u8 {
         let pair = (account.unwrap_or(route), route);
         let index = self.pairs.partition_point(|other| *other < pair);
-        let places = self.pairs.len().max(MOST_PLACES);
-        (index * MOST_PLACES / places) as u8
+        let places = self.pairs.len().max(MAX_PLACES);
+        (index * MAX_PLACES / places) as u8
     }
 }
