--- a/src/retry/allotment.rs
+++ b/src/retry/allotment.rs
@@ -1,11 +1,11 @@
 //! The retry allotment of one call: a fixed number of further attempts for the whole call tree.
 //!
-//! Guards against retries that multiply down a deep chain: a retry at the edge becomes many
-//! further down, and load grows with every hop. It holds because allotment is only ever moved,
-//! never made: a child gets part of what its parent holds, and what comes back is bounded by what
-//! was handed out; what is lost on the way counts as used. See docs/DESIGN.md, "Retries".
+//! Without it, retries multiply down a deep chain: one retry at the edge becomes many further down,
+//! and load grows with every hop. An allotment is only moved and never created. A child gets part
+//! of what its parent holds, and a child returns at most what it was given. What is lost on the way
+//! counts as used. See docs/DESIGN.md, "Retries".
 
-/// What one live call holds and has handed out.
+/// What one live call holds and has handed out to its children.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Allotment {
     left: u16,
@@ -13,7 +13,7 @@
 }
 
 impl Allotment {
-    /// The allotment of a call that arrived with `granted` further attempts.
+    /// Creates the allotment of a call that arrived with `granted` further attempts.
     pub fn new(granted: u16) -> Self {
         Self {
             left: granted,
@@ -35,8 +35,8 @@
         true
     }
 
-    /// Hands a share to a child call: half of what is left, rounded up, so that the first child
-    /// can recover and its later siblings are not left with nothing.
+    /// Hands a share to a child call: half of what is left, rounded up, so that the first child can
+    /// recover and later siblings still get something.
     pub fn hand_out(&mut self) -> u16 {
         let share = self.left.div_ceil(2);
         self.left -= share;
@@ -44,8 +44,8 @@
         share
     }
 
-    /// Takes back what a child did not use. `share` is what [`Self::hand_out`] gave it; a child
-    /// that claims more than it was given is not believed.
+    /// Takes back what a child did not use. `share` is what [`Self::hand_out`] gave it. A child
+    /// cannot return more than its share.
     pub fn take_back(&mut self, share: u16, unused: u16) {
         let unused = unused.min(share).min(self.handed_out);
         self.handed_out -= share.min(self.handed_out);
--- a/src/retry/budget.rs
+++ b/src/retry/budget.rs
@@ -1,10 +1,10 @@
-//! The bound on retries to one service in sum, as a ratio of first attempts.
+//! The bound on all retries to one service, as a ratio of first attempts.
 //!
-//! Guards against many small allotments adding up when a whole service fails: each request alone
-//! stays within its bound and yet the service sees a multiple of its load. It holds because every
-//! retry takes a token, and only first attempts bring tokens.
+//! When a whole service fails, many small allotments add up: each request stays within its bound,
+//! and yet the service receives a multiple of its load. Every retry therefore takes a token from
+//! the budget, and only first attempts add tokens.
 
-/// Tokens are counted in thousandths so that a ratio needs no fractions.
+/// One token, in thousandths, so that a ratio needs no fractions.
 const TOKEN: u64 = 1_000;
 
 /// A token bucket filled by first attempts.
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Notes a first attempt.
+    /// Records a first attempt, which adds tokens.
     pub fn record_first_attempt(&mut self) {
         self.tokens = (self.tokens + self.per_first_attempt).min(self.cap);
     }
--- a/src/retry/decision.rs
+++ b/src/retry/decision.rs
@@ -1,4 +1,5 @@
-//! Whether a failed attempt may be followed by another. Pure; see docs/DESIGN.md, "Retries".
+//! Decides whether a failed attempt may be followed by another. Pure; see docs/DESIGN.md,
+//! "Retries".
 
 use crate::core::RefusalReason;
 use crate::core::RetryReason;
@@ -11,20 +12,20 @@
     pub run_state: RunState,
 }
 
-/// What is known of the call and of the targets when an attempt failed.
+/// What is known of the call and its targets when an attempt has failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryContext {
     pub non_idempotent: bool,
-    /// The body is still held whole, so it can be sent again.
+    /// The whole body is still in memory, so it can be sent again.
     pub body_is_held: bool,
-    /// A target that was not tried yet has room, as far as its fresh reports say.
+    /// An untried target has room, according to its recent reports.
     pub room_elsewhere: bool,
     pub deadline_left_ms: u64,
 }
 
-/// The reason for another attempt, or none when there must be no other.
+/// The reason for another attempt; `None` if there must be none.
 ///
-/// The caller then has to take it out of the allotment and the budget.
+/// The caller of this function then has to charge the attempt to the allotment and the budget.
 pub fn retry_reason(failure: AttemptFailure, situation: RetryContext) -> Option<RetryReason> {
     if !situation.body_is_held || situation.deadline_left_ms == 0 {
         return None;
@@ -36,7 +37,7 @@
     }
 }
 
-/// An attempt that may have run is repeated only when a second run does no harm.
+/// An attempt that may have run is retried only if a second run does no harm.
 fn after_unknown(reason: RefusalReason, situation: RetryContext) -> Option<RetryReason> {
     if situation.non_idempotent {
         return None;
@@ -50,7 +51,8 @@
 
 fn after_not_run(reason: RefusalReason, situation: RetryContext) -> Option<RetryReason> {
     match reason {
-        // Overload: another attempt helps only where there is room, else it feeds the overload.
+        // Under overload another attempt helps only if a target has room. Otherwise it adds to the
+        // overload.
         RefusalReason::Overloaded
         | RefusalReason::ShedAtEntry
         | RefusalReason::WaitExceeded
--- a/src/retry/mod.rs
+++ b/src/retry/mod.rs
@@ -1,4 +1,4 @@
-//! How often a call may be attempted, over the whole call tree and over all calls to a service.
+//! Limits on retries: per call tree, and over all calls to a service.
 
 mod allotment;
 mod budget;
--- a/src/retry/retry_bound.rs
+++ b/src/retry/retry_bound.rs
@@ -1,12 +1,11 @@
-//! How many sends beyond the first are allowed.
+//! The bound on retries.
 
-/// The bound on requests that are sent once more to one service, in each window: that of the whole system,
-/// or a node's part in it.
+/// The bound on retries to one service in each window, for the whole system or for one node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBound {
-    /// Sends beyond the first, for each first one.
+    /// Retries for each first attempt.
     pub ratio: f32,
-    /// Sends beyond the first that are allowed besides.
+    /// Retries allowed in addition.
     pub slack: f32,
     pub window_ms: u64,
 }
