--- a/src/poison/broken_calls.rs
+++ b/src/poison/broken_calls.rs
@@ -1,36 +1,37 @@
-//! Calls whose connection to the backend server broke, until it is known whether it crashed.
+//! Calls whose connection to the backend server broke, kept until it is known whether the server
+//! crashed.
 
 use std::collections::VecDeque;
 
 use crate::core::TimeMs;
 use crate::poison::RunningRequest;
 
-/// How long a broken call may be held against a crash, in milliseconds: a backend server that has
-/// crashed refuses the next connection, and the one after it reports within a few seconds.
+/// How long a broken call may be attributed to a crash, in milliseconds. A crashed backend server
+/// refuses the next connection, and its successor reports within a few seconds.
 const KEEP_MS: u64 = 10_000;
-/// Calls remembered at most: more than any backend server runs at once is not needed.
-const MOST_CALLS: usize = 1_024;
+/// Maximum number of calls kept; no backend server runs more at once.
+const MAX_CALLS: usize = 1_024;
 
 /// Broken calls in the order in which they broke.
 ///
-/// Guards against asking the backend server whether it lives for each connection that breaks: that
-/// costs it a connection, and the caller the time. Whether it crashed shows by itself.
+/// The backend server is not probed for each connection that breaks. A probe would cost the server
+/// a connection and the caller time, and a crash is noticed anyway.
 #[derive(Clone, Debug, Default)]
 pub struct BrokenCalls {
     calls: VecDeque<(TimeMs, RunningRequest)>,
 }
 
 impl BrokenCalls {
-    /// Notes a call that broke.
+    /// Records a call whose connection broke.
     pub fn note(&mut self, now: TimeMs, call: RunningRequest) {
         self.expire(now);
-        if self.calls.len() >= MOST_CALLS {
+        if self.calls.len() >= MAX_CALLS {
             self.calls.pop_front();
         }
         self.calls.push_back((now, call));
     }
 
-    /// The backend server has crashed: answers what was running then, and forgets it.
+    /// Returns and removes the calls that were running when the backend server crashed.
     pub fn take(&mut self, now: TimeMs) -> Vec<RunningRequest> {
         self.expire(now);
         self.calls.drain(..).map(|(_, call)| call).collect()
--- a/src/poison/crash_history.rs
+++ b/src/poison/crash_history.rs
@@ -3,13 +3,13 @@
 use crate::core::TimeMs;
 use crate::poison::crash_report::CrashId;
 
-/// How many crashes of one suspect are told apart. Two are enough to refuse it; the rest is for
+/// Maximum number of crashes recorded per suspect. Two are enough to refuse it; the rest is for
 /// contents that are always running somewhere and are cleared again and again.
 const MAX_CRASHES: usize = 16;
 
-/// One crash as held against one suspect.
+/// One crash of one suspect.
 #[derive(Clone, Copy, Debug)]
-struct Entry {
+struct CrashRecord {
     crash: CrashId,
     is_cleared: bool,
 }
@@ -17,70 +17,71 @@
 /// The crashes during which a request, or a content, was running.
 #[derive(Clone, Debug, Default)]
 pub struct CrashHistory {
-    entries: Vec<Entry>,
+    records: Vec<CrashRecord>,
     last_at: TimeMs,
 }
 
 impl CrashHistory {
-    /// When the last one was noted.
+    /// When the last crash was recorded.
     pub fn last_at(&self) -> TimeMs {
         self.last_at
     }
 
-    /// Notes a crash once, however often it is reported.
+    /// Records a crash once, however often it is reported.
     pub fn note(&mut self, now: TimeMs, crash: CrashId) {
         if self.position(crash).is_some() {
             return;
         }
-        if self.entries.len() == MAX_CRASHES {
-            self.make_room();
+        if self.records.len() == MAX_CRASHES {
+            self.evict_one();
         }
-        self.entries.push(Entry {
+        self.records.push(CrashRecord {
             crash,
             is_cleared: false,
         });
         self.last_at = now;
     }
 
-    /// Clears one crash. One not noted yet is noted as cleared, since reports may change places.
+    /// Clears one crash. An unknown crash is recorded as cleared, since reports may arrive out of
+    /// order.
     pub fn clear(&mut self, now: TimeMs, crash: CrashId) {
         self.note(now, crash);
         if let Some(position) = self.position(crash) {
-            self.entries[position].is_cleared = true;
+            self.records[position].is_cleared = true;
         }
     }
 
-    /// Clears all crashes noted so far.
+    /// Clears all crashes recorded so far.
     pub fn clear_all(&mut self) {
-        for entry in &mut self.entries {
-            entry.is_cleared = true;
+        for record in &mut self.records {
+            record.is_cleared = true;
         }
     }
 
-    /// The crashes that still count.
-    pub fn held(&self) -> impl Iterator<Item = CrashId> {
-        let held = self.entries.iter().filter(|entry| !entry.is_cleared);
-        held.map(|entry| entry.crash)
+    /// The crashes that still count against the suspect.
+    pub fn uncleared(&self) -> impl Iterator<Item = CrashId> {
+        let uncleared = self.records.iter().filter(|record| !record.is_cleared);
+        uncleared.map(|record| record.crash)
     }
 
-    /// The crashes that do not count any more.
+    /// The crashes that no longer count.
     pub fn cleared(&self) -> impl Iterator<Item = CrashId> {
-        let cleared = self.entries.iter().filter(|entry| entry.is_cleared);
-        cleared.map(|entry| entry.crash)
+        let cleared = self.records.iter().filter(|record| record.is_cleared);
+        cleared.map(|record| record.crash)
     }
 
-    /// Whether the crash is known and does not count any more.
+    /// Whether the crash is recorded and cleared.
     pub fn is_cleared(&self, crash: CrashId) -> bool {
         self.cleared().any(|cleared| cleared == crash)
     }
 
-    /// Drops the oldest that is cleared, or else the oldest.
-    fn make_room(&mut self) {
-        let cleared = self.entries.iter().position(|entry| entry.is_cleared);
-        self.entries.remove(cleared.unwrap_or(0));
+    /// Evicts the oldest cleared crash, or the oldest one if none is cleared.
+    fn evict_one(&mut self) {
+        let cleared = self.records.iter().position(|record| record.is_cleared);
+        self.records.remove(cleared.unwrap_or(0));
     }
 
     fn position(&self, crash: CrashId) -> Option<usize> {
-        self.entries.iter().position(|entry| entry.crash == crash)
+        self.records.iter().position(|record| record.crash == crash)
     }
 }
--- a/src/poison/crash_report.rs
+++ b/src/poison/crash_report.rs
@@ -1,18 +1,17 @@
-//! What one guard tells all others after its backend server crashed.
+//! The report that a guard sends to all others after its backend server crashed.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::core::RequestId;
 
-/// Names one crash of one backend server; random, never used twice. A report that arrives twice or
-/// by two ways thereby counts once.
+/// Identifies one crash of one backend server. It is random and never reused, so a report that
+/// arrives twice or by two paths counts once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct CrashId(pub u64);
 
 impl CrashId {
-    /// A fresh random identifier.
     pub fn random() -> Self {
         Self(fastrand::u64(..))
     }
@@ -23,11 +22,12 @@
 #[derive(Serialize, Deserialize)]
 pub struct RunningRequest {
     pub request: RequestId,
-    /// As of [`fingerprint_of`](crate::core::fingerprint_of).
+    /// The fingerprint of the request's content; see
+    /// [`fingerprint_of`](crate::core::fingerprint_of).
     pub fingerprint: u64,
 }
 
-/// A content that ran to its end after it had been suspected of a crash.
+/// Clears a content of one crash: it ran to completion after it had been suspected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Clearance {
@@ -35,8 +35,8 @@
     pub crash: CrashId,
 }
 
-/// One crash: the requests that were running, and the contents that the reporter knows to be
-/// innocent of earlier ones.
+/// One crash: the requests that were running, and the contents that the reporter has cleared of
+/// earlier crashes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct CrashReport {
--- a/src/poison/mod.rs
+++ b/src/poison/mod.rs
@@ -1,4 +1,4 @@
-//! Requests that crash backend servers: who is suspected, who is cleared, who is refused
+//! Detection of requests that crash backend servers: which are suspected, cleared or refused
 //! ([docs/POISON.md](../../docs/POISON.md)).
 
 mod broken_calls;
--- a/src/poison/suspects.rs
+++ b/src/poison/suspects.rs
@@ -1,4 +1,4 @@
-//! Decides which requests may not run any more because they seem to crash backend servers.
+//! Decides which requests are refused because they seem to crash backend servers.
 
 use std::hash::Hash;
 
@@ -11,19 +11,19 @@
 use crate::poison::crash_report::CrashReport;
 use crate::poison::crash_report::RunningRequest;
 
-/// How many clearances one report carries at most.
+/// Maximum number of clearances in one report.
 const MAX_REPORTED_CLEARANCES: usize = 256;
 
-/// The bounds of the table.
+/// Limits of the suspect table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoisonSettings {
-    /// How long a crash is held against a suspect.
+    /// How long a crash counts against a suspect.
     pub keep_ms: u64,
-    /// How many requests, and how many contents, are remembered at most.
+    /// Maximum number of requests, and of contents, that are kept.
     pub max_suspects: usize,
-    /// How many crashes refuse idempotent work.
+    /// Number of crashes after which idempotent requests are refused.
     pub crashes: usize,
-    /// How many crashes refuse non-idempotent work.
+    /// Number of crashes after which non-idempotent requests are refused.
     pub crashes_non_idempotent: usize,
 }
 
@@ -42,20 +42,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     Allowed,
-    /// It, or one of the same content, was running at too many crashes.
+    /// The request, or one with the same content, was running at too many crashes.
     Refused,
 }
 
 /// The suspects of one service, as one guard knows them.
 ///
-/// The failure: one request crashes each backend server that runs it, and its caller sends it
-/// again through every node in turn, under new identifiers. What shows is one backend server
-/// after the other crashing. The guard holds because a crash is reported to all targets before the
-/// caller is answered, so the next try meets a guard that knows of it.
+/// One request may crash each backend server that runs it, while its caller sends it again through
+/// every node in turn under new identifiers. The backend servers then crash one after the other. To
+/// stop this, a crash is reported to all targets before the caller gets an answer, so the guard
+/// that receives the next attempt already knows of it.
 ///
-/// Other requests were running beside it. What ran to its end after a crash did not cause it, so
-/// its content is cleared of it; the clearances travel with the next crash report, which is the
-/// moment when they matter.
+/// Other requests were running at the same time. Content that ran to completion after a crash did
+/// not cause it, so it is cleared of that crash. The clearances are sent with the next crash
+/// report, because only another crash makes them matter.
 #[derive(Debug)]
 pub struct Suspects {
     settings: PoisonSettings,
@@ -64,7 +64,7 @@
 }
 
 impl Suspects {
-    /// Nobody is suspected yet.
+    /// Creates an empty table.
     pub fn new(settings: PoisonSettings) -> Self {
         Self {
             settings,
@@ -73,18 +73,18 @@
         }
     }
 
-    /// Whether nobody is suspected, so that the way of an ordinary call ends here.
+    /// Whether nothing is suspected, so that an ordinary call needs no further check.
     pub fn is_empty(&self) -> bool {
         self.contents.is_empty()
     }
 
-    /// How many contents are remembered.
+    /// The number of contents that are kept.
     pub fn len(&self) -> usize {
         self.contents.len()
     }
 
-    /// Notes that the own backend server crashed. The report goes to every other target of the
-    /// service before any of the running requests is answered.
+    /// Records a crash of the local backend server. The report has to be sent to every other target
+    /// of the service before any of the running requests is answered.
     pub fn note_crash(
         &mut self,
         now: TimeMs,
@@ -100,7 +100,7 @@
         report
     }
 
-    /// Takes in another guard's report. Reports may come twice and in any order.
+    /// Merges another guard's report. Reports may arrive twice and in any order.
     pub fn merge(&mut self, now: TimeMs, report: &CrashReport) {
         self.expire(now);
         for cleared in &report.cleared {
@@ -117,20 +117,20 @@
         shrink(&mut self.requests, self.settings.max_suspects);
     }
 
-    /// Notes that a request of this content ran to its end here, whatever its status.
+    /// Records that a request with this content ran to completion here, whatever its status.
     ///
     /// Returns whether the content was suspected until now.
     pub fn note_success(&mut self, fingerprint: u64) -> bool {
         let Some(crashes) = self.contents.get_mut(&fingerprint) else {
             return false;
         };
-        let was_held = crashes.held().next().is_some();
+        let was_suspected = crashes.uncleared().next().is_some();
         crashes.clear_all();
-        was_held
+        was_suspected
     }
 
-    /// Whether a request may run. It is asked when the request arrives and again when it leaves
-    /// the queue, since a report may have come in between.
+    /// Decides whether a request may run. This is checked when the request arrives and again when
+    /// it leaves the queue, since a report may have arrived in between.
     pub fn verdict(
         &self,
         now: TimeMs,
@@ -141,7 +141,7 @@
         if self.is_empty() {
             return Verdict::Allowed;
         }
-        let crashes = self.crashes_held(now, request, fingerprint);
+        let crashes = self.counted_crashes(now, request, fingerprint);
         let limit = match non_idempotent {
             true => self.settings.crashes_non_idempotent,
             false => self.settings.crashes,
@@ -152,24 +152,24 @@
         }
     }
 
-    /// How many crashes count against the request itself or against its content.
-    fn crashes_held(&self, now: TimeMs, request: RequestId, fingerprint: u64) -> usize {
+    /// The number of crashes that count against the request itself or against its content.
+    fn counted_crashes(&self, now: TimeMs, request: RequestId, fingerprint: u64) -> usize {
         let fresh = |crashes: &&CrashHistory| now.since(crashes.last_at()) < self.settings.keep_ms;
         let of_content = self.contents.get(&fingerprint).filter(fresh);
         let of_request = self.requests.get(&request).filter(fresh);
-        let is_innocent = |crash: &CrashId| of_content.is_some_and(|own| own.is_cleared(*crash));
-        let mut held: Vec<CrashId> = of_content
+        let is_cleared_of = |crash: &CrashId| of_content.is_some_and(|own| own.is_cleared(*crash));
+        let mut counted: Vec<CrashId> = of_content
             .into_iter()
-            .flat_map(CrashHistory::held)
+            .flat_map(CrashHistory::uncleared)
             .collect();
-        let further = of_request.into_iter().flat_map(CrashHistory::held);
-        held.extend(further.filter(|crash| !is_innocent(crash)));
-        held.sort_unstable();
-        held.dedup();
-        held.len()
+        let by_request = of_request.into_iter().flat_map(CrashHistory::uncleared);
+        counted.extend(by_request.filter(|crash| !is_cleared_of(crash)));
+        counted.sort_unstable();
+        counted.dedup();
+        counted.len()
     }
 
-    /// What is known to the good of the contents that ran at this crash, and then of others.
+    /// The known clearances, those of the contents that ran at this crash first.
     fn clearances(&self, running: &[RunningRequest]) -> Vec<Clearance> {
         let own = running.iter().map(|running| running.fingerprint);
         let own = own.filter_map(|fingerprint| self.contents.get_key_value(&fingerprint));
@@ -197,13 +197,13 @@
     }
 }
 
-/// Drops those with the fewest crashes held, and among them the oldest, until the rest fits: a
-/// flood of harmless suspects must not push out one that is refused.
+/// Evicts suspects until at most `max` are left: those with the fewest uncleared crashes first, and
+/// among them the oldest. A flood of harmless suspects must not evict one that is refused.
 fn shrink<K: Copy + Eq + Hash>(suspects: &mut FastMap<K, CrashHistory>, max: usize) {
     let Some(excess) = suspects.len().checked_sub(max + 1) else {
         return;
     };
-    let weight = |crashes: &CrashHistory| (crashes.held().count(), crashes.last_at());
+    let weight = |crashes: &CrashHistory| (crashes.uncleared().count(), crashes.last_at());
     let mut weights: Vec<_> = suspects
         .iter()
         .map(|(&key, crashes)| (weight(crashes), key))
