--- a/src/desired/client_limits.rs
+++ b/src/desired/client_limits.rs
@@ -1,24 +1,24 @@
-//! What callers may send, and how long they may take over it.
+//! Limits on what callers may send and how long they may take.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Bounds on callers' requests and connections, as the operator sets them.
+/// Limits on callers' requests and connections, as the operator sets them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ClientLimits {
-    /// The longest request head.
+    /// Maximum size of a request head.
     pub max_header_bytes: usize,
-    /// The longest request body.
+    /// Maximum size of a request body.
     pub max_body_bytes: usize,
-    /// How long a caller may take over a request head.
+    /// Maximum time for a caller to send a request head.
     pub header_timeout_ms: u64,
-    /// How long a caller's connection is kept without a request.
+    /// How long an idle connection of a caller is kept open.
     pub idle_timeout_ms: u64,
 }
 
 impl Default for ClientLimits {
-    /// Generous bounds that hold until the operator has set others.
+    /// Generous limits that apply until the operator has set others.
     fn default() -> Self {
         Self {
             max_header_bytes: 64 * 1024,
--- a/src/desired/desired_state.rs
+++ b/src/desired/desired_state.rs
@@ -1,4 +1,4 @@
-//! A whole desired state under one version.
+//! The complete desired state under one version.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -8,18 +8,18 @@
 use crate::desired::ClientLimits;
 use crate::desired::Route;
 
-/// What the operator says of a service.
+/// The operator's configuration of a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ServiceConf {
     pub name: Name,
     /// Path of the backend servers' health check.
     pub health_check_path: Name,
-    /// How many connections one backend server accepts from all callers together.
+    /// Maximum number of connections that one backend server accepts from all callers together.
     pub max_connections: u32,
 }
 
-/// Everything that the operator wants, in full. A higher version replaces a lower one whole.
+/// The operator's complete configuration. A higher version replaces a lower one as a whole.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct DesiredState {
@@ -27,6 +27,6 @@
     pub routes: Vec<Route>,
     pub services: Vec<ServiceConf>,
     pub limits: ClientLimits,
-    /// The client accounts; `None` where no request needs a key.
+    /// The client accounts; `None` if no request needs a key.
     pub accounts: Option<Vec<Account>>,
 }
--- a/src/desired/mod.rs
+++ b/src/desired/mod.rs
@@ -1,7 +1,7 @@
-//! The desired state of an operator: which request goes to which service, and on what terms.
+//! The operator's desired state: which request goes to which service, and under which limits.
 //!
-//! Pure data and pure look-ups. An adapter decodes a deployment's own format into these types once;
-//! nothing here knows that format. See [docs/PLATFORM.md](../../docs/PLATFORM.md).
+//! Pure data and pure look-ups. An adapter decodes a deployment's own format into these types;
+//! nothing here depends on that format. See [docs/PLATFORM.md](../../docs/PLATFORM.md).
 
 mod client_limits;
 mod desired_state;
--- a/src/desired/route.rs
+++ b/src/desired/route.rs
@@ -1,4 +1,4 @@
-//! One route: which requests it takes, where they go, and on what terms.
+//! A route: which requests it matches, where they go, and under which limits.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -11,9 +11,9 @@
 pub enum Repeatability {
     /// A second run does no harm.
     Idempotent,
-    /// The request may run once at most.
+    /// The request may run at most once.
     NonIdempotent,
-    /// As [`Self::NonIdempotent`], with a large body.
+    /// Like [`Self::NonIdempotent`], with a large body.
     LargeUpload,
 }
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// A service and its part of a route's requests.
+/// A service and its weight among a route's destinations.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct WeightedService {
@@ -32,7 +32,7 @@
     pub weight: u32,
 }
 
-/// Requests of one host whose path begins with one prefix.
+/// Matches requests to one host whose path begins with one prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Route {
@@ -42,16 +42,16 @@
     /// Begins and ends with a slash.
     pub prefix: Name,
     pub repeatability: Repeatability,
-    /// The longest time that the operator wants a caller kept waiting.
+    /// The longest time for which the operator wants a caller to wait.
     pub timeout_ms: u64,
-    /// The latency objective: the time within which an answer is worth most.
+    /// The latency objective: an answer within this time is worth most.
     pub objective_ms: u64,
     /// 0 is the most important.
     pub rank: u8,
-    /// To how many targets one request may be sent at most.
+    /// Maximum number of targets to which one request may be sent.
     pub max_attempts: u32,
-    /// Callers need no key of a client account.
+    /// Callers need no API key.
     pub is_public: bool,
-    /// Where requests go; never empty, and some weight is above 0.
+    /// Where requests go. Never empty, and at least one weight is above 0.
     pub destinations: Vec<WeightedService>,
 }
--- a/src/desired/route_table.rs
+++ b/src/desired/route_table.rs
@@ -1,4 +1,4 @@
-//! Finding the route of a request.
+//! Looks up the route of a request.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use crate::desired::Route;
 use crate::desired::Split;
 
-/// A route together with the division of its requests.
+/// A route and the weighted distribution of its requests.
 #[derive(Debug)]
 pub struct ActiveRoute {
     pub route: Route,
@@ -17,15 +17,15 @@
 
 /// The routes of one desired state, found by host and longest prefix.
 ///
-/// Prefixes end with a slash, so a path has as many candidates as it has slashes: look-ups take as
-/// long with thousands of routes as with one.
+/// Prefixes end with a slash, so a path has as many candidates as slashes. A look-up takes as long
+/// with thousands of routes as with one.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     by_host: FastMap<Name, FastMap<Name, Arc<ActiveRoute>>>,
 }
 
 impl RouteTable {
-    /// Prepares the routes of a desired state.
+    /// Indexes the routes of a desired state.
     pub fn new(state: &DesiredState) -> Self {
         let mut by_host: FastMap<Name, FastMap<Name, Arc<ActiveRoute>>> = FastMap::default();
         for route in &state.routes {
@@ -41,8 +41,8 @@
         Self { by_host }
     }
 
-    /// The route with the longest prefix that begins the path. `host` may carry a port; `path` has
-    /// no query.
+    /// The route with the longest prefix of the path. `host` may include a port; `path` has no
+    /// query.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<ActiveRoute>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = match self.by_host.get(name) {
--- a/src/desired/split.rs
+++ b/src/desired/split.rs
@@ -1,4 +1,4 @@
-//! The division of a route's requests among services by weight.
+//! Weighted distribution of a route's requests among services.
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
@@ -6,20 +6,21 @@
 use crate::core::Name;
 use crate::desired::WeightedService;
 
-/// Smooth weighted round robin: after any number of requests each service's share is within one
-/// request of its weight's.
+/// Smooth weighted round robin: after any number of requests, each service's count is within one
+/// request of its weighted share.
 ///
-/// Chosen over a random draw because shares hold over short stretches as well: over 300 requests
-/// a draw is off by several percent now and then, this never by more than a third of one.
+/// A random draw was not used, because it does not keep the shares over short runs. Over 300
+/// requests it is sometimes off by several percent, and this algorithm never by more than a third
+/// of one.
 #[derive(Debug)]
 pub struct Split {
     destinations: Vec<WeightedService>,
-    /// How far each service is ahead of its share, in weights. Never across an await.
+    /// The credit of each service, in units of weight. The lock is never held across an await.
     credits: Mutex<Vec<i64>>,
 }
 
 impl Split {
-    /// Starts a division. `destinations` must not be empty.
+    /// Creates a distribution. `destinations` must not be empty.
     pub fn new(destinations: Vec<WeightedService>) -> Self {
         let credits = Mutex::new(vec![0; destinations.len()]);
         Self {
@@ -28,7 +29,7 @@
         }
     }
 
-    /// The service of the next request.
+    /// The service for the next request.
     pub fn next_service(&self) -> Name {
         if let [only] = &self.destinations[..] {
             return only.service.clone();
