--- a/tests/accounts_allowances.rs
+++ b/tests/accounts_allowances.rs
@@ -1,4 +1,5 @@
-//! How an allowance is divided among the nodes: the bound over all of them, and what is refused below it.
+//! How an allowance is divided among the nodes: the bound over all of them, and what is refused
+//! below it.
 
 mod accounts_fleet;
 
@@ -6,63 +7,63 @@
 use rstest::rstest;
 use sassafrasgap::core::TimeMs;
 
-/// What accounts usually ask for, as a part of their allowance.
+/// The usual demand of an account, as a fraction of its allowance.
 const USUAL: f32 = 0.625;
-/// By how much a hot one asks for more than usual.
+/// Factor by which a hot account exceeds its usual demand.
 const HOT: f32 = 7.5;
-/// The number of draws of chance that each check is made with.
+/// Number of random seeds for each check.
 const SEEDS: u64 = 4;
 
-/// A large and a small account; checks are made of both.
+/// A large and a small account. Both are checked.
 const LARGE: &str = "a0";
 const SMALL: &str = "a9";
 
 fn world(nodes: usize, seed: u64) -> World {
     let mut world = World::new(nodes, 3, seed);
-    world.many_accounts(USUAL);
+    world.add_deployment_accounts(USUAL);
     world.run(4_000);
     world
 }
 
-fn heat(world: &mut World, by: f32) {
+fn raise_demand(world: &mut World, by: f32) {
     for name in [LARGE, SMALL] {
-        world.of(name).per_s *= by;
+        world.account(name).per_s *= by;
     }
 }
 
-/// The part of requests of all accounts that was let in.
-fn let_in(world: &World, from: TimeMs) -> f32 {
-    let sent = world.sent.values();
+/// The fraction of all accounts' requests that was admitted.
+fn admitted_fraction(world: &World, from: TimeMs) -> f32 {
+    let sent = world.requests.values();
     let sums = sent.map(|each| {
-        let let_in = each.let_in(from, world.now);
-        (let_in, each.wanted(from, world.now))
+        let admitted = each.admitted(from, world.now);
+        (admitted, each.wanted(from, world.now))
     });
-    let (let_in, wanted) = sums.fold((0, 0), |(a, b), (c, d)| (a + c, b + d));
-    let_in as f32 / wanted as f32
+    let (admitted, wanted) = sums.fold((0, 0), |(a, b), (c, d)| (a + c, b + d));
+    admitted as f32 / wanted as f32
 }
 
-/// The rate at which requests of one account were let in, as a part of its allowance.
-fn rate(world: &World, name: &str, from: TimeMs) -> f32 {
+/// The admitted rate of one account, as a fraction of its allowance.
+fn admitted_rate(world: &World, name: &str, from: TimeMs) -> f32 {
     let seconds = world.now.since(from) as f32 / 1_000.0;
     let account = world.accounts.iter().find(|each| &*each.name == name);
     let rate = account.unwrap().allowance.rate_per_s;
-    world.sent[name].let_in(from, world.now) as f32 / seconds / rate
+    world.requests[name].admitted(from, world.now) as f32 / seconds / rate
 }
 
-/// All accounts ask for what they usually ask for, some five requests in eight of their allowance. Nothing
-/// of it may be refused but by chance; and one node has to bear the messages.
+/// All accounts send their usual demand, about five eighths of their allowance. Requests are
+/// refused only by chance, and each node can handle the messages.
 #[rstest]
 #[case(81)]
 #[case(195)]
 #[case(720)]
-fn accounts_below_their_allowances_are_let_in(#[case] nodes: usize) {
+fn accounts_below_their_allowances_are_admitted(#[case] nodes: usize) {
     let world = world(nodes, 1);
-    assert!(let_in(&world, TimeMs(0)) >= 0.99);
+    assert!(admitted_fraction(&world, TimeMs(0)) >= 0.99);
     assert!(world.messages_per_node_s() <= 12.0);
 }
 
-/// Two accounts ask for many times the usual at once. They get their allowance, the fleet stays within the
-/// bound from the first moment, and nobody else notices.
+/// Two accounts suddenly send many times their usual demand. They get their allowance, and the
+/// fleet stays within the bound from the first moment.
 #[rstest]
 fn a_hot_account_gets_its_allowance(
     #[values(81, 195, 720)] nodes: usize,
@@ -71,20 +72,24 @@
     let mut rates = [0.0; 2];
     for seed in 0..SEEDS {
         let mut world = world(nodes, seed);
-        heat(&mut world, by);
+        raise_demand(&mut world, by);
         let from = world.now + 2_000;
         world.run(10_000);
-        assert!(world.worst() <= 1.0, "seed {seed}: {}", world.worst());
-        rates[0] += rate(&world, LARGE, from) / SEEDS as f32;
-        rates[1] += rate(&world, SMALL, from) / SEEDS as f32;
+        assert!(
+            world.worst_window() <= 1.0,
+            "seed {seed}: {}",
+            world.worst_window()
+        );
+        rates[0] += admitted_rate(&world, LARGE, from) / SEEDS as f32;
+        rates[1] += admitted_rate(&world, SMALL, from) / SEEDS as f32;
     }
     assert!(rates.iter().all(|rate| *rate >= 0.9), "{rates:?}");
 }
 
-/// A failure domain is cut off from the others, and two accounts turn hot on both sides. Each side goes on
-/// within its part; together they stay within the bound, and after the cut as well.
+/// One failure domain is partitioned from the others, and two accounts turn hot on both sides. Each
+/// side stays within its share, so both together keep the bound during the partition and after it.
 #[rstest]
-fn two_sides_of_a_cut_share_one_allowance(
+fn both_sides_of_a_partition_share_one_allowance(
     #[values(81, 720)] nodes: usize,
     #[values(0, 2_000)] heated_after_ms: u64,
 ) {
@@ -92,173 +97,213 @@
         let mut world = world(nodes, seed);
         world.cut_domains(&[0]);
         world.run(heated_after_ms);
-        heat(&mut world, HOT);
+        raise_demand(&mut world, HOT);
         world.run(8_000);
         let from = world.now;
         world.heal();
         world.run(6_000);
-        assert!(world.worst() <= 1.0, "seed {seed}: {}", world.worst());
-        assert!(rate(&world, LARGE, from) >= 0.9, "seed {seed}");
+        assert!(
+            world.worst_window() <= 1.0,
+            "seed {seed}: {}",
+            world.worst_window()
+        );
+        assert!(admitted_rate(&world, LARGE, from) >= 0.9, "seed {seed}");
     }
 }
 
-/// A hot account asks in one failure domain only. It gets its whole allowance there, and when that failure
-/// domain is cut off it goes on with it, while the others have no part to give away a second time.
+/// A hot account sends to one failure domain only and gets its whole allowance there. When that
+/// domain is partitioned it keeps the whole allowance, and the other domains have no share to grant
+/// a second time.
 #[rstest]
-fn a_part_goes_where_it_is_asked_for() {
+fn a_share_follows_the_demand() {
     for seed in 0..SEEDS {
         let mut world = world(81, seed);
-        heat(&mut world, HOT);
-        world.of(LARGE).only_in = Some(1);
+        raise_demand(&mut world, HOT);
+        world.account(LARGE).only_in = Some(1);
         world.run(4_000);
         let from = world.now;
         world.run(4_000);
-        assert!(rate(&world, LARGE, from) >= 0.9, "seed {seed}");
+        assert!(admitted_rate(&world, LARGE, from) >= 0.9, "seed {seed}");
         world.cut_domains(&[1]);
         world.run(2_000);
-        world.of(LARGE).only_in = None;
+        world.account(LARGE).only_in = None;
         world.run(5_000);
-        assert!(world.worst() <= 1.0, "seed {seed}: {}", world.worst());
+        assert!(
+            world.worst_window() <= 1.0,
+            "seed {seed}: {}",
+            world.worst_window()
+        );
     }
 }
 
-/// A third of the nodes is cut off from everybody while two accounts are hot. Those go on by themselves.
+/// A third of the nodes is cut off from all others while two accounts are hot. Those nodes go on
+/// with their equal shares.
 #[rstest]
-fn nodes_that_are_cut_off_take_equal_shares(#[values(81, 195)] nodes: usize) {
+fn isolated_nodes_use_equal_shares(#[values(81, 195)] nodes: usize) {
     for seed in 0..SEEDS {
         let mut world = world(nodes, seed);
-        heat(&mut world, HOT);
+        raise_demand(&mut world, HOT);
         world.run(3_000);
         world.cut_nodes(3);
         world.run(8_000);
         world.heal();
         world.run(5_000);
-        assert!(world.worst() <= 1.0, "seed {seed}: {}", world.worst());
+        assert!(
+            world.worst_window() <= 1.0,
+            "seed {seed}: {}",
+            world.worst_window()
+        );
     }
 }
 
-/// Half of the nodes is cut off from everybody for so long that the others take them for dead and divide what
-/// they had. The cut-off ones went on with it: half more than the allowance. They stop before.
+/// Half of the nodes is cut off from all others for so long that these consider them dead and
+/// redistribute their shares. If the isolated nodes went on, half more than the allowance would be
+/// admitted. They stop before.
 #[rstest]
-fn a_share_is_not_used_twice_in_a_long_cut(#[values(81, 195)] nodes: usize) {
+fn a_share_is_not_used_twice_in_a_long_partition(#[values(81, 195)] nodes: usize) {
     for seed in 0..SEEDS {
         let mut world = world(nodes, seed);
-        heat(&mut world, HOT);
+        raise_demand(&mut world, HOT);
         world.run(3_000);
-        world.cut_half_for_good();
+        world.cut_half_until_dead();
         world.run(32_000);
         let from = world.now;
         world.run(6_000);
-        assert!(world.worst() <= 1.0, "seed {seed}: {}", world.worst());
-        assert!(rate(&world, LARGE, from) >= 0.9, "seed {seed}");
+        assert!(
+            world.worst_window() <= 1.0,
+            "seed {seed}: {}",
+            world.worst_window()
+        );
+        assert!(admitted_rate(&world, LARGE, from) >= 0.9, "seed {seed}");
         world.heal();
         world.run(5_000);
-        assert!(world.worst() <= 1.0, "seed {seed}: {}", world.worst());
+        assert!(
+            world.worst_window() <= 1.0,
+            "seed {seed}: {}",
+            world.worst_window()
+        );
     }
 }
 
-/// All processes are killed and begin anew while two accounts are hot. Nobody remembers what was used a
-/// moment ago; still the fleet must not let in a whole burst once more.
+/// All processes are killed and restarted while two accounts are hot. No process remembers recent
+/// usage, and the fleet must not admit a whole burst once more.
 #[rstest]
-fn a_restart_of_all_does_not_refill(
+fn a_restart_of_all_nodes_refills_no_burst(
     #[values(81, 195, 720)] nodes: usize,
     #[values(300, 1_000)] down_ms: u64,
 ) {
     for seed in 0..SEEDS {
         let mut world = world(nodes, seed);
-        heat(&mut world, 4.1);
+        raise_demand(&mut world, 4.1);
         world.run(5_000);
         world.restart_all(down_ms);
         world.run(8_000);
-        assert!(world.worst() <= 1.0, "seed {seed}: {}", world.worst());
+        assert!(
+            world.worst_window() <= 1.0,
+            "seed {seed}: {}",
+            world.worst_window()
+        );
     }
 }
 
-/// Two accounts turn hot, use up their bursts, and within the same window all processes are killed and begin
-/// anew. What was let in before counts, the burst as well.
+/// Two accounts turn hot and use up their bursts. Within the same window all processes are killed
+/// and restarted. What was admitted before still counts, the burst included.
 #[rstest]
-fn a_restart_of_all_soon_after_a_burst_does_not_refill(
+fn a_restart_of_all_nodes_soon_after_a_burst_does_not_refill_it(
     #[values(81, 195, 720)] nodes: usize,
     #[values(1_000, 2_000, 3_000)] after_ms: u64,
     #[values(300, 1_000)] down_ms: u64,
 ) {
     for seed in 0..SEEDS {
         let mut world = world(nodes, seed);
-        heat(&mut world, HOT);
+        raise_demand(&mut world, HOT);
         world.run(after_ms);
         world.restart_all(down_ms);
         world.run(8_000);
-        assert!(world.worst() <= 1.0, "seed {seed}: {}", world.worst());
+        assert!(
+            world.worst_window() <= 1.0,
+            "seed {seed}: {}",
+            world.worst_window()
+        );
     }
 }
 
-/// The keepers of a failure domain die while an account is hot: the next ones know nothing, and give no
-/// burst away.
+/// The coordinators of a failure domain die while an account is hot. Their successors know nothing,
+/// and must not grant a burst.
 #[rstest]
-fn keepers_that_die_take_nothing_along() {
+fn a_replaced_coordinator_grants_no_new_burst() {
     for seed in 0..SEEDS {
         let mut world = world(81, seed);
-        heat(&mut world, HOT);
+        raise_demand(&mut world, HOT);
         world.run(4_000);
         world.restart(|at| at < 6, 1_000);
         world.run(6_000);
-        assert!(world.worst() <= 1.0, "seed {seed}: {}", world.worst());
+        assert!(
+            world.worst_window() <= 1.0,
+            "seed {seed}: {}",
+            world.worst_window()
+        );
     }
 }
 
-/// The operator cuts an allowance to a third of what its account asks for. One window later the fleet is
-/// within the new bound.
+/// The operator lowers an allowance to a third of its account's demand. One window later the fleet
+/// is within the new bound.
 #[rstest]
-fn a_lower_allowance_binds() {
+fn a_lowered_allowance_takes_effect() {
     for seed in 0..SEEDS {
         let mut world = world(81, seed);
         for name in [LARGE, SMALL] {
-            let account = world.of(name);
+            let account = world.account(name);
             account.allowance.rate_per_s = account.per_s / 3.0;
             account.allowance.burst = account.allowance.rate_per_s;
         }
         world.run(5_000);
-        world.sent.clear();
+        world.requests.clear();
         world.run(8_000);
-        assert!(world.worst() <= 1.0, "seed {seed}: {}", world.worst());
+        assert!(
+            world.worst_window() <= 1.0,
+            "seed {seed}: {}",
+            world.worst_window()
+        );
     }
 }
 
-/// Each node lets in its equal share, whatever comes there: the way that was compared.
+/// The alternative strategy: each node admits its equal share, whatever the demand there.
 fn equal_shares(nodes: usize, seed: u64) -> World {
     let mut world = World::new(nodes, 3, seed);
-    world.many_accounts(USUAL);
+    world.add_deployment_accounts(USUAL);
     world.cut_all_nodes();
     world.run(4_000);
-    world.sent.clear();
+    world.requests.clear();
     world
 }
 
-/// How a world of one way begins, by its nodes and seed.
+/// Creates the simulation of one strategy for a number of nodes and a seed.
 type Start = fn(usize, u64) -> World;
 
-/// Prints equal shares beside parts by demand:
+/// Compares equal shares with shares by demand, and prints the result:
 /// `cargo test --release --test accounts_allowances -- --ignored --nocapture`.
 #[rstest]
 #[ignore = "a measurement, not a check"]
-fn ways_compared(#[values(81, 195, 720)] nodes: usize) {
-    let ways: [(&str, Start); 2] = [("equal shares", equal_shares), ("parts by demand", world)];
-    for (way, start) in ways {
+fn compare_strategies(#[values(81, 195, 720)] nodes: usize) {
+    let strategies: [(&str, Start); 2] =
+        [("equal shares", equal_shares), ("parts by demand", world)];
+    for (strategy, start) in strategies {
         let mut usual = start(nodes, 1);
         let from = usual.now;
         usual.run(8_000);
         let mut hot = start(nodes, 2);
-        let heated = hot.now;
-        heat(&mut hot, HOT);
+        let surged_at = hot.now;
+        raise_demand(&mut hot, HOT);
         hot.run(9_000);
         println!(
-            "{nodes} {way}: let in {:.3} of what is usual, worst window {:.2}; hot {:.2}, let in {:.2} \
-             and {:.2} of the allowance; messages a node and s {:.2}",
-            let_in(&usual, from),
-            usual.worst(),
-            hot.worst(),
-            rate(&hot, LARGE, heated),
-            rate(&hot, SMALL, heated),
+            "{nodes} {strategy}: admitted {:.3} of the usual demand, worst window {:.2}; hot \
+             {:.2}, admitted {:.2} and {:.2} of the allowance; messages per node and s {:.2}",
+            admitted_fraction(&usual, from),
+            usual.worst_window(),
+            hot.worst_window(),
+            admitted_rate(&hot, LARGE, surged_at),
+            admitted_rate(&hot, SMALL, surged_at),
             usual.messages_per_node_s(),
         );
     }
--- a/tests/accounts_fleet/node.rs
+++ b/tests/accounts_fleet/node.rs
@@ -1,4 +1,4 @@
-//! One node of the fleet.
+//! One node of the simulated fleet.
 
 use sassafrasgap::accounts::AllowanceBound;
 use sassafrasgap::accounts::AllowanceCoordinator;
@@ -8,11 +8,11 @@
 use sassafrasgap::core::TimeMs;
 
 pub struct Node {
-    pub starts: TimeMs,
-    /// It has been there from the beginning.
+    pub starts_at: TimeMs,
+    /// It has run from the beginning.
     pub is_first: bool,
     pub entry: EntryAllowances,
-    pub keeper: AllowanceCoordinator,
+    pub coordinator: AllowanceCoordinator,
 }
 
 impl Node {
@@ -21,15 +21,15 @@
         domain: usize,
         bound: AllowanceBound,
         is_first: bool,
-        starts: TimeMs,
+        starts_at: TimeMs,
         process: u32,
     ) -> Self {
         debug_assert!(at >= domain);
         Self {
-            starts,
+            starts_at,
             is_first,
-            entry: EntryAllowances::new(bound, is_first, process, starts),
-            keeper: AllowanceCoordinator::new(is_first, starts),
+            entry: EntryAllowances::new(bound, is_first, process, starts_at),
+            coordinator: AllowanceCoordinator::new(is_first, starts_at),
         }
     }
 }
@@ -42,11 +42,11 @@
     Name::from(format!("d{at}"))
 }
 
-/// What all nodes know of each other, those that count as gone left out.
+/// The fleet as nodes of the failure domain `own` know it, without the nodes in `gone`.
 pub fn fleet(own: usize, domains: usize, nodes: usize, gone: &[usize]) -> Fleet {
-    let is_there = |at: &usize| !gone.contains(at);
+    let is_present = |at: &usize| !gone.contains(at);
     let of = |domain: usize| {
-        let nodes = (0..nodes).filter(is_there);
+        let nodes = (0..nodes).filter(is_present);
         nodes.filter(move |at| at % domains == domain)
     };
     let others = (0..domains).filter(|each| *each != own);
--- a/tests/accounts_keys.rs
+++ b/tests/accounts_keys.rs
@@ -1,4 +1,4 @@
-//! Whose a request is: keys, public routes, and calls of backend servers.
+//! Identification of requests: keys, public routes, and calls of backend servers.
 
 use rstest::rstest;
 use sassafrasgap::accounts::Account;
@@ -20,7 +20,7 @@
     }
 }
 
-fn told(caller: Result<Caller, RefusalReason>) -> Result<String, RefusalReason> {
+fn caller_name(caller: Result<Caller, RefusalReason>) -> Result<String, RefusalReason> {
     caller.map(|caller| match caller {
         Caller::Account(account, _) => account.name.to_string(),
         Caller::Backend => "backend server".to_owned(),
@@ -28,7 +28,7 @@
     })
 }
 
-const LONG: [u8; 300] = [b'k'; 300];
+const TOO_LONG: [u8; 300] = [b'k'; 300];
 
 #[rstest]
 #[case::holder(PresentedKey::One(b"k1"), false, false, Ok("anna"))]
@@ -39,14 +39,14 @@
     false,
     Err(RefusalReason::AccountKeyUnknown)
 )]
-#[case::half(
+#[case::prefix_of_a_key(
     PresentedKey::One(b"k"),
     false,
     false,
     Err(RefusalReason::AccountKeyUnknown)
 )]
-#[case::long(PresentedKey::One(&LONG), false, false, Err(RefusalReason::AccountKeyUnknown))]
-#[case::several(
+#[case::too_long(PresentedKey::One(&TOO_LONG), false, false, Err(RefusalReason::AccountKeyUnknown))]
+#[case::two_keys(
     PresentedKey::Several,
     false,
     false,
@@ -55,8 +55,8 @@
 #[case::backend_server(PresentedKey::None, false, false, Ok("backend server"))]
 #[case::missing(PresentedKey::None, false, true, Err(RefusalReason::AccountKeyMissing))]
 #[case::public(PresentedKey::One(b"k3"), true, false, Ok("anybody"))]
-#[case::public_without(PresentedKey::None, true, true, Ok("anybody"))]
-fn a_request_is_told_by_its_key(
+#[case::public_without_key(PresentedKey::None, true, true, Ok("anybody"))]
+fn a_request_is_identified_by_its_key(
     #[case] presented: PresentedKey<'_>,
     #[case] route_is_public: bool,
     #[case] route_saw_valid_key: bool,
@@ -69,17 +69,21 @@
         route_saw_valid_key,
         presented,
     };
-    assert_eq!(told(identify(identity)), expected.map(str::to_owned));
-    let without = IdentityInputs {
+    assert_eq!(caller_name(identify(identity)), expected.map(str::to_owned));
+    let without_accounts = IdentityInputs {
         accounts: None,
         ..identity
     };
-    assert_eq!(told(identify(without)), Ok("anybody".to_owned()));
+    assert_eq!(
+        caller_name(identify(without_accounts)),
+        Ok("anybody".to_owned())
+    );
 }
 
-/// A guard asks for a key by its tag: it holds while the account has it, and not under another name.
+/// A guard checks a key by its tag. The tag is valid while the account holds the key, and only for
+/// that account.
 #[rstest]
-fn a_tag_holds_as_long_as_its_key() {
+fn a_tag_is_valid_as_long_as_its_key() {
     let tag = KeyHash::of(b"k1").tag();
     let before = AccountTable::new(&[account("anna", &["k1"])]);
     let after = AccountTable::new(&[account("anna", &["k2"]), account("berta", &["k1"])]);
@@ -89,9 +93,9 @@
     assert!(after.still_holds("berta", tag));
 }
 
-/// A hash that is printed with what holds it tells nothing of the key.
+/// Printing a hash must reveal nothing of the key.
 #[rstest]
-fn a_hash_is_not_shown() {
+fn a_hash_is_not_printed() {
     assert_eq!(format!("{:?}", KeyHash::of(b"k1")), "KeyHash(..)");
     assert_ne!(KeyHash::of(b"k1"), KeyHash::of(b"k2"));
 }
--- a/tests/accounts_ranking.rs
+++ b/tests/accounts_ranking.rs
@@ -1,11 +1,12 @@
-//! The order of importance out of the ranks of accounts and of routes.
+//! The order of importance computed from the ranks of accounts and of routes.
 
 use rstest::rstest;
 use sassafrasgap::accounts::Ranking;
 
-/// Accounts come first; of accounts of one rank, requests keep the order of their routes.
+/// The rank of the account comes first. Requests of accounts of one rank keep the order of their
+/// routes.
 #[rstest]
-fn accounts_go_before_routes() {
+fn account_ranks_precede_route_ranks() {
     let ranking = Ranking::new(&[Some(0), Some(2), None], &[0, 1, 2]);
     let places = [
         (Some(0), 0),
@@ -22,7 +23,7 @@
     assert_eq!(places[6], ranking.place(Some(2), 2));
 }
 
-/// Without accounts the order is that of the routes, one place each.
+/// Without accounts the order is that of the routes, with one place for each rank.
 #[rstest]
 fn routes_alone_keep_their_ranks() {
     let ranking = Ranking::new(&[], &[2, 0, 1, 1]);
@@ -30,7 +31,7 @@
     assert_eq!(places, [0, 1, 2]);
 }
 
-/// However many ranks there are, places stay few and in order.
+/// With any number of ranks, the number of places stays small and their order is kept.
 #[rstest]
 fn many_ranks_share_places() {
     let accounts: Vec<Option<u8>> = (0..40).map(Some).collect();
--- a/tests/desired_routes.rs
+++ b/tests/desired_routes.rs
@@ -1,4 +1,4 @@
-//! Routes by host and longest prefix, and the exact division among weighted services.
+//! Routes by host and longest prefix, and the exact distribution among weighted services.
 
 use rstest::rstest;
 use sassafrasgap::core::Name;
@@ -63,7 +63,7 @@
     assert_eq!(name.as_deref(), found);
 }
 
-/// Over any stretch the shares are within one request of the weights.
+/// Over any number of requests, the counts are within one request of the weighted shares.
 #[rstest]
 #[case(&[90, 10])]
 #[case(&[1, 1, 1])]
--- a/tests/desired_store_watch.rs
+++ b/tests/desired_store_watch.rs
@@ -1,4 +1,4 @@
-//! Which nodes follow the operator's row in the store.
+//! Which nodes watch the operator's row in the store.
 
 mod fake_targets;
 
@@ -37,8 +37,8 @@
     names
 }
 
-/// What a node knows while all is well.
-const WELL: StateFreshness = StateFreshness {
+/// The freshness of a node's state in normal operation.
+const HEALTHY: StateFreshness = StateFreshness {
     has_state: true,
     found_for_ms: None,
     heard_ms_ago: 300,
@@ -53,8 +53,8 @@
     view(&nodes.collect::<Vec<_>>())
 }
 
-/// However many nodes there are, two of each failure domain watch, so that the calls to the store grow
-/// with the domains.
+/// With any number of nodes, two of each failure domain watch, so that the calls to the store grow
+/// with the number of domains.
 #[rstest]
 fn two_of_each_domain_watch() {
     let up = TargetState::Up;
@@ -71,34 +71,35 @@
     assert_eq!(watchers(&view), expected);
 }
 
-/// A watcher of a domain does not answer any more, or has left. The next one takes over at once,
-/// though it may only be suspected: one watcher more does no harm, one less would.
+/// A watcher no longer answers or has left. The next node takes over at once, even if the watcher
+/// is only suspected: one watcher too many does no harm, and one too few would.
 #[rstest]
 #[case(TargetState::Suspect)]
 #[case(TargetState::Dead)]
 #[case(TargetState::Left)]
-fn the_next_one_takes_over(#[case] state: TargetState) {
+fn the_next_node_replaces_a_lost_watcher(#[case] state: TargetState) {
     let up = TargetState::Up;
     let view = view(&[("a1", "a", state), ("a2", "a", up), ("a3", "a", up)]);
     assert!(is_watcher(&view, "a3", "a"));
 }
 
-/// Hundreds of nodes each kept a question open at the store: most of its calls, each paid for. All but
-/// the watchers rely on gossip while it brings the store's word.
+/// Hundreds of nodes each kept a long poll open at the store, which made up most of its calls, and
+/// each call is charged. All nodes but the watchers rely on gossip while it carries the store's
+/// confirmation.
 #[rstest]
-fn a_node_that_hears_others_asks_nothing() {
+fn a_node_that_hears_others_does_not_query_the_store() {
     let fleet = fleet(195);
-    assert!(!should_query_store(&fleet, "a0100", "a", WELL, 0.0));
-    assert!(should_query_store(&fleet, "a0001", "a", WELL, 0.99));
+    assert!(!should_query_store(&fleet, "a0100", "a", HEALTHY, 0.0));
+    assert!(should_query_store(&fleet, "a0001", "a", HEALTHY, 0.99));
 }
 
-/// A node is cut off from all others and not from the store. A change would be in force everywhere but
-/// there: nobody can tell it.
+/// A node is cut off from all others but not from the store. A change would be active everywhere
+/// but there, because no other node can report it.
 #[rstest]
-fn a_node_that_hears_nobody_asks() {
+fn a_node_that_hears_nobody_queries_the_store() {
     let silent = StateFreshness {
         heard_ms_ago: 1_500,
-        ..WELL
+        ..HEALTHY
     };
     assert!(should_query_store(&fleet(195), "a0100", "a", silent, 0.99));
     assert!(should_query_store(
@@ -110,70 +111,71 @@
     ));
 }
 
-/// All watchers are turned away by the store and everybody hears everybody. The store's word grows old;
-/// a few others ask for it, not all at once.
+/// The store refuses all watchers, while all nodes hear each other. As the store's confirmation
+/// gets old, a few other nodes query it, and not all at once.
 #[rstest]
 #[case(13)]
 #[case(195)]
 #[case(720)]
-fn a_few_ask_when_the_store_has_not_been_heard_of(#[case] size: usize) {
+fn a_few_nodes_query_an_unconfirmed_store(#[case] size: usize) {
     let unconfirmed = StateFreshness {
         confirmed_ms_ago: 6_100,
-        ..WELL
+        ..HEALTHY
     };
     let fleet = fleet(size);
-    let asking = |random| should_query_store(&fleet, "a0009", "a", unconfirmed, random);
-    let asking = (0..1_000).filter(|draw| asking(f64::from(*draw) / 1_000.0));
-    let in_fleet = asking.count() * size / 1_000;
+    let queries = |random| should_query_store(&fleet, "a0009", "a", unconfirmed, random);
+    let querying = (0..1_000).filter(|draw| queries(f64::from(*draw) / 1_000.0));
+    let in_fleet = querying.count() * size / 1_000;
     assert!((3..=5).contains(&in_fleet), "{in_fleet}");
 }
 
-/// The whole system starts for the first time. Each node would take itself for a watcher, and all would
-/// ask at once; a moment later they know each other and are told.
+/// The whole system starts for the first time. Each node would consider itself a watcher, and all
+/// would query the store at once. A moment later they know each other and get the state by gossip.
 #[rstest]
 #[case(-4_000, false, false)]
 #[case(-1, false, false)]
 #[case(0, true, false)]
 #[case(2_500, true, true)]
-fn at_a_first_start_few_ask(
+fn few_nodes_query_at_a_first_start(
     #[case] found_for_ms: i64,
-    #[case] watcher_asks: bool,
-    #[case] other_asks: bool,
+    #[case] watcher_queries: bool,
+    #[case] other_queries: bool,
 ) {
     let known = StateFreshness {
         has_state: false,
         found_for_ms: Some(found_for_ms),
-        ..WELL
+        ..HEALTHY
     };
     let fleet = fleet(195);
     assert_eq!(
         should_query_store(&fleet, "a0000", "a", known, 0.0),
-        watcher_asks
+        watcher_queries
     );
     assert_eq!(
         should_query_store(&fleet, "a0100", "a", known, 0.0),
-        other_asks
+        other_queries
     );
 }
 
-/// A node that is restarted knows no desired state, and is not ready before it does: it asks at once.
+/// A restarted node has no desired state and is not ready without one, so it queries the store at
+/// once.
 #[rstest]
-fn a_restarted_node_asks_at_once() {
+fn a_restarted_node_queries_at_once() {
     let known = StateFreshness {
         has_state: false,
-        ..WELL
+        ..HEALTHY
     };
     assert!(should_query_store(&fleet(195), "a0100", "a", known, 0.99));
 }
 
-/// Each node took a changed document over from any peer, most of them across a border between failure
-/// domains. However many there are, a few of each domain do.
+/// Each node fetched a changed document from any peer, so most fetches crossed a border between
+/// failure domains. With any number of nodes, only a few of each domain do.
 #[rstest]
 #[case(2, 2)]
 #[case(39, 3)]
 #[case(197, 3)]
 #[case(394, 3)]
-fn few_take_a_document_over_from_another_domain(#[case] size: usize, #[case] expected: usize) {
+fn few_nodes_fetch_a_document_from_another_domain(#[case] size: usize, #[case] expected: usize) {
     let fleet = fleet(size);
     let draws = (0..size).map(|draw| draw as f64 / size as f64);
     let across = draws.filter(|draw| should_fetch_across_domains(&fleet, "a", *draw));
--- a/tests/poison_suspects.rs
+++ b/tests/poison_suspects.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// The guard `at` sees a crash and tells all others before it answers.
+/// The guard `at` detects a crash and reports it to all others before it answers.
 fn crash(guards: &mut [Suspects], at: usize, now_ms: u64, crash: u64, running: &[RunningRequest]) {
     let now = TimeMs(now_ms);
     let report = guards[at].note_crash(now, CrashId(crash), running);
@@ -49,9 +49,9 @@
     verdict == Verdict::Allowed
 }
 
-/// A user sees: one archive server after the other goes down until none is left. One request
-/// crashes each server that runs it; its caller, hearing nothing, sends it again through the next
-/// node, each time as a new request of the same content.
+/// One request crashes each server that runs it. Its caller gets no answer and sends it again
+/// through the next node, each time as a new request with the same content. Without the check, the
+/// backend servers of a service go down one after the other until none is left.
 #[rstest]
 #[case::idempotent(false, 2)]
 #[case::non_idempotent(true, 1)]
@@ -71,14 +71,15 @@
     assert_eq!(crashes, expected);
 }
 
-/// A user sees: after two crashes nobody gets the menu any more. The menu is read all the time, so
-/// it was running beside the poisoned request at both crashes.
+/// A popular content is read all the time, so it was running beside the poisoned request at both
+/// crashes. It must not be refused after them.
 #[test]
-fn a_popular_read_beside_a_poisoned_request_goes_on() {
+fn a_popular_read_beside_a_poisoned_request_stays_allowed() {
     let mut guards = guards(4);
     let both = [running(1, POPULAR), running(2, POISON)];
     crash(&mut guards, 0, 0, 1, &both);
-    // Menus finish at the other targets, but not at the first, whose backend server is down.
+    // The popular reads complete at the other targets, but not at the first one, whose backend
+    // server is down.
     for guard in &mut guards[1..] {
         assert!(guard.note_success(POPULAR));
     }
@@ -97,10 +98,9 @@
     }
 }
 
-/// A user sees: a job that was harmless is refused. Its report came over two ways and was counted
-/// as two crashes.
+/// A report that arrives by two paths and counts as two crashes would refuse a harmless request.
 #[test]
-fn a_report_that_comes_twice_counts_once() {
+fn a_duplicate_report_counts_once() {
     let mut guards = guards(1);
     let job = running(1, 5);
     crash(&mut guards, 0, 0, 1, &[job]);
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_refusal_ends_after_a_time() {
+fn a_refusal_expires() {
     let mut guards = guards(1);
     let poison = running(1, POISON);
     crash(&mut guards, 0, 0, 1, &[poison]);
@@ -121,10 +121,10 @@
     assert!(guards[0].is_empty());
 }
 
-/// A user sees: a poisoned request is let through again after a bad minute. Many crashes with
-/// many harmless requests running pushed it out of the bounded table.
+/// Many crashes with many harmless requests running fill the bounded table. If they evicted the
+/// poisoned request, it would be admitted again.
 #[test]
-fn a_flood_of_suspects_does_not_push_out_a_refused_one() {
+fn a_flood_of_suspects_does_not_evict_a_refused_one() {
     let settings = PoisonSettings {
         max_suspects: 50,
         ..PoisonSettings::default()
@@ -143,14 +143,14 @@
     assert!(!allows(&guard, 100, poison, false));
 }
 
-/// One thing that happens in a service of four targets.
+/// One event in a service of four targets.
 #[derive(Clone, Debug)]
 enum Event {
     /// The caller sends the poisoned request through this guard.
     Poison { at: usize },
-    /// The backend server crashes for another reason, with these contents running.
+    /// The backend server crashes for another reason while these contents are running.
     Crash { at: usize, contents: Vec<u64> },
-    /// A harmless request runs to its end.
+    /// A harmless request runs to completion.
     Finish { at: usize, content: u64 },
 }
 
@@ -164,7 +164,7 @@
     ]
 }
 
-/// The same cases on every machine.
+/// A fixed seed, so that the cases are the same on every machine.
 fn fixed() -> ProptestConfig {
     ProptestConfig {
         rng_seed: RngSeed::Fixed(7),
@@ -176,10 +176,10 @@
 proptest! {
     #![proptest_config(fixed())]
 
-    /// Whatever else crashes or finishes, the poisoned request crashes two backend servers at
-    /// most, and a content that finished at a guard after its last crash is allowed there.
+    /// Whatever else crashes or finishes, the poisoned request crashes at most two backend servers,
+    /// and a content that finished at a guard after its last crash is allowed there.
     #[test]
-    fn poison_runs_twice_at_most_and_the_innocent_go_on(
+    fn poison_runs_at_most_twice_and_finished_content_is_allowed(
         events in proptest::collection::vec(event(), 1..60),
     ) {
         let mut guards = guards(4);
@@ -211,9 +211,9 @@
         prop_assert!(poisoned <= 2, "{poisoned} crashes");
     }
 
-    /// Guards that got the same reports in another order, some of them twice, decide alike.
+    /// Guards that received the same reports in another order, some of them twice, decide alike.
     #[test]
-    fn reports_may_change_places(
+    fn reports_may_arrive_in_any_order(
         order in Just((0..6_usize).collect::<Vec<_>>()).prop_shuffle(),
         contents in proptest::collection::vec(proptest::collection::vec(1..5_u64, 1..3), 6),
     ) {
--- a/tests/retry_window_budget.rs
+++ b/tests/retry_window_budget.rs
@@ -1,4 +1,4 @@
-//! The bound on repeats over sliding windows.
+//! The bound on retries over sliding windows.
 
 use rstest::rstest;
 use sassafrasgap::core::TimeMs;
@@ -11,75 +11,78 @@
     window_ms: 10_000,
 };
 
-/// Sends a first call every 5 ms, and once more for each that fails; answers when repeats were paid.
-fn play(budget: &mut WindowBudget, from_ms: u64, to_ms: u64, fails: bool) -> (u32, Vec<u64>) {
+/// Makes a first attempt every 5 ms, and tries one retry for each if `fails`. Returns the number of
+/// first attempts and when retries were granted.
+fn send_calls(budget: &mut WindowBudget, from_ms: u64, to_ms: u64, fails: bool) -> (u32, Vec<u64>) {
     let mut first = 0;
-    let mut paid = Vec::new();
+    let mut granted = Vec::new();
     for at in (from_ms..to_ms).step_by(5) {
         budget.record_first_attempt(TimeMs(at), 0.0);
         first += 1;
         if fails && budget.try_retry(TimeMs(at)) {
-            paid.push(at);
+            granted.push(at);
         }
     }
-    (first, paid)
+    (first, granted)
 }
 
-/// All backend servers of a service refuse half of their calls for eight seconds. Each node spent 4% of
-/// its calls on repeats, though the system allows 20%: most of the trees failed that it could have
-/// carried through. What was not needed before the failure pays for a good part of it.
+/// All backend servers of a service refuse half of their calls for eight seconds. A budget earned
+/// only during the failure let each node spend 4% of its calls on retries, although the system
+/// allows 20%, and most call trees failed that retries could have saved. The allowance unused
+/// before the failure pays for a good part of them.
 #[rstest]
-fn a_failure_is_paid_for_by_the_quiet_before_it() {
+fn calls_before_a_failure_pay_for_its_retries() {
     let mut budget = WindowBudget::new(SHARE);
-    play(&mut budget, 100_000, 110_000, false);
-    let (first, paid) = play(&mut budget, 110_000, 118_000, true);
+    send_calls(&mut budget, 100_000, 110_000, false);
+    let (first, granted) = send_calls(&mut budget, 110_000, 118_000, true);
     assert_eq!(first, 1_600);
-    assert!(paid.len() >= 380, "{} repeats paid", paid.len());
-    assert!(paid.len() <= 402, "{} repeats paid", paid.len());
+    assert!(granted.len() >= 380, "{} retries granted", granted.len());
+    assert!(granted.len() <= 402, "{} retries granted", granted.len());
 }
 
-/// In no window of any place are there more repeats than its share of the calls of the best window.
+/// No window, wherever it begins, contains more retries than its share of the calls of the best
+/// window.
 #[rstest]
-fn no_window_holds_more_than_its_share() {
+fn no_window_exceeds_its_share() {
     let mut budget = WindowBudget::new(SHARE);
-    let (_, mut paid) = play(&mut budget, 100_000, 107_000, true);
-    paid.extend(play(&mut budget, 107_000, 115_000, false).1);
-    paid.extend(play(&mut budget, 115_000, 140_000, true).1);
+    let (_, mut granted) = send_calls(&mut budget, 100_000, 107_000, true);
+    granted.extend(send_calls(&mut budget, 107_000, 115_000, false).1);
+    granted.extend(send_calls(&mut budget, 115_000, 140_000, true).1);
     for start in (90_000..140_000).step_by(50) {
-        let within = paid
+        let within = granted
             .iter()
             .filter(|at| (start..start + 10_000).contains(*at));
         assert!(within.count() <= 402, "from {start}");
     }
 }
 
-/// Work that is a repeat makes calls, and those are repeats where they arrive: they take from the
-/// budget there, so that a repeat at the top of a chain is not paid for once only.
+/// Retried work makes calls, which are retries to the service they arrive at. They use the budget
+/// there. Otherwise a retry at the top of a chain would be charged only once.
 #[rstest]
-fn calls_of_repeats_take_from_the_budget() {
+fn calls_of_retried_work_use_the_budget() {
     let mut budget = WindowBudget::new(SHARE);
     for at in (100_000..110_000).step_by(5) {
         budget.record_first_attempt(TimeMs(at), 0.15);
     }
-    let (_, paid) = play(&mut budget, 110_000, 112_000, true);
-    let made_by_repeats = 8_000 / 5 * 15 / 100;
-    let in_window = made_by_repeats + paid.len();
-    assert!(in_window <= 402, "{in_window} repeats in the last window");
+    let (_, granted) = send_calls(&mut budget, 110_000, 112_000, true);
+    let made_by_retries = 8_000 / 5 * 15 / 100;
+    let in_window = made_by_retries + granted.len();
+    assert!(in_window <= 402, "{in_window} retries in the last window");
 }
 
-/// Nothing is left over for a node that has just started and sends nothing yet.
+/// A node that has just started and made no calls may use the slack only.
 #[rstest]
-fn nothing_sent_pays_for_the_slack_only() {
+fn without_calls_only_the_slack_is_available() {
     let mut budget = WindowBudget::new(SHARE);
-    let paid = (0..50).filter(|_| budget.try_retry(TimeMs(100_000)));
-    assert_eq!(paid.count(), 1);
+    let granted = (0..50).filter(|_| budget.try_retry(TimeMs(100_000)));
+    assert_eq!(granted.count(), 1);
 }
 
-/// Sends of all nodes in steps of a part of a window: first ones, and repeats.
+/// First attempts and retries of all nodes, in steps of a part of a window.
 #[derive(Default)]
 struct Sent {
     first: Vec<u32>,
-    repeated: Vec<u32>,
+    retried: Vec<u32>,
 }
 
 impl Sent {
@@ -88,14 +91,15 @@
     }
 }
 
-/// On a site of 64 nodes, load moves from node to node every few seconds while the service fails. Each
-/// node took its own best of three windows, and all together were beyond the best one of the system:
-/// 5,878 repeats of 5,809 allowed. A fixed burst of two repeats a node was beyond it as well.
+/// On a site of 64 nodes, load moves between nodes every few seconds while the service fails. When
+/// each node took its own best one of three windows, all together exceeded the best window of the
+/// system: 5,878 retries of 5,809 allowed. A fixed burst of two retries per node exceeded it as
+/// well.
 #[rstest]
 fn many_nodes_together_keep_the_bound() {
     const NODES: usize = 64;
     const STEP_MS: u64 = 100;
-    const STEPS_A_WINDOW: usize = 100;
+    const STEPS_PER_WINDOW: usize = 100;
     let share = RetryBound {
         ratio: 0.2 * 0.9,
         slack: 96.0 * 0.5 / NODES as f32,
@@ -110,58 +114,55 @@
             random.shuffle(&mut busy);
         }
         let now = TimeMs(100_000 + step as u64 * STEP_MS);
-        let (mut first, mut repeated) = (0, 0);
+        let (mut first, mut retried) = (0, 0);
         for node in &busy[..NODES / 2] {
             for _ in 0..4 {
                 budgets[*node].record_first_attempt(now, 0.0);
                 first += 1;
                 let fails = step > 150 && random.f32() < 0.55;
-                repeated += u32::from(fails && budgets[*node].try_retry(now));
+                retried += u32::from(fails && budgets[*node].try_retry(now));
             }
         }
         sent.first.push(first);
-        sent.repeated.push(repeated);
+        sent.retried.push(retried);
     }
-    for from in 2 * STEPS_A_WINDOW..600 - STEPS_A_WINDOW {
-        let first = |back: usize| Sent::sum(&sent.first, from - back, STEPS_A_WINDOW);
+    for from in 2 * STEPS_PER_WINDOW..600 - STEPS_PER_WINDOW {
+        let first = |back: usize| Sent::sum(&sent.first, from - back, STEPS_PER_WINDOW);
         let most = first(0)
-            .max(first(STEPS_A_WINDOW / 2))
-            .max(first(STEPS_A_WINDOW));
-        let repeated = Sent::sum(&sent.repeated, from, STEPS_A_WINDOW);
+            .max(first(STEPS_PER_WINDOW / 2))
+            .max(first(STEPS_PER_WINDOW));
+        let retried = Sent::sum(&sent.retried, from, STEPS_PER_WINDOW);
         let allowed = most as f32 * 0.2 + 96.0;
         assert!(
-            repeated as f32 <= allowed,
-            "{repeated} of {allowed} at {from}"
+            retried as f32 <= allowed,
+            "{retried} of {allowed} at {from}"
         );
     }
-    let all = Sent::sum(&sent.repeated, 0, 600);
-    assert!(all > 4_000, "only {all} repeats were paid");
+    let all = Sent::sum(&sent.retried, 0, 600);
+    assert!(all > 4_000, "only {all} retries were granted");
 }
 
-/// Half of the calls to a deep service are refused, and backend servers above it break off, so that their
-/// work is repeated and calls the deep service anew. What was paid for there was spent already, and the
-/// calls of the repeats came on top: 24,337 repeats in ten seconds where 24,221 were allowed.
+/// Half of the calls to a deep service are refused, and backend servers above it abort, so their
+/// work is retried and calls the deep service again. The budget there was already spent, and the
+/// calls of the retries came on top: 24,337 retries in ten seconds where 24,221 were allowed.
 #[rstest]
-#[case::repeats_begin_whatever_is_left(false, false)]
-#[case::repeats_begin_while_something_is_left(true, true)]
-fn repeats_higher_up_do_not_go_beyond_what_is_left_below(
-    #[case] asks: bool,
-    #[case] keeps_bound: bool,
-) {
+#[case::without_a_check_of_the_budget(false, false)]
+#[case::with_a_check_of_the_budget(true, true)]
+fn retries_higher_up_keep_the_budget_below(#[case] checks_budget: bool, #[case] keeps_bound: bool) {
     let mut budget = WindowBudget::new(SHARE);
-    play(&mut budget, 100_000, 110_000, false);
-    let mut repeated = 0_usize;
-    repeated += play(&mut budget, 110_000, 116_000, true).1.len();
+    send_calls(&mut budget, 100_000, 110_000, false);
+    let mut retried = 0_usize;
+    retried += send_calls(&mut budget, 110_000, 116_000, true).1.len();
     let mut first = 1_200;
     for at in (116_000..120_000).step_by(5) {
         let now = TimeMs(at);
         budget.record_first_attempt(now, 0.0);
         first += 1;
-        if at % 20 == 0 && (!asks || budget.has_remaining(now)) {
+        if at % 20 == 0 && (!checks_budget || budget.has_remaining(now)) {
             budget.record_first_attempt(now, 1.0);
-            repeated += 1;
+            retried += 1;
         }
     }
     let allowed = (first as f32 * SHARE.ratio + SHARE.slack) as usize;
-    assert_eq!(repeated <= allowed, keeps_bound, "{repeated} of {allowed}");
+    assert_eq!(retried <= allowed, keeps_bound, "{retried} of {allowed}");
 }
