--- a/tests/accounts_allowances.rs
+++ b/tests/accounts_allowances.rs
@@ -63,7 +63,8 @@
 }
 
 /// Two accounts suddenly send many times their usual demand. They get their allowance, and the
-/// fleet stays within the bound from the first moment.
+/// fleet stays within the bound from the first moment, and other accounts are not
+/// affected.
 #[rstest]
 fn a_hot_account_gets_its_allowance(
     #[values(81, 195, 720)] nodes: usize,
