--- a/src/desired/store_watch.rs
+++ b/src/desired/store_watch.rs
@@ -8,8 +8,7 @@
 /// at once while one of them is down and not yet known to be.
 const WATCHERS_PER_DOMAIN: usize = 2;
 /// A node that has heard no other node for this time queries the store itself, in milliseconds. The
-/// answer then arrives well within the shortest time in which a change has to be active, which is 2
-/// s.
+/// answer then arrives well within 2 s, the shortest time in which a change has to be active.
 const PEERS_SILENT_MS: u64 = 1_400;
 /// A node that has had no confirmation from the store for this time, neither its own nor through
 /// others, may query the store itself, in milliseconds. It is above the 5 s that a watcher's long
--- a/tests/accounts_allowances.rs
+++ b/tests/accounts_allowances.rs
@@ -62,9 +62,8 @@
     assert!(world.messages_per_node_s() <= 12.0);
 }
 
-/// Two accounts suddenly send many times their usual demand. They get their allowance, and the
-/// fleet stays within the bound from the first moment, and other accounts are not
-/// affected.
+/// Two accounts suddenly send many times their usual demand. They get their allowance, the fleet
+/// stays within the bound from the first moment, and other accounts are not affected.
 #[rstest]
 fn a_hot_account_gets_its_allowance(
     #[values(81, 195, 720)] nodes: usize,
