--- a/src/accounts/allowance_coordinator.rs
+++ b/src/accounts/allowance_coordinator.rs
@@ -1,7 +1,7 @@
 //! Computes what a failure domain may use of each account, and replies to its entries.
 
 use crate::accounts::AccountId;
-use crate::accounts::AdmittedShare;
+use crate::accounts::AdmittedFraction;
 use crate::accounts::Allowance;
 use crate::accounts::AllowanceReply;
 use crate::accounts::Demand;
@@ -130,7 +130,7 @@
         }
         let mut limited = self.limited(now);
         if limited.len() > MAX_REPLY_ACCOUNTS {
-            limited.select_nth_unstable_by_key(MAX_REPLY_ACCOUNTS, |share| share.permille);
+            limited.select_nth_unstable_by_key(MAX_REPLY_ACCOUNTS, |admitted| admitted.permille);
             limited.truncate(MAX_REPLY_ACCOUNTS);
         }
         Some(AllowanceReply { limited })
@@ -182,10 +182,10 @@
     }
 
     /// The limited accounts and the share of their requests to admit.
-    pub fn limited(&self, now: TimeMs) -> Vec<AdmittedShare> {
+    pub fn limited(&self, now: TimeMs) -> Vec<AdmittedFraction> {
         let is_fresh = |usage: &DomainUsage| now.since(usage.tokens_at) < DEMAND_VALID_MS;
         let limited = self.usage.iter().filter_map(|(account, usage)| {
-            (usage.admitted < 1.0 && is_fresh(usage)).then_some(AdmittedShare {
+            (usage.admitted < 1.0 && is_fresh(usage)).then_some(AdmittedFraction {
                 account: *account,
                 permille: (usage.admitted * 1_000.0) as u16,
             })
--- a/src/accounts/entry_allowances.rs
+++ b/src/accounts/entry_allowances.rs
@@ -217,9 +217,9 @@
     /// Applies a coordinator's reply.
     pub fn apply_reply(&mut self, now: TimeMs, reply: &AllowanceReply) {
         self.last_reply_at = Some(now);
-        let shares = reply.limited.iter();
-        self.admitted_permille = shares
-            .map(|share| (share.account, share.permille))
+        let limited = reply.limited.iter();
+        self.admitted_permille = limited
+            .map(|admitted| (admitted.account, admitted.permille))
             .collect();
     }
 
--- a/src/accounts/message.rs
+++ b/src/accounts/message.rs
@@ -36,7 +36,7 @@
 /// The part of an account's requests that may be admitted, in thousandths.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct AdmittedShare {
+pub struct AdmittedFraction {
     pub account: AccountId,
     pub permille: u16,
 }
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct AllowanceReply {
-    pub limited: Vec<AdmittedShare>,
+    pub limited: Vec<AdmittedFraction>,
 }
 
 /// Requests per second of an account in a failure domain, in tenths.
--- a/src/accounts/mod.rs
+++ b/src/accounts/mod.rs
@@ -34,7 +34,7 @@
 pub use identity::identify;
 pub use key_hash::KeyHash;
 pub use key_hash::KeyTag;
-pub use message::AdmittedShare;
+pub use message::AdmittedFraction;
 pub use message::AllowanceMessage;
 pub use message::AllowanceReply;
 pub use message::Demand;
--- a/tests/accounts_coordinator.rs
+++ b/tests/accounts_coordinator.rs
@@ -60,7 +60,10 @@
     let reply = coordinator
         .apply_report(TimeMs(at_ms), &node, &report)
         .unwrap();
-    reply.limited.first().map_or(1_000, |share| share.permille)
+    reply
+        .limited
+        .first()
+        .map_or(1_000, |admitted| admitted.permille)
 }
 
 /// A report is overtaken by the next one. If its lower count were taken as an increase that wrapped
@@ -115,7 +118,7 @@
         }
     }
     let limited = reply.unwrap().limited;
-    let permille = limited.first().map_or(1_000, |share| share.permille);
+    let permille = limited.first().map_or(1_000, |admitted| admitted.permille);
     assert!(permille < 500, "{permille} of four times the allowance");
 }
 
