--- a/src/accounts/entry_allowances.rs
+++ b/src/accounts/entry_allowances.rs
@@ -49,7 +49,7 @@
     /// When the next request can be admitted at the present rates, in milliseconds.
     pub retry_after_ms: u64,
     /// The part of the account's requests admitted here, in thousandths.
-    pub part_permille: u16,
+    pub admitted_permille: u16,
     /// Age of the coordinator's reply that set this part; `None` if the entry computed it.
     pub told_ms_ago: Option<u64>,
 }
@@ -61,7 +61,7 @@
     /// Recent requests per second.
     pub per_s: f32,
     /// The part that a coordinator tells the entry to admit, in thousandths.
-    pub part_permille: u16,
+    pub admitted_permille: u16,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -228,7 +228,7 @@
         let uses = self.accounts.iter().map(|(account, state)| AccountUse {
             account: *account,
             per_s: state.usual_rate.per_s(now, USUAL_RATE_MEMORY_MS),
-            part_permille: self
+            admitted_permille: self
                 .admitted_permille
                 .get(account)
                 .copied()
@@ -383,7 +383,7 @@
         let wait_ms = missing * 1_000.0 / per_s.max(f32::MIN_POSITIVE);
         AllowanceExceeded {
             retry_after_ms: wait_ms.clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS) as u64,
-            part_permille: (per_s / usual_per_s.max(per_s) * 1_000.0) as u16,
+            admitted_permille: (per_s / usual_per_s.max(per_s) * 1_000.0) as u16,
             told_ms_ago: told_at.map(|at| now.since(at)),
         }
     }
--- a/src/metrics/metrics.rs
+++ b/src/metrics/metrics.rs
@@ -323,7 +323,7 @@
             let asked = self.account_asked.with_label_values(&[name]);
             asked.set(per_minute as i64);
             let part = self.account_part.with_label_values(&[name]);
-            part.set(i64::from(account.part_permille));
+            part.set(i64::from(account.admitted_permille));
         }
         let others = self.account_asked.with_label_values(&["(others)"]);
         others.set(others_per_minute as i64);
--- a/src/traffic/story.rs
+++ b/src/traffic/story.rs
@@ -255,7 +255,7 @@
         account.name,
         allowance.rate_per_s,
         allowance.burst,
-        beyond.part_permille,
+        beyond.admitted_permille,
         traffic.desired.version(),
     );
 }
