--- a/src/accounts/entry_allowances.rs
+++ b/src/accounts/entry_allowances.rs
@@ -51,7 +51,7 @@
     /// The part of the account's requests admitted here, in thousandths.
     pub admitted_permille: u16,
     /// Age of the coordinator's reply that set this part; `None` if the entry computed it.
-    pub told_ms_ago: Option<u64>,
+    pub reply_age_ms: Option<u64>,
 }
 
 /// The traffic of one account at an entry.
@@ -279,7 +279,7 @@
         }
         AdmissionRule::Fraction {
             fraction: self.fraction_before_reply(allowance),
-            told_at: None,
+            replied_at: None,
         }
     }
 
@@ -287,7 +287,7 @@
         match self.admitted_permille.get(&account) {
             Some(permille) => AdmissionRule::Fraction {
                 fraction: f32::from(*permille) / 1_000.0,
-                told_at: Some(at),
+                replied_at: Some(at),
             },
             None => AdmissionRule::Unlimited,
         }
@@ -329,7 +329,7 @@
     Unlimited,
     Fraction {
         fraction: f32,
-        told_at: Option<TimeMs>,
+        replied_at: Option<TimeMs>,
     },
     EqualShare {
         per_s: f32,
@@ -374,9 +374,9 @@
 
     fn exceeded(&self, now: TimeMs, rule: AdmissionRule) -> AllowanceExceeded {
         let usual_per_s = self.usual_rate.per_s(now, USUAL_RATE_MEMORY_MS);
-        let (per_s, told_at) = match rule {
+        let (per_s, replied_at) = match rule {
             AdmissionRule::Unlimited => (usual_per_s, None),
-            AdmissionRule::Fraction { fraction, told_at } => (usual_per_s * fraction, told_at),
+            AdmissionRule::Fraction { fraction, replied_at } => (usual_per_s * fraction, replied_at),
             AdmissionRule::EqualShare { per_s } => (per_s, None),
         };
         let missing = (1.0 - self.credit).max(0.0);
@@ -384,7 +384,7 @@
         AllowanceExceeded {
             retry_after_ms: wait_ms.clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS) as u64,
             admitted_permille: (per_s / usual_per_s.max(per_s) * 1_000.0) as u16,
-            told_ms_ago: told_at.map(|at| now.since(at)),
+            reply_age_ms: replied_at.map(|at| now.since(at)),
         }
     }
 }
--- a/src/traffic/story.rs
+++ b/src/traffic/story.rs
@@ -247,7 +247,7 @@
     allowance: Allowance,
     beyond: AllowanceExceeded,
 ) {
-    let told = beyond.told_ms_ago;
+    let told = beyond.reply_age_ms;
     let told = told.map_or_else(|| "-".to_owned(), |ms| ms.to_string());
     log::info!(
         "account: beyond its allowance, account={} rate_per_s={} burst={} part_permille={} \
