--- a/src/desired/store_watch.rs
+++ b/src/desired/store_watch.rs
@@ -48,7 +48,7 @@
     /// negative while they are still searching, when each node would consider itself a watcher.
     pub found_for_ms: Option<i64>,
     /// Time since it last heard any other node.
-    pub heard_ms_ago: u64,
+    pub last_contact_ms_ago: u64,
     /// Time since the store was last known to hold nothing newer.
     pub confirmed_ms_ago: u64,
     /// The age of that confirmation beyond which requests with keys are refused, if any.
@@ -81,7 +81,7 @@
             _ => true,
         };
     }
-    if known.heard_ms_ago >= PEERS_SILENT_MS || is_watcher(view, node, domain) {
+    if known.last_contact_ms_ago >= PEERS_SILENT_MS || is_watcher(view, node, domain) {
         return true;
     }
     if known
--- a/tests/desired_store_watch.rs
+++ b/tests/desired_store_watch.rs
@@ -41,7 +41,7 @@
 const HEALTHY: StateFreshness = StateFreshness {
     has_state: true,
     found_for_ms: None,
-    heard_ms_ago: 300,
+    last_contact_ms_ago: 300,
     confirmed_ms_ago: 2_500,
     keys_hold_ms: None,
 };
@@ -98,7 +98,7 @@
 #[rstest]
 fn a_node_that_hears_nobody_queries_the_store() {
     let silent = StateFreshness {
-        heard_ms_ago: 1_500,
+        last_contact_ms_ago: 1_500,
         ..HEALTHY
     };
     assert!(should_query_store(&fleet(195), "a0100", "a", silent, 0.99));
