--- a/src/desired/store_watch.rs
+++ b/src/desired/store_watch.rs
@@ -46,7 +46,7 @@
     pub has_state: bool,
     /// How long ago nodes found each other, if the whole system starts for the first time. It is
     /// negative while they are still searching, when each node would consider itself a watcher.
-    pub found_for_ms: Option<i64>,
+    pub since_discovery_ms: Option<i64>,
     /// Time since it last heard any other node.
     pub last_contact_ms_ago: u64,
     /// Time since the store was last known to hold nothing newer.
@@ -75,9 +75,9 @@
     random: f64,
 ) -> bool {
     if !known.has_state {
-        return match known.found_for_ms {
-            Some(for_ms) if for_ms < 0 => false,
-            Some(for_ms) if for_ms < GOSSIP_GRACE_MS => is_watcher(view, node, domain),
+        return match known.since_discovery_ms {
+            Some(since_ms) if since_ms < 0 => false,
+            Some(since_ms) if since_ms < GOSSIP_GRACE_MS => is_watcher(view, node, domain),
             _ => true,
         };
     }
--- a/src/traffic/control_link.rs
+++ b/src/traffic/control_link.rs
@@ -87,7 +87,7 @@
         let now = traffic.clock.now();
         let known = StateFreshness {
             has_state: traffic.desired.version() > 0,
-            found_for_ms: settings.is_first_start.then(|| {
+            since_discovery_ms: settings.is_first_start.then(|| {
                 let found_after_ms = found_after_ms(settings.store_rates);
                 now.since(started) as i64 - found_after_ms as i64
             }),
--- a/tests/desired_store_watch.rs
+++ b/tests/desired_store_watch.rs
@@ -40,7 +40,7 @@
 /// The freshness of a node's state in normal operation.
 const HEALTHY: StateFreshness = StateFreshness {
     has_state: true,
-    found_for_ms: None,
+    since_discovery_ms: None,
     last_contact_ms_ago: 300,
     confirmed_ms_ago: 2_500,
     keys_hold_ms: None,
@@ -137,13 +137,13 @@
 #[case(0, true, false)]
 #[case(2_500, true, true)]
 fn few_nodes_query_at_a_first_start(
-    #[case] found_for_ms: i64,
+    #[case] since_discovery_ms: i64,
     #[case] watcher_queries: bool,
     #[case] other_queries: bool,
 ) {
     let known = StateFreshness {
         has_state: false,
-        found_for_ms: Some(found_for_ms),
+        since_discovery_ms: Some(since_discovery_ms),
         ..HEALTHY
     };
     let fleet = fleet(195);
