--- a/src/node/poison_guard.rs
+++ b/src/node/poison_guard.rs
@@ -114,7 +114,7 @@
         running.len()
     );
     let now = node.inputs.clock.now();
-    let report = poison.lock().note_crash(now, id, running);
+    let report = poison.lock().record_crash(now, id, running);
     tell_targets(node, report).await;
 }
 
--- a/src/poison/suspects.rs
+++ b/src/poison/suspects.rs
@@ -85,7 +85,7 @@
 
     /// Records a crash of the local backend server. The report has to be sent to every other target
     /// of the service before any of the running requests is answered.
-    pub fn note_crash(
+    pub fn record_crash(
         &mut self,
         now: TimeMs,
         crash: CrashId,
--- a/src/traffic/poison_watch.rs
+++ b/src/traffic/poison_watch.rs
@@ -97,7 +97,7 @@
             "poison: the backend server crashed, running={}",
             running.len()
         );
-        let report = known.suspects.note_crash(now, CrashId::random(), &running);
+        let report = known.suspects.record_crash(now, CrashId::random(), &running);
         if self.reports.try_send(report).is_err() {
             log::warn!("poison: a report was dropped, too many wait");
         }
--- a/tests/poison_suspects.rs
+++ b/tests/poison_suspects.rs
@@ -34,7 +34,7 @@
 /// The guard `at` detects a crash and reports it to all others before it answers.
 fn crash(guards: &mut [Suspects], at: usize, now_ms: u64, crash: u64, running: &[RunningRequest]) {
     let now = TimeMs(now_ms);
-    let report = guards[at].note_crash(now, CrashId(crash), running);
+    let report = guards[at].record_crash(now, CrashId(crash), running);
     for guard in guards.iter_mut() {
         guard.merge(now, &report);
     }
@@ -131,13 +131,13 @@
     };
     let mut guard = Suspects::new(settings);
     let poison = running(1, POISON);
-    guard.note_crash(TimeMs(0), CrashId(1), &[poison]);
-    guard.note_crash(TimeMs(1), CrashId(2), &[poison]);
+    guard.record_crash(TimeMs(0), CrashId(1), &[poison]);
+    guard.record_crash(TimeMs(1), CrashId(2), &[poison]);
     for at in 0..40_u64 {
         let others: Vec<RunningRequest> = (0..30)
             .map(|each| running(u128::from(1_000 + at * 30 + each), 1_000 + at * 30 + each))
             .collect();
-        guard.note_crash(TimeMs(2 + at), CrashId(10 + at), &others);
+        guard.record_crash(TimeMs(2 + at), CrashId(10 + at), &others);
         assert!(guard.len() <= 50);
     }
     assert!(!allows(&guard, 100, poison, false));
@@ -226,7 +226,7 @@
                     .iter()
                     .map(|&content| running(u128::from(content), content))
                     .collect();
-                let report = source.note_crash(TimeMs(0), CrashId(number as u64), &ran);
+                let report = source.record_crash(TimeMs(0), CrashId(number as u64), &ran);
                 if number % 2 == 0 {
                     source.note_success(contents[0]);
                 }
