--- a/src/node/poison_guard.rs
+++ b/src/node/poison_guard.rs
@@ -63,7 +63,7 @@
 
     pub(super) fn note_success(&self, live: &LiveCall) {
         let mut suspects = self.lock();
-        if !suspects.is_empty() && suspects.note_success(live.fingerprint) {
+        if !suspects.is_empty() && suspects.record_completion(live.fingerprint) {
             log::info!("poison: cleared, fingerprint={:016x}", live.fingerprint);
         }
     }
--- a/src/poison/suspects.rs
+++ b/src/poison/suspects.rs
@@ -120,7 +120,7 @@
     /// Records that a request with this content ran to completion here, whatever its status.
     ///
     /// Returns whether the content was suspected until now.
-    pub fn note_success(&mut self, fingerprint: u64) -> bool {
+    pub fn record_completion(&mut self, fingerprint: u64) -> bool {
         let Some(crashes) = self.contents.get_mut(&fingerprint) else {
             return false;
         };
--- a/src/traffic/poison_watch.rs
+++ b/src/traffic/poison_watch.rs
@@ -73,7 +73,7 @@
     /// A call came to its end.
     pub(super) fn note_success(&self, call: &RunningRequest) {
         let mut known = self.lock();
-        if !known.suspects.is_empty() && known.suspects.note_success(call.fingerprint) {
+        if !known.suspects.is_empty() && known.suspects.record_completion(call.fingerprint) {
             log::info!("poison: cleared, fingerprint={:016x}", call.fingerprint);
         }
     }
--- a/tests/poison_suspects.rs
+++ b/tests/poison_suspects.rs
@@ -81,7 +81,7 @@
     // The popular reads complete at the other targets, but not at the first one, whose backend
     // server is down.
     for guard in &mut guards[1..] {
-        assert!(guard.note_success(POPULAR));
+        assert!(guard.record_completion(POPULAR));
     }
     crash(&mut guards, 1, 100, 2, &both);
     for guard in &guards {
@@ -203,7 +203,7 @@
                     crash(&mut guards, at, now_ms, now_ms, &ran);
                 }
                 Event::Finish { at, content } => {
-                    guards[at].note_success(content);
+                    guards[at].record_completion(content);
                     prop_assert!(allows(&guards[at], now_ms, running(9_999, content), false));
                 }
             }
@@ -228,7 +228,7 @@
                     .collect();
                 let report = source.record_crash(TimeMs(0), CrashId(number as u64), &ran);
                 if number % 2 == 0 {
-                    source.note_success(contents[0]);
+                    source.record_completion(contents[0]);
                 }
                 report
             })
