--- a/src/accounts/decayed_rate.rs
+++ b/src/accounts/decayed_rate.rs
@@ -11,7 +11,7 @@
 
 impl DecayedRate {
     /// Records that `count` events have happened by now. `memory_ms` is the time constant.
-    pub fn note(&mut self, now: TimeMs, count: f32, memory_ms: f32) {
+    pub fn record(&mut self, now: TimeMs, count: f32, memory_ms: f32) {
         self.per_s = self.per_s(now, memory_ms) + count * 1_000.0 / memory_ms;
         self.at = now;
     }
--- a/src/accounts/domain_usage.rs
+++ b/src/accounts/domain_usage.rs
@@ -48,9 +48,9 @@
     /// Records `wanted` requests.
     pub fn record_requests(&mut self, now: TimeMs, wanted: f32) {
         self.last_heard = now;
-        self.short.note(now, wanted, SHORT_MEMORY_MS);
-        self.long.note(now, wanted, LONG_MEMORY_MS);
-        self.sharing.note(now, wanted, SHARING_MEMORY_MS);
+        self.short.record(now, wanted, SHORT_MEMORY_MS);
+        self.long.record(now, wanted, LONG_MEMORY_MS);
+        self.sharing.record(now, wanted, SHARING_MEMORY_MS);
     }
 
     /// The demand by which failure domains share the allowance.
--- a/src/accounts/entry_allowances.rs
+++ b/src/accounts/entry_allowances.rs
@@ -341,7 +341,7 @@
         self.wanted = self.wanted.wrapping_add(1);
         self.pending_reports = REPORTS_PER_CHANGE;
         self.since_report += 1.0;
-        self.usual_rate.note(now, 1.0, USUAL_RATE_MEMORY_MS);
+        self.usual_rate.record(now, 1.0, USUAL_RATE_MEMORY_MS);
         self.last_seen = now;
     }
 
@@ -376,7 +376,10 @@
         let usual_per_s = self.usual_rate.per_s(now, USUAL_RATE_MEMORY_MS);
         let (per_s, replied_at) = match rule {
             AdmissionRule::Unlimited => (usual_per_s, None),
-            AdmissionRule::Fraction { fraction, replied_at } => (usual_per_s * fraction, replied_at),
+            AdmissionRule::Fraction {
+                fraction,
+                replied_at,
+            } => (usual_per_s * fraction, replied_at),
             AdmissionRule::EqualShare { per_s } => (per_s, None),
         };
         let missing = (1.0 - self.credit).max(0.0);
--- a/src/poison/broken_calls.rs
+++ b/src/poison/broken_calls.rs
@@ -23,7 +23,7 @@
 
 impl BrokenCalls {
     /// Records a call whose connection broke.
-    pub fn note(&mut self, now: TimeMs, call: RunningRequest) {
+    pub fn record(&mut self, now: TimeMs, call: RunningRequest) {
         self.expire(now);
         if self.calls.len() >= MAX_CALLS {
             self.calls.pop_front();
--- a/src/poison/crash_history.rs
+++ b/src/poison/crash_history.rs
@@ -28,7 +28,7 @@
     }
 
     /// Records a crash once, however often it is reported.
-    pub fn note(&mut self, now: TimeMs, crash: CrashId) {
+    pub fn record(&mut self, now: TimeMs, crash: CrashId) {
         if self.position(crash).is_some() {
             return;
         }
@@ -45,7 +45,7 @@
     /// Clears one crash. An unknown crash is recorded as cleared, since reports may arrive out of
     /// order.
     pub fn clear(&mut self, now: TimeMs, crash: CrashId) {
-        self.note(now, crash);
+        self.record(now, crash);
         if let Some(position) = self.position(crash) {
             self.records[position].is_cleared = true;
         }
--- a/src/poison/suspects.rs
+++ b/src/poison/suspects.rs
@@ -109,9 +109,9 @@
         }
         for running in &report.running {
             let of_content = self.contents.entry(running.fingerprint).or_default();
-            of_content.note(now, report.crash);
+            of_content.record(now, report.crash);
             let of_request = self.requests.entry(running.request).or_default();
-            of_request.note(now, report.crash);
+            of_request.record(now, report.crash);
         }
         shrink(&mut self.contents, self.settings.max_suspects);
         shrink(&mut self.requests, self.settings.max_suspects);
--- a/src/traffic/poison_watch.rs
+++ b/src/traffic/poison_watch.rs
@@ -81,7 +81,7 @@
     /// The connection of a call to the backend server broke.
     pub(super) fn note_broken(&self, call: RunningRequest) {
         let now = self.clock.now();
-        self.lock().broken.note(now, call);
+        self.lock().broken.record(now, call);
     }
 
     /// The backend server has ended, one way or another: calls that broke just before were running
@@ -97,7 +97,9 @@
             "poison: the backend server crashed, running={}",
             running.len()
         );
-        let report = known.suspects.record_crash(now, CrashId::random(), &running);
+        let report = known
+            .suspects
+            .record_crash(now, CrashId::random(), &running);
         if self.reports.try_send(report).is_err() {
             log::warn!("poison: a report was dropped, too many wait");
         }
