--- a/src/accounts/account.rs
+++ b/src/accounts/account.rs
@@ -12,7 +12,7 @@
 pub struct Allowance {
     /// Requests per second in the long run; above 0.
     pub rate_per_s: f32,
-    /// Requests allowed beyond the rate at once, after a quiet time.
+    /// Requests allowed at once beyond the rate, if the account sent less than its rate before.
     pub burst: f32,
 }
 
--- a/src/accounts/account_table.rs
+++ b/src/accounts/account_table.rs
@@ -29,7 +29,7 @@
         table
     }
 
-    /// The account that holds a key.
+    /// The account that holds a key; `None` if no account does.
     pub fn holder(&self, key: KeyHash) -> Option<&Arc<Account>> {
         self.by_key.get(&key)
     }
--- a/src/accounts/allowance_bound.rs
+++ b/src/accounts/allowance_bound.rs
@@ -10,7 +10,7 @@
 }
 
 impl Default for AllowanceBound {
-    /// Used by a deployment that sets no bound: keeps the fleet close to the allowances.
+    /// The bound of a deployment that sets none. It keeps the fleet close to the allowances.
     fn default() -> Self {
         Self {
             window_ms: 5_000,
--- a/src/accounts/allowance_coordinator.rs
+++ b/src/accounts/allowance_coordinator.rs
@@ -1,4 +1,4 @@
-//! Computes what a failure domain may use of each account, and replies to its entries.
+//! Computes how much of each allowance a failure domain may use, and replies to its entries.
 
 use crate::accounts::AccountId;
 use crate::accounts::AdmittedFraction;
@@ -14,38 +14,43 @@
 use crate::core::Name;
 use crate::core::TimeMs;
 
-/// Weight of an equal split by nodes beside the split by demand: failure domains share as if this
-/// part of the rate were demanded evenly. The few requests of a small account predict its next ones
-/// poorly.
-const EVEN_SHARE: f32 = 0.25;
-/// Time over which saved burst tokens are handed out, in milliseconds.
+/// Demand that is assumed in addition to the measured one when failure domains share an allowance,
+/// as a fraction of the account's rate. It is spread evenly over all nodes. Without it the shares
+/// of a small account would follow its few requests, which predict the next ones poorly.
+const EVEN_DEMAND: f32 = 0.25;
+/// Time over which saved burst tokens are spent, in milliseconds.
 const BURST_SPREAD_MS: f32 = 1_000.0;
 /// A failure domain that sent nothing for this time may be partitioned, in milliseconds. Two of its
 /// messages are missing then.
-const DOMAIN_SILENT_MS: u64 = 650;
+const DOMAIN_TIMEOUT_MS: u64 = 650;
 /// An entry that sent no report for this time is isolated or gone, in milliseconds.
-const ENTRY_SILENT_MS: u64 = 1_500;
-/// Smallest demand that is sent to other failure domains, as a fraction of the domain's share of
-/// the account's rate by nodes. They need not know a smaller one.
+const ENTRY_TIMEOUT_MS: u64 = 1_500;
+/// Smallest demand that is sent to other failure domains, as a fraction of the account's rate times
+/// the fraction of nodes in the own domain. A smaller one is below what all domains assume anyway;
+/// see `EVEN_DEMAND`.
 const MIN_SENT_DEMAND: f32 = 0.25;
-/// How long a demand or an admitted share stays valid, in milliseconds.
+/// How long a demand or an admitted fraction stays valid, in milliseconds.
 const DEMAND_VALID_MS: u64 = 2_000;
-/// A sequence number or count further ahead than this is behind, as they wrap around.
+/// Sequence numbers and counts wrap around. If one is ahead of another by more than this, it is the
+/// older of the two.
 const MAX_AHEAD: u32 = u32::MAX / 2;
-/// A first count up to this value consists of new requests only.
+/// If the first count that a coordinator receives is at most this, all its requests are taken as
+/// new.
 const MAX_NEW_COUNT: u32 = 8;
-/// Time after its first contact with another node at which a coordinator knows most nodes, in
-/// milliseconds.
+/// Time after the discovery of a first other node, in milliseconds, within which a coordinator
+/// discovers most others. Until then it does not reply, except at a first start of the whole
+/// system.
 const JOIN_SETTLE_MS: u64 = 500;
-/// A coordinator that has known no other node for this time is alone, in milliseconds.
+/// A coordinator that has discovered no other node within this time after its start is the only
+/// node, in milliseconds.
 const ALONE_MS: u64 = 5_000;
-/// After this time a coordinator has seen all usage that could still count against a burst, in
-/// milliseconds. Usage from before its start counts as the whole burst.
-const BURST_MEMORY_MS: u64 = 10_000;
+/// A coordinator that started less than this time ago may have missed usage that still counts
+/// against a burst, in milliseconds. It assumes that the whole burst was used before its start.
+const BURST_HISTORY_MS: u64 = 10_000;
 /// Maximum number of accounts in one reply, the most limited ones: about as much as one datagram
 /// holds.
 const MAX_REPLY_ACCOUNTS: usize = 150;
-/// Accounts without updates for this time are evicted, in milliseconds.
+/// Accounts that were in no message for this time are evicted, in milliseconds.
 const ACCOUNT_RETENTION_MS: u64 = 60_000;
 
 #[derive(Clone, Debug, Default)]
@@ -53,22 +58,23 @@
     process: u32,
     /// Sequence number of its newest report.
     sequence: u32,
-    last_heard: TimeMs,
+    last_report_at: TimeMs,
     counts: FastMap<AccountId, UsageCount>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct OtherDomain {
-    last_heard: TimeMs,
+    last_message_at: TimeMs,
     demands: FastMap<AccountId, (f32, TimeMs)>,
 }
 
 /// Coordinates the allowances of one failure domain.
 ///
-/// Each failure domain has a share of every allowance according to its demand, as long as all
-/// domains hear each other. If one falls silent, every domain keeps the share that it had, so
-/// neither side of a partition takes over the share of the other. Within its own share, a failure
-/// domain reserves the equal shares of silent entries, which those use without coordination.
+/// Each failure domain has a share of every allowance according to its demand, as long as messages
+/// arrive from all other domains. If those of one domain stop, every domain keeps the share that it
+/// had, so neither side of a partition takes over the share of the other. Entries whose reports
+/// stop use their equal shares without coordination. A failure domain therefore subtracts those
+/// from its own share.
 #[derive(Clone, Debug, Default)]
 pub struct AllowanceCoordinator {
     allowances: FastMap<AccountId, Allowance>,
@@ -78,12 +84,12 @@
     others: FastMap<Name, OtherDomain>,
     started: TimeMs,
     is_first_start: bool,
-    /// When it first knew of another node.
+    /// When it first discovered another node.
     joined_at: Option<TimeMs>,
 }
 
 impl AllowanceCoordinator {
-    /// Creates a coordinator that knows nothing yet.
+    /// Creates a coordinator without allowances, nodes or usage.
     pub fn new(is_first_start: bool, now: TimeMs) -> Self {
         Self {
             started: now,
@@ -117,7 +123,7 @@
     }
 
     /// Applies the usage report of an entry in the own failure domain. Returns the limited accounts
-    /// if the entry asks for a reply and this coordinator knows enough of the fleet.
+    /// if the entry wants a reply and this coordinator has discovered most of the fleet.
     pub fn apply_report(
         &mut self,
         now: TimeMs,
@@ -136,8 +142,9 @@
         Some(AllowanceReply { limited })
     }
 
-    /// Whether the coordinator knows enough of the fleet to reply. Without this check, each
-    /// restarted node would briefly consider itself the whole fleet and hand out whole allowances.
+    /// Whether the coordinator has discovered most of the fleet, so that it may reply. Without this
+    /// check, each restarted coordinator would compute for a fleet of one node at first, and grant
+    /// whole allowances.
     fn has_joined_fleet(&self, now: TimeMs) -> bool {
         let has_joined = self
             .joined_at
@@ -148,10 +155,10 @@
     /// Applies the demand in another failure domain.
     pub fn apply_domain_demands(&mut self, now: TimeMs, domain: &Name, demands: &DomainDemands) {
         let other = self.others.entry(domain.clone()).or_default();
-        other.last_heard = now;
+        other.last_message_at = now;
         other
             .demands
-            .retain(|_, (_, heard_at)| now.since(*heard_at) < ACCOUNT_RETENTION_MS);
+            .retain(|_, (_, received_at)| now.since(*received_at) < ACCOUNT_RETENTION_MS);
         for demand in &demands.demands {
             let per_s = demand.tenths_per_s as f32 / 10.0;
             other.demands.insert(demand.account, (per_s, now));
@@ -164,7 +171,8 @@
         self.recompute_shares(now);
     }
 
-    /// The demands that the other failure domains have to know.
+    /// The message to the coordinators of other failure domains: the demands that are large enough
+    /// to change the shares.
     pub fn domain_demands(&mut self, now: TimeMs) -> DomainDemands {
         self.evict_idle(now);
         let demands = self.usage.iter().filter_map(|(account, usage)| {
@@ -181,13 +189,13 @@
         }
     }
 
-    /// The limited accounts and the share of their requests to admit.
+    /// The limited accounts and the fraction of their requests to admit.
     pub fn limited(&self, now: TimeMs) -> Vec<AdmittedFraction> {
         let is_fresh = |usage: &DomainUsage| now.since(usage.tokens_at) < DEMAND_VALID_MS;
         let limited = self.usage.iter().filter_map(|(account, usage)| {
-            (usage.admitted < 1.0 && is_fresh(usage)).then_some(AdmittedFraction {
+            (usage.admitted_fraction < 1.0 && is_fresh(usage)).then_some(AdmittedFraction {
                 account: *account,
-                permille: (usage.admitted * 1_000.0) as u16,
+                permille: (usage.admitted_fraction * 1_000.0) as u16,
             })
         });
         limited.collect()
@@ -204,7 +212,7 @@
             return;
         }
         entry.sequence = report.sequence;
-        entry.last_heard = now;
+        entry.last_report_at = now;
         let mut increments = Vec::with_capacity(report.counts.len());
         for count in &report.counts {
             let before = entry.counts.insert(count.account, *count);
@@ -232,15 +240,18 @@
             .get(&account)
             .map_or(0.0, |usage| usage.demand_per_s(now));
         if let Some(usage) = self.usage.get_mut(&account) {
-            usage.admitted = (per_s / demand.max(f32::MIN_POSITIVE)).clamp(0.0, 1.0);
+            usage.admitted_fraction = (per_s / demand.max(f32::MIN_POSITIVE)).clamp(0.0, 1.0);
         }
     }
 
     fn usage_of(&mut self, now: TimeMs, account: AccountId) -> &mut DomainUsage {
         let own_share = self.fleet.own_share();
-        let remembers_bursts = self.is_first_start || now.since(self.started) >= BURST_MEMORY_MS;
-        let burst = self.allowances.get(&account).map_or(0.0, |all| all.burst);
-        let tokens = if remembers_bursts {
+        let has_burst_history = self.is_first_start || now.since(self.started) >= BURST_HISTORY_MS;
+        let burst = self
+            .allowances
+            .get(&account)
+            .map_or(0.0, |allowance| allowance.burst);
+        let tokens = if has_burst_history {
             burst * own_share
         } else {
             0.0
@@ -268,11 +279,11 @@
     /// Adds the tokens earned since the last call, and returns the requests per second that the own
     /// failure domain may use now.
     fn usable_per_s(&mut self, now: TimeMs, account: AccountId, allowance: Allowance) -> f32 {
-        let silent_entries_share = self.silent_entries_share(now);
+        let isolated_entries_share = self.isolated_entries_share(now);
         let Some(usage) = self.usage.get_mut(&account) else {
             return allowance.rate_per_s;
         };
-        let per_s = (allowance.rate_per_s * (usage.share - silent_entries_share)).max(0.0);
+        let per_s = (allowance.rate_per_s * (usage.share - isolated_entries_share)).max(0.0);
         let passed_s = now.since(usage.tokens_at) as f32 / 1_000.0;
         usage.tokens_at = now;
         let most = allowance.burst * usage.share;
@@ -280,16 +291,17 @@
         (per_s + usage.tokens * 1_000.0 / BURST_SPREAD_MS).max(0.0)
     }
 
-    /// The own failure domain's share by demand; `None` while another one is silent.
+    /// The own failure domain's share by demand; `None` while messages from another one are
+    /// missing.
     ///
-    /// In a partition, each side hears no demand of the other and would take over its share. The
-    /// share therefore stays as it was when all domains were heard.
+    /// In a partition, each side receives no demand from the other and would take over its share.
+    /// The share therefore stays as it was last agreed.
     fn agreed_share(&self, now: TimeMs, account: AccountId, rate_per_s: f32) -> Option<f32> {
         let own = self.usage.get(&account)?.sharing_demand_per_s(now);
         let mut all = own;
         for (domain, _) in &self.fleet.others {
             let other = self.others.get(domain)?;
-            if now.since(other.last_heard) >= DOMAIN_SILENT_MS {
+            if now.since(other.last_message_at) >= DOMAIN_TIMEOUT_MS {
                 return None;
             }
             let demand = other.demands.get(&account);
@@ -297,24 +309,24 @@
                 .filter(|(_, at)| now.since(*at) < DEMAND_VALID_MS)
                 .map_or(0.0, |(per_s, _)| *per_s);
         }
-        let even = rate_per_s * EVEN_SHARE;
+        let even = rate_per_s * EVEN_DEMAND;
         Some((own + even * self.fleet.own_share()) / (all + even))
     }
 
-    /// The fraction of the whole allowance that silent entries of the own failure domain use
-    /// without coordination, as they do not report here.
-    fn silent_entries_share(&self, now: TimeMs) -> f32 {
-        let is_silent = |node: &&Name| {
+    /// The fraction of the whole allowance that isolated entries of the own failure domain may use:
+    /// the equal shares of those whose reports stopped.
+    fn isolated_entries_share(&self, now: TimeMs) -> f32 {
+        let is_isolated = |node: &&Name| {
             let entry = self.entries.get(*node);
-            entry.is_none_or(|entry| now.since(entry.last_heard) >= ENTRY_SILENT_MS)
+            entry.is_none_or(|entry| now.since(entry.last_report_at) >= ENTRY_TIMEOUT_MS)
         };
-        let silent = self.fleet.own.iter().filter(is_silent).count();
-        silent as f32 / self.fleet.nodes().max(1) as f32
+        let isolated = self.fleet.own.iter().filter(is_isolated).count();
+        isolated as f32 / self.fleet.nodes().max(1) as f32
     }
 
     fn evict_idle(&mut self, now: TimeMs) {
         self.usage
-            .retain(|_, usage| now.since(usage.last_heard) < ACCOUNT_RETENTION_MS);
+            .retain(|_, usage| now.since(usage.last_update_at) < ACCOUNT_RETENTION_MS);
         let usage = &self.usage;
         for entry in self.entries.values_mut() {
             entry
@@ -329,10 +341,10 @@
     sequence != other && sequence.wrapping_sub(other) <= MAX_AHEAD
 }
 
-/// The base from which a further count of an account increases.
+/// The count that is subtracted from a further count of an account, to get the new requests.
 ///
 /// An entry that tracks thousands of accounts may evict one and count it from 0 again. The new
-/// count is then behind the old one, and the base is 0.
+/// count is then lower than the previous one, and 0 is subtracted.
 fn next_base(before: UsageCount, count: &UsageCount) -> UsageCount {
     if count.wanted.wrapping_sub(before.wanted) <= MAX_AHEAD {
         return before;
@@ -344,9 +356,9 @@
     }
 }
 
-/// The base of the first count of an account that a coordinator receives from an entry. A small
-/// count is recent, so its base is 0. Of a large one it is unknown how much is new, as the
-/// coordinator may have started after it; none of it counts.
+/// The count that is subtracted from the first count of an account that a coordinator receives from
+/// an entry. A small count is recent, so all of it is new. If the count is large, the coordinator
+/// may have started later than the entry, so it is unknown how much is new. None of it counts then.
 fn first_base(count: &UsageCount) -> UsageCount {
     match count.wanted {
         0..=MAX_NEW_COUNT => UsageCount {
--- a/src/accounts/entry_allowances.rs
+++ b/src/accounts/entry_allowances.rs
@@ -17,27 +17,31 @@
 /// Shortest time between two reports, in milliseconds, while requests arrive faster than usual or
 /// no reply has arrived yet.
 const EARLY_REPORT_INTERVAL_MS: u64 = 100;
-/// A report is sent early after this many requests of one account since the last report, and at
-/// least `EARLY_REPORT_FACTOR` times as many as expected.
+/// A report is sent early when one account has sent at least this many requests since the last
+/// report, and at least `EARLY_REPORT_FACTOR` times as many as its usual rate gives.
 const EARLY_REPORT_COUNT: f32 = 3.0;
 const EARLY_REPORT_FACTOR: f32 = 3.0;
-/// A changed count is sent in this many reports, since one report may be lost.
+/// Number of consecutive reports that contain a changed count, since one of them may be lost.
 const REPORTS_PER_CHANGE: u32 = 2;
-/// A reply is valid for this time, in milliseconds. Without a newer one the entry is isolated.
+/// How long a reply is valid, in milliseconds. An entry whose last reply is older is isolated: it
+/// admits its equal share of the allowance, without coordination.
 const REPLY_VALID_MS: u64 = 1_500;
 /// Latest time after a start, in milliseconds, at which the first reply arrives if any coordinator
-/// is reachable.
+/// is reachable. An entry without a reply is isolated from then on.
 const FIRST_REPLY_MS: u64 = 3_000;
-/// Time that a restarted fleet takes to send the first replies, in milliseconds. It sets the
-/// fraction of requests admitted until then.
+/// Typical time until the coordinators of a restarted fleet send their first replies, in
+/// milliseconds. It determines the fraction of requests that an entry admits before its first
+/// reply.
 const FIRST_REPLY_TYPICAL_MS: f32 = 2_000.0;
-/// Largest demand of an account that this fraction allows for, as a multiple of the allowance.
+/// Largest demand of an account for which that fraction keeps the bound, as a multiple of the
+/// allowance.
 const SURGE_FACTOR: f32 = 6.0;
 /// Time constant of the usual rate of an account at one entry, in milliseconds.
-const USUAL_RATE_MEMORY_MS: f32 = 4_000.0;
-/// Least number of nodes that an isolated node assumes, as it cannot know the actual number.
+const USUAL_RATE_TIME_CONSTANT_MS: f32 = 4_000.0;
+/// Smallest number of nodes among which an isolated entry divides an allowance. It may have
+/// discovered only some of the nodes.
 const MIN_NODES: usize = 8;
-/// Maximum credit of an isolated entry, in requests.
+/// Maximum credit that an isolated entry saves for an account, in requests.
 const MAX_CREDIT: f32 = 1.5;
 /// Bounds of `retry_after_ms`.
 const MIN_RETRY_AFTER_MS: f32 = 200.0;
@@ -48,9 +52,9 @@
 pub struct AllowanceExceeded {
     /// When the next request can be admitted at the present rates, in milliseconds.
     pub retry_after_ms: u64,
-    /// The part of the account's requests admitted here, in thousandths.
+    /// The fraction of the account's requests admitted here, in thousandths.
     pub admitted_permille: u16,
-    /// Age of the coordinator's reply that set this part; `None` if the entry computed it.
+    /// Age of the coordinator's reply with this fraction; `None` if the entry computed it itself.
     pub reply_age_ms: Option<u64>,
 }
 
@@ -60,7 +64,7 @@
     pub account: AccountId,
     /// Recent requests per second.
     pub per_s: f32,
-    /// The part that a coordinator tells the entry to admit, in thousandths.
+    /// The fraction to admit according to the last reply of a coordinator, in thousandths.
     pub admitted_permille: u16,
 }
 
@@ -70,7 +74,8 @@
     used: i32,
     /// Number of further reports that carry the counts.
     pending_reports: u32,
-    since_report: f32,
+    /// Number of requests since the last report.
+    requests_since_report: f32,
     usual_rate: DecayedRate,
     /// Credit toward the next admitted request; one request costs 1.
     credit: f32,
@@ -80,11 +85,11 @@
 
 /// Admission control for client accounts at one entry.
 ///
-/// A single entry sees only a few tenths of a request per second of an account and does not know
-/// what other entries admit. Without coordination, all entries together would admit far more than
-/// the allowance. Entries therefore report their usage to a coordinator of their failure domain,
-/// which replies with the part to admit. An account far below its allowance is not limited. An
-/// entry without a valid reply admits its equal share.
+/// A single entry receives only a few tenths of a request per second of an account, and what other
+/// entries admit is unknown to it. Without coordination, all entries together would admit far more
+/// than the allowance. Entries therefore report their usage to the coordinators of their failure
+/// domain, which reply with the fraction to admit. An account far below its allowance is not
+/// limited. An entry without a valid reply admits its equal share.
 #[derive(Clone, Debug)]
 pub struct EntryAllowances {
     bound: AllowanceBound,
@@ -103,15 +108,16 @@
 }
 
 impl EntryAllowances {
-    /// How long an isolated entry goes on with its equal share after its last reply, in
-    /// milliseconds. The other nodes redistribute the share of a node that they consider dead no
-    /// sooner than this long after its death is known.
+    /// How long after its last reply an entry may admit its equal share, in milliseconds. After
+    /// other nodes have declared a node dead, they wait at least this long before they redistribute
+    /// its share.
     pub const SHARE_VALID_MS: u64 = 20_000;
 
-    /// After this time without a reply, the entry also asks the other coordinator, in milliseconds.
+    /// After this time without a reply, in milliseconds, the entry requests replies from the other
+    /// coordinator of its failure domain as well.
     pub const REPLY_MISSED_MS: u64 = 700;
 
-    /// Creates an entry that knows no account. `process` is a random number for this process.
+    /// Creates an entry without any usage. `process` is a random number for this process.
     pub fn new(bound: AllowanceBound, is_first_start: bool, process: u32, now: TimeMs) -> Self {
         Self {
             bound,
@@ -171,7 +177,7 @@
         Err(state.exceeded(now, rule))
     }
 
-    /// Returns what an admitted request used, because it reached no backend server.
+    /// Undoes the usage of an admitted request that reached no backend server.
     pub fn refund(&mut self, account: AccountId) {
         if let Some(state) = self.accounts.get_mut(&account) {
             state.used -= 1;
@@ -196,7 +202,7 @@
         self.is_report_urgent = false;
         let mut counts = Vec::new();
         for (account, state) in &mut self.accounts {
-            state.since_report = 0.0;
+            state.requests_since_report = 0.0;
             if state.pending_reports > 0 {
                 state.pending_reports -= 1;
                 counts.push(UsageCount {
@@ -223,11 +229,11 @@
             .collect();
     }
 
-    /// The traffic of each account here, the busiest first, and the part of it that is admitted.
+    /// The traffic of each account here, the busiest first, and the fraction that is admitted.
     pub fn uses(&self, now: TimeMs) -> Vec<AccountUse> {
         let uses = self.accounts.iter().map(|(account, state)| AccountUse {
             account: *account,
-            per_s: state.usual_rate.per_s(now, USUAL_RATE_MEMORY_MS),
+            per_s: state.usual_rate.per_s(now, USUAL_RATE_TIME_CONSTANT_MS),
             admitted_permille: self
                 .admitted_permille
                 .get(account)
@@ -262,9 +268,9 @@
 
     /// The equal share of an isolated entry.
     ///
-    /// After [`Self::SHARE_VALID_MS`] it is 0. Otherwise the share would be used twice: by nodes
-    /// that are partitioned from all others, and by the others once they consider those nodes dead.
-    /// The isolated nodes stop first.
+    /// After [`Self::SHARE_VALID_MS`] it is 0. Otherwise the share would be used twice: by an entry
+    /// that is partitioned from all others, and by the others once they have declared its node dead
+    /// and redistributed the share. The isolated entry stops before that.
     fn equal_share_per_s(&self, now: TimeMs, allowance: Allowance, nodes: usize) -> f32 {
         let isolated_ms = now.since(self.last_reply_at.unwrap_or(self.started));
         if isolated_ms >= Self::SHARE_VALID_MS {
@@ -293,10 +299,11 @@
         }
     }
 
-    /// The fraction of requests that a restarted entry admits before its first reply. The bound has
-    /// to hold even if all entries restarted together while the account asks for many times its
-    /// allowance. What may have been admitted before the restart, at most a burst and the rate,
-    /// therefore counts against the same window.
+    /// The fraction of requests that a restarted entry admits before its first reply.
+    ///
+    /// The bound has to hold even if all entries restarted together while the account sends up to
+    /// `SURGE_FACTOR` times its allowance. What may have been admitted in the same window before
+    /// the restart, at most a burst and the rate, is therefore subtracted first.
     fn fraction_before_reply(&self, allowance: Allowance) -> f32 {
         let window_s = self.bound.window_ms as f32 / 1_000.0;
         let unanswered_s = FIRST_REPLY_TYPICAL_MS / 1_000.0;
@@ -340,15 +347,17 @@
     fn record_request(&mut self, now: TimeMs) {
         self.wanted = self.wanted.wrapping_add(1);
         self.pending_reports = REPORTS_PER_CHANGE;
-        self.since_report += 1.0;
-        self.usual_rate.record(now, 1.0, USUAL_RATE_MEMORY_MS);
+        self.requests_since_report += 1.0;
+        self.usual_rate
+            .record(now, 1.0, USUAL_RATE_TIME_CONSTANT_MS);
         self.last_seen = now;
     }
 
     fn is_surging(&self, now: TimeMs) -> bool {
-        let usual =
-            self.usual_rate.per_s(now, USUAL_RATE_MEMORY_MS) * REPORT_INTERVAL_MS as f32 / 1_000.0;
-        self.since_report >= EARLY_REPORT_COUNT.max(usual * EARLY_REPORT_FACTOR)
+        let usual = self.usual_rate.per_s(now, USUAL_RATE_TIME_CONSTANT_MS)
+            * REPORT_INTERVAL_MS as f32
+            / 1_000.0;
+        self.requests_since_report >= EARLY_REPORT_COUNT.max(usual * EARLY_REPORT_FACTOR)
     }
 
     fn take_fraction(&mut self, now: TimeMs, fraction: f32) -> bool {
@@ -373,7 +382,7 @@
     }
 
     fn exceeded(&self, now: TimeMs, rule: AdmissionRule) -> AllowanceExceeded {
-        let usual_per_s = self.usual_rate.per_s(now, USUAL_RATE_MEMORY_MS);
+        let usual_per_s = self.usual_rate.per_s(now, USUAL_RATE_TIME_CONSTANT_MS);
         let (per_s, replied_at) = match rule {
             AdmissionRule::Unlimited => (usual_per_s, None),
             AdmissionRule::Fraction {
--- a/src/accounts/identity.rs
+++ b/src/accounts/identity.rs
@@ -37,16 +37,18 @@
     /// `None` where the deployment has no accounts.
     pub accounts: Option<&'a AccountTable>,
     pub route_is_public: bool,
-    /// A request with a valid key was seen on the route, so callers use it and not backend servers.
+    /// Whether a request with a valid key has arrived on the route. If so, the route is used by
+    /// callers, not by backend servers.
     pub route_saw_valid_key: bool,
     pub presented: PresentedKey<'a>,
 }
 
 /// Identifies the sender of a request.
 ///
-/// Calls of a backend server carry no key and come from the same machine as callers' requests. A
-/// missing key therefore means a backend server, until a request with a valid key was seen on the
-/// route. From then on a missing key is a mistake or an attempt to pass for a backend server.
+/// Calls of a backend server carry no key and come from the same machine as callers' requests, so
+/// only the missing key distinguishes them. A request without a key is therefore taken for a call
+/// of a backend server, until a request with a valid key has arrived on the route. From then on a
+/// missing key is a mistake or an attempt to pass for a backend server.
 ///
 /// # Errors
 /// The reason why the request is refused for good.
--- a/src/accounts/message.rs
+++ b/src/accounts/message.rs
@@ -5,8 +5,8 @@
 
 use crate::accounts::AccountId;
 
-/// What one entry has seen of one account. The counts run since the process started, so a lost
-/// report loses nothing.
+/// The requests of one account at one entry. The counts are totals since the process started, so
+/// the next report makes up for a lost one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct UsageCount {
@@ -25,15 +25,15 @@
     pub process: u32,
     /// Sequence number within the process, so that a report that arrives out of order is detected.
     pub sequence: u32,
-    /// Whether the coordinator has to reply. Only one coordinator of the failure domain is asked
-    /// to, unless its replies are missing.
+    /// Whether the coordinator has to reply. An entry wants replies from only one coordinator of
+    /// its failure domain, as long as that one replies.
     #[serde(rename = "wants_word")]
     pub wants_reply: bool,
     /// The accounts whose counts changed.
     pub counts: Vec<UsageCount>,
 }
 
-/// The part of an account's requests that may be admitted, in thousandths.
+/// The fraction of an account's requests to admit, in thousandths.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct AdmittedFraction {
--- a/src/accounts/mod.rs
+++ b/src/accounts/mod.rs
@@ -1,6 +1,10 @@
 //! Client accounts: who sent a request, with which rank, and how much the account may send. Pure
 //! decisions.
 //!
+//! An entry is a node that receives requests from callers. Two nodes of each failure domain are
+//! allowance coordinators as well, so that one may fail. Entries report the usage of each account
+//! to both, and one of them replies with the fraction of its requests to admit.
+//!
 //! See [docs/design/shifted-work.md](../../docs/design/shifted-work.md) for the alternatives
 //! considered.
 
--- a/src/accounts/ranking.rs
+++ b/src/accounts/ranking.rs
@@ -7,7 +7,7 @@
 
 /// The order in which requests are kept under overload: by the account's rank first, then by the
 /// route's. Requests of accounts of one rank thus keep the order of their routes. Where an account
-/// has no rank, or a request has no account, the route's rank stands for both.
+/// has no rank, or a request has no account, the route's rank is used for both.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Ranking {
     /// All possible pairs of account rank and route rank, the most important first.
--- a/tests/accounts_allowances.rs
+++ b/tests/accounts_allowances.rs
@@ -112,8 +112,8 @@
 }
 
 /// A hot account sends to one failure domain only and gets its whole allowance there. When that
-/// domain is partitioned it keeps the whole allowance, and the other domains have no share to grant
-/// a second time.
+/// domain is partitioned, it keeps the whole allowance. The other domains have no share then, so
+/// they cannot grant the allowance a second time.
 #[rstest]
 fn a_share_follows_the_demand() {
     for seed in 0..SEEDS {
@@ -136,8 +136,8 @@
     }
 }
 
-/// A third of the nodes is cut off from all others while two accounts are hot. Those nodes go on
-/// with their equal shares.
+/// A third of the nodes is cut off from all others while two accounts are hot. Each of them admits
+/// its equal share, and the others have to leave these shares to them.
 #[rstest]
 fn isolated_nodes_use_equal_shares(#[values(81, 195)] nodes: usize) {
     for seed in 0..SEEDS {
@@ -156,9 +156,9 @@
     }
 }
 
-/// Half of the nodes is cut off from all others for so long that these consider them dead and
-/// redistribute their shares. If the isolated nodes went on, half more than the allowance would be
-/// admitted. They stop before.
+/// Half of the nodes is cut off from all others for so long that these declare them dead and
+/// redistribute their shares. If the isolated nodes still admitted requests then, the fleet would
+/// admit half more than the allowance.
 #[rstest]
 fn a_share_is_not_used_twice_in_a_long_partition(#[values(81, 195)] nodes: usize) {
     for seed in 0..SEEDS {
@@ -185,8 +185,8 @@
     }
 }
 
-/// All processes are killed and restarted while two accounts are hot. No process remembers recent
-/// usage, and the fleet must not admit a whole burst once more.
+/// All processes are killed and restarted while two accounts are hot. Recent usage is lost with
+/// them, and the fleet must still not admit a whole burst again.
 #[rstest]
 fn a_restart_of_all_nodes_refills_no_burst(
     #[values(81, 195, 720)] nodes: usize,
@@ -228,8 +228,8 @@
     }
 }
 
-/// The coordinators of a failure domain die while an account is hot. Their successors know nothing,
-/// and must not grant a burst.
+/// The coordinators of each failure domain are killed and restarted while two accounts are hot. The
+/// new processes have no record of recent usage, and must not grant a burst.
 #[rstest]
 fn a_replaced_coordinator_grants_no_new_burst() {
     for seed in 0..SEEDS {
--- a/tests/accounts_fleet/mod.rs
+++ b/tests/accounts_fleet/mod.rs
@@ -24,8 +24,8 @@
 const STEP_MS: u64 = 10;
 /// Interval at which entries and coordinators run their timers.
 const TICK_MS: u64 = 100;
-/// Earliest time after the last contact at which a node's death is known.
-const DEATH_KNOWN_MS: u64 = 4_000;
+/// Earliest time after the last contact with a node at which it is declared dead.
+const DEATH_DETECTED_MS: u64 = 4_000;
 /// Time that a restarted node takes to discover the others.
 const JOIN_MS: u64 = 700;
 /// One in this many messages is lost.
@@ -41,6 +41,7 @@
     pub only_in: Option<usize>,
 }
 
+/// The simulated fleet and the accounts that send requests to it.
 pub struct World {
     pub now: TimeMs,
     pub accounts: Vec<AccountLoad>,
@@ -52,15 +53,15 @@
     cut_domains: Vec<usize>,
     /// Nodes that are cut off from all others.
     cut_nodes: Vec<usize>,
-    /// When other nodes no longer count the nodes in `cut_nodes`.
-    cut_nodes_gone: TimeMs,
+    /// When other nodes remove the nodes in `cut_nodes` from the fleet.
+    cut_nodes_removed_at: TimeMs,
     in_flight: Vec<(TimeMs, usize, usize, AllowanceMessage)>,
     messages: u64,
     rng: Rng,
 }
 
 impl World {
-    /// Creates a fleet that has run for a while or starts for the first time.
+    /// Creates a fleet that starts for the first time.
     pub fn new(nodes: usize, domains: usize, seed: u64) -> Self {
         let bound = AllowanceBound::default();
         let mut rng = Rng::with_seed(seed);
@@ -77,7 +78,7 @@
             bound,
             cut_domains: Vec::new(),
             cut_nodes: Vec::new(),
-            cut_nodes_gone: TimeMs(u64::MAX),
+            cut_nodes_removed_at: TimeMs(u64::MAX),
             in_flight: Vec::new(),
             messages: 0,
             rng,
@@ -127,12 +128,12 @@
     }
 
     /// Cuts half of each failure domain except its coordinators off from all others, until these
-    /// consider the nodes dead and redistribute their shares.
+    /// have declared the nodes dead and redistributed their shares.
     pub fn cut_half_until_dead(&mut self) {
         let coordinators = 2 * self.domains;
         let all = coordinators..self.nodes.len();
         self.cut_nodes = all.filter(|at| at / self.domains % 2 == 1).collect();
-        self.cut_nodes_gone = self.now + DEATH_KNOWN_MS + EntryAllowances::SHARE_VALID_MS;
+        self.cut_nodes_removed_at = self.now + DEATH_DETECTED_MS + EntryAllowances::SHARE_VALID_MS;
     }
 
     /// Isolates every node, so that each has its equal share.
@@ -144,7 +145,7 @@
     pub fn heal(&mut self) {
         self.cut_domains.clear();
         self.cut_nodes.clear();
-        self.cut_nodes_gone = TimeMs(u64::MAX);
+        self.cut_nodes_removed_at = TimeMs(u64::MAX);
     }
 
     /// Stops all processes and restarts them after `down_ms`, spread over 300 ms.
@@ -226,7 +227,7 @@
         if self.nodes[node].starts_at > self.now {
             return;
         }
-        let known = match self.knows_all_nodes(node) {
+        let known = match self.has_discovered_all(node) {
             true => self.nodes.len(),
             false => 1,
         };
@@ -239,14 +240,14 @@
         log.record(self.now, admitted.is_ok());
     }
 
-    fn knows_all_nodes(&self, node: usize) -> bool {
+    fn has_discovered_all(&self, node: usize) -> bool {
         let node = &self.nodes[node];
         node.is_first || self.now.since(node.starts_at) >= JOIN_MS
     }
 
     fn tick(&mut self) {
         for at in 0..self.nodes.len() {
-            if self.nodes[at].starts_at > self.now || !self.knows_all_nodes(at) {
+            if self.nodes[at].starts_at > self.now || !self.has_discovered_all(at) {
                 continue;
             }
             self.report(at);
@@ -271,7 +272,7 @@
         let allowances = allowances
             .map(|each| (AccountId::of(&each.name), each.allowance))
             .collect();
-        let gone = self.now >= self.cut_nodes_gone;
+        let gone = self.now >= self.cut_nodes_removed_at;
         let gone: &[usize] = if gone { &self.cut_nodes } else { &[] };
         let fleet = node::fleet(at % self.domains, self.domains, self.nodes.len(), gone);
         let coordinator = &mut self.nodes[at].coordinator;
--- a/tests/accounts_fleet/node.rs
+++ b/tests/accounts_fleet/node.rs
@@ -9,7 +9,7 @@
 
 pub struct Node {
     pub starts_at: TimeMs,
-    /// It has run from the beginning.
+    /// Whether the process has run from the beginning, so that it was never restarted.
     pub is_first: bool,
     pub entry: EntryAllowances,
     pub coordinator: AllowanceCoordinator,
@@ -42,7 +42,7 @@
     Name::from(format!("d{at}"))
 }
 
-/// The fleet as nodes of the failure domain `own` know it, without the nodes in `gone`.
+/// The fleet as seen from the failure domain `own`, without the nodes in `gone`.
 pub fn fleet(own: usize, domains: usize, nodes: usize, gone: &[usize]) -> Fleet {
     let is_present = |at: &usize| !gone.contains(at);
     let of = |domain: usize| {
