--- a/src/desired/route.rs
+++ b/src/desired/route.rs
@@ -42,7 +42,7 @@
     /// Begins and ends with a slash.
     pub prefix: Name,
     pub repeatability: Repeatability,
-    /// The longest time for which the operator wants a caller to wait.
+    /// Maximum time that a caller waits for the answer.
     pub timeout_ms: u64,
     /// The latency objective: an answer within this time is worth most.
     pub objective_ms: u64,
--- a/src/desired/route_table.rs
+++ b/src/desired/route_table.rs
@@ -29,14 +29,14 @@
     pub fn new(state: &DesiredState) -> Self {
         let mut by_host: FastMap<Name, FastMap<Name, Arc<ActiveRoute>>> = FastMap::default();
         for route in &state.routes {
-            let in_force = ActiveRoute {
+            let active = ActiveRoute {
                 split: Split::new(route.destinations.clone()),
                 route: route.clone(),
             };
             by_host
                 .entry(route.host.clone())
                 .or_default()
-                .insert(route.prefix.clone(), Arc::new(in_force));
+                .insert(route.prefix.clone(), Arc::new(active));
         }
         Self { by_host }
     }
--- a/tests/desired_store_watch.rs
+++ b/tests/desired_store_watch.rs
@@ -83,11 +83,11 @@
     assert!(is_watcher(&view, "a3", "a"));
 }
 
-/// Hundreds of nodes each kept a long poll open at the store, which made up most of its calls, and
-/// each call is charged. All nodes but the watchers rely on gossip while it carries the store's
+/// When each of hundreds of nodes kept a long poll open at the store, these were most of its calls,
+/// and each call is charged. All nodes but the watchers rely on gossip while it carries the store's
 /// confirmation.
 #[rstest]
-fn a_node_that_hears_others_does_not_query_the_store() {
+fn a_node_with_contact_does_not_query_the_store() {
     let fleet = fleet(195);
     assert!(!should_query_store(&fleet, "a0100", "a", HEALTHY, 0.0));
     assert!(should_query_store(&fleet, "a0001", "a", HEALTHY, 0.99));
@@ -96,23 +96,29 @@
 /// A node is cut off from all others but not from the store. A change would be active everywhere
 /// but there, because no other node can report it.
 #[rstest]
-fn a_node_that_hears_nobody_queries_the_store() {
-    let silent = StateFreshness {
+fn a_node_without_contact_queries_the_store() {
+    let isolated = StateFreshness {
         last_contact_ms_ago: 1_500,
         ..HEALTHY
     };
-    assert!(should_query_store(&fleet(195), "a0100", "a", silent, 0.99));
+    assert!(should_query_store(
+        &fleet(195),
+        "a0100",
+        "a",
+        isolated,
+        0.99
+    ));
     assert!(should_query_store(
         &View::default(),
         "a0100",
         "a",
-        silent,
+        isolated,
         0.99
     ));
 }
 
-/// The store refuses all watchers, while all nodes hear each other. As the store's confirmation
-/// gets old, a few other nodes query it, and not all at once.
+/// The store refuses all watchers, while gossip reaches all nodes. As the store's confirmation gets
+/// old, a few other nodes query the store, and not all at once.
 #[rstest]
 #[case(13)]
 #[case(195)]
@@ -130,7 +136,8 @@
 }
 
 /// The whole system starts for the first time. Each node would consider itself a watcher, and all
-/// would query the store at once. A moment later they know each other and get the state by gossip.
+/// would query the store at once. A moment later the nodes have discovered each other, and most get
+/// the state by gossip.
 #[rstest]
 #[case(-4_000, false, false)]
 #[case(-1, false, false)]
@@ -168,8 +175,8 @@
     assert!(should_query_store(&fleet(195), "a0100", "a", known, 0.99));
 }
 
-/// Each node fetched a changed document from any peer, so most fetches crossed a border between
-/// failure domains. With any number of nodes, only a few of each domain do.
+/// When each node fetched a changed document from any peer, most fetches crossed between failure
+/// domains. With any number of nodes, only a few of each domain may fetch from another one.
 #[rstest]
 #[case(2, 2)]
 #[case(39, 3)]
