--- a/src/poison/broken_calls.rs
+++ b/src/poison/broken_calls.rs
@@ -15,7 +15,8 @@
 /// Broken calls in the order in which they broke.
 ///
 /// The backend server is not probed for each connection that breaks. A probe would cost the server
-/// a connection and the caller time, and a crash is noticed anyway.
+/// a connection and the caller time, and a crash is detected without it: the next connection is
+/// refused, or a new backend server reports.
 #[derive(Clone, Debug, Default)]
 pub struct BrokenCalls {
     calls: VecDeque<(TimeMs, RunningRequest)>,
--- a/src/poison/crash_history.rs
+++ b/src/poison/crash_history.rs
@@ -3,8 +3,8 @@
 use crate::core::TimeMs;
 use crate::poison::crash_report::CrashId;
 
-/// Maximum number of crashes recorded per suspect. Two are enough to refuse it; the rest is for
-/// contents that are always running somewhere and are cleared again and again.
+/// Maximum number of crashes recorded per suspect. Two are enough to refuse it. More are recorded
+/// for contents that are running all the time, and are cleared after many crashes.
 const MAX_CRASHES: usize = 16;
 
 /// One crash of one suspect.
--- a/src/poison/suspects.rs
+++ b/src/poison/suspects.rs
@@ -46,12 +46,12 @@
     Refused,
 }
 
-/// The suspects of one service, as one guard knows them.
+/// The suspects of one service at one guard, the node beside a backend server.
 ///
 /// One request may crash each backend server that runs it, while its caller sends it again through
 /// every node in turn under new identifiers. The backend servers then crash one after the other. To
-/// stop this, a crash is reported to all targets before the caller gets an answer, so the guard
-/// that receives the next attempt already knows of it.
+/// stop this, a crash is reported to all targets before the caller gets an answer, so the report
+/// reaches the next guard before the next attempt does.
 ///
 /// Other requests were running at the same time. Content that ran to completion after a crash did
 /// not cause it, so it is cleared of that crash. The clearances are sent with the next crash
@@ -73,7 +73,8 @@
         }
     }
 
-    /// Whether nothing is suspected, so that an ordinary call needs no further check.
+    /// Whether nothing is suspected, so that an ordinary call needs no further check. Each crash
+    /// adds a content for every request, so it is enough to check the contents.
     pub fn is_empty(&self) -> bool {
         self.contents.is_empty()
     }
@@ -169,7 +170,8 @@
         counted.len()
     }
 
-    /// The known clearances, those of the contents that ran at this crash first.
+    /// The clearances to report: first those of the contents that were running at this crash, then
+    /// those of other contents.
     fn clearances(&self, running: &[RunningRequest]) -> Vec<Clearance> {
         let own = running.iter().map(|running| running.fingerprint);
         let own = own.filter_map(|fingerprint| self.contents.get_key_value(&fingerprint));
--- a/src/retry/allotment.rs
+++ b/src/retry/allotment.rs
@@ -5,7 +5,7 @@
 //! of what its parent holds, and a child returns at most what it was given. What is lost on the way
 //! counts as used. See docs/DESIGN.md, "Retries".
 
-/// What one live call holds and has handed out to its children.
+/// The allotment that an unfinished call still holds, and what it has handed out to its children.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Allotment {
     left: u16,
--- a/src/retry/budget.rs
+++ b/src/retry/budget.rs
@@ -4,7 +4,7 @@
 //! and yet the service receives a multiple of its load. Every retry therefore takes a token from
 //! the budget, and only first attempts add tokens.
 
-/// One token, in thousandths, so that a ratio needs no fractions.
+/// One token. Tokens are counted in thousandths, so a ratio in percent is a whole number of them.
 const TOKEN: u64 = 1_000;
 
 /// A token bucket filled by first attempts.
--- a/src/retry/decision.rs
+++ b/src/retry/decision.rs
@@ -25,21 +25,22 @@
 
 /// The reason for another attempt; `None` if there must be none.
 ///
-/// The caller of this function then has to charge the attempt to the allotment and the budget.
-pub fn retry_reason(failure: AttemptFailure, situation: RetryContext) -> Option<RetryReason> {
-    if !situation.body_is_held || situation.deadline_left_ms == 0 {
+/// If there is a reason, the caller of this function still has to charge the attempt to the
+/// allotment and the budget.
+pub fn retry_reason(failure: AttemptFailure, context: RetryContext) -> Option<RetryReason> {
+    if !context.body_is_held || context.deadline_left_ms == 0 {
         return None;
     }
     match failure.run_state {
         RunState::Ran => None,
-        RunState::Unknown => after_unknown(failure.reason, situation),
-        RunState::NotRun => after_not_run(failure.reason, situation),
+        RunState::Unknown => after_unknown(failure.reason, context),
+        RunState::NotRun => after_not_run(failure.reason, context),
     }
 }
 
 /// An attempt that may have run is retried only if a second run does no harm.
-fn after_unknown(reason: RefusalReason, situation: RetryContext) -> Option<RetryReason> {
-    if situation.non_idempotent {
+fn after_unknown(reason: RefusalReason, context: RetryContext) -> Option<RetryReason> {
+    if context.non_idempotent {
         return None;
     }
     match reason {
@@ -49,7 +50,7 @@
     }
 }
 
-fn after_not_run(reason: RefusalReason, situation: RetryContext) -> Option<RetryReason> {
+fn after_not_run(reason: RefusalReason, context: RetryContext) -> Option<RetryReason> {
     match reason {
         // Under overload another attempt helps only if a target has room. Otherwise it adds to the
         // overload.
@@ -57,7 +58,7 @@
         | RefusalReason::ShedAtEntry
         | RefusalReason::WaitExceeded
         | RefusalReason::RateLimited
-        | RefusalReason::BackendShed => situation.room_elsewhere.then_some(RetryReason::NotRun),
+        | RefusalReason::BackendShed => context.room_elsewhere.then_some(RetryReason::NotRun),
         RefusalReason::PeerLost => Some(RetryReason::Unreachable),
         RefusalReason::NotOwner => Some(RetryReason::OwnerMoved),
         RefusalReason::Revoked => Some(RetryReason::SilentConnection),
--- a/src/retry/window_budget.rs
+++ b/src/retry/window_budget.rs
@@ -8,9 +8,9 @@
 
 /// Number of buckets in which a window is counted.
 const BUCKETS: u64 = 20;
-/// Pacing: at most `PACING_SHARE` of a window's allowance may be spent within `PACING_BUCKETS`
-/// buckets. A short failure may use a good part of the allowance at once, while a long one has to
-/// leave something for the rest of the window.
+/// Pacing: at most the fraction `PACING_SHARE` of a window's allowance may be spent within
+/// `PACING_BUCKETS` buckets. A short failure may use a good part of the allowance at once, while a
+/// long one has to leave something for the rest of the window.
 const PACING_BUCKETS: u64 = 2;
 const PACING_SHARE: f32 = 0.3;
 
@@ -20,7 +20,7 @@
     index: u64,
     /// First attempts.
     first: f32,
-    /// Retries, made here or by a service higher up in the chain.
+    /// Retries made by this node, and calls made by work that is itself a retry.
     retried: f32,
 }
 
@@ -87,8 +87,9 @@
 
     /// Whether retried work that makes calls to the service may begin.
     ///
-    /// Those calls are retries too, and nothing pays for them. If the budget is already used up,
-    /// each of them exceeds the bound, so such work has to be refused before it makes any call.
+    /// Those calls count as retries too, but [`Self::try_retry`] is not called for them. If the
+    /// budget is already used up, each of them exceeds the bound, so such work has to be refused
+    /// before it makes any call.
     pub fn has_remaining(&self, now: TimeMs) -> bool {
         self.spent(now) + 1.0 <= self.allowed(now)
     }
--- a/tests/poison_suspects.rs
+++ b/tests/poison_suspects.rs
@@ -71,8 +71,8 @@
     assert_eq!(crashes, expected);
 }
 
-/// A popular content is read all the time, so it was running beside the poisoned request at both
-/// crashes. It must not be refused after them.
+/// Requests with a popular content arrive all the time, so one was running beside the poisoned
+/// request at both crashes. Such requests must not be refused afterwards.
 #[test]
 fn a_popular_read_beside_a_poisoned_request_stays_allowed() {
     let mut guards = guards(4);
--- a/tests/retry_window_budget.rs
+++ b/tests/retry_window_budget.rs
@@ -26,10 +26,10 @@
     (first, granted)
 }
 
-/// All backend servers of a service refuse half of their calls for eight seconds. A budget earned
-/// only during the failure let each node spend 4% of its calls on retries, although the system
-/// allows 20%, and most call trees failed that retries could have saved. The allowance unused
-/// before the failure pays for a good part of them.
+/// All backend servers of a service refuse half of their calls for eight seconds. Each node spent
+/// only 4% of its calls on retries, although the system allows 20%, and most of the call trees that
+/// retries could have saved failed. The allowance that was unused before the failure covers a good
+/// part of the retries.
 #[rstest]
 fn calls_before_a_failure_pay_for_its_retries() {
     let mut budget = WindowBudget::new(SHARE);
@@ -56,8 +56,8 @@
     }
 }
 
-/// Retried work makes calls, which are retries to the service they arrive at. They use the budget
-/// there. Otherwise a retry at the top of a chain would be charged only once.
+/// Calls made by retried work count as retries at the service that they call, and use the budget
+/// for it. Otherwise a retry at the top of a chain would be charged only once.
 #[rstest]
 fn calls_of_retried_work_use_the_budget() {
     let mut budget = WindowBudget::new(SHARE);
@@ -143,8 +143,8 @@
 }
 
 /// Half of the calls to a deep service are refused, and backend servers above it abort, so their
-/// work is retried and calls the deep service again. The budget there was already spent, and the
-/// calls of the retries came on top: 24,337 retries in ten seconds where 24,221 were allowed.
+/// work is retried and calls the deep service again. The budget there was already spent, so the
+/// calls of the retried work exceeded it: 24,337 retries in ten seconds where 24,221 were allowed.
 #[rstest]
 #[case::without_a_check_of_the_budget(false, false)]
 #[case::with_a_check_of_the_budget(true, true)]
