--- a/src/desired/store_watch.rs
+++ b/src/desired/store_watch.rs
@@ -11,9 +11,9 @@
 /// milliseconds. The answer then arrives well within 2 s, the shortest time in which a change has
 /// to be active.
 const NO_CONTACT_MS: u64 = 1_400;
-/// If the store has confirmed the state neither to this node nor, through gossip, to another one
-/// for this time, the node may query the store itself, in milliseconds. The time is above the 5 s
-/// that a watcher's long poll and the spread of its answer through the largest fleet take.
+/// A node that has received no confirmation from the store for this time, neither directly nor by
+/// gossip, may query the store itself, in milliseconds. The time is above the 5 s that a watcher's
+/// long poll and the spread of its answer through the largest fleet take.
 const UNCONFIRMED_MS: u64 = 6_000;
 /// Where requests with keys are refused once the store's confirmation is too old, a node queries
 /// the store when the confirmation has reached the maximum age divided by this.
