--- a/src/accounts/allowance_coordinator.rs
+++ b/src/accounts/allowance_coordinator.rs
@@ -123,7 +123,7 @@
     }
 
     /// Applies the usage report of an entry in the own failure domain. Returns the limited accounts
-    /// if the entry wants a reply and this coordinator has discovered most of the fleet.
+    /// if the report wants a reply and this coordinator has discovered most of the fleet.
     pub fn apply_report(
         &mut self,
         now: TimeMs,
--- a/tests/accounts_allowances.rs
+++ b/tests/accounts_allowances.rs
@@ -287,7 +287,7 @@
 #[ignore = "a measurement, not a check"]
 fn compare_strategies(#[values(81, 195, 720)] nodes: usize) {
     let strategies: [(&str, Start); 2] =
-        [("equal shares", equal_shares), ("parts by demand", world)];
+        [("equal shares", equal_shares), ("shares by demand", world)];
     for (strategy, start) in strategies {
         let mut usual = start(nodes, 1);
         let from = usual.now;
--- a/tests/accounts_coordinator.rs
+++ b/tests/accounts_coordinator.rs
@@ -29,7 +29,8 @@
     coordinator
 }
 
-/// The share admitted after the next report of a process with `wanted` requests, in thousandths.
+/// The fraction admitted after the next report of a process, in thousandths. `wanted` is the number
+/// of requests since the process started.
 fn admitted_after(
     coordinator: &mut AllowanceCoordinator,
     at_ms: u64,
@@ -79,8 +80,8 @@
     }
 }
 
-/// An entry that tracks thousands of accounts evicts one and counts it from 0 again. Without a new
-/// base, its requests would count only once they exceeded the former count.
+/// An entry that tracks thousands of accounts evicts one and counts it from 0 again. If the
+/// coordinator did not detect it, its requests would count only once they exceeded the former count.
 #[rstest]
 fn an_evicted_account_is_counted_from_zero() {
     let mut coordinator = coordinator();
@@ -144,10 +145,10 @@
     assert_eq!(admitted_after(&mut coordinator, 5_300, 2, 20), 1_000);
 }
 
-/// An account sends far more than its allowance. Its admitted share falls, and recovers when the
-/// demand is low again.
+/// An account sends far more than its allowance. Its admitted fraction falls, and recovers when
+/// the demand is low again.
 #[rstest]
-fn the_admitted_share_falls_and_recovers() {
+fn the_admitted_fraction_falls_and_recovers() {
     let mut coordinator = coordinator();
     let mut wanted = 0;
     let mut permille = 1_000;
