--- a/src/accounts/identity.rs
+++ b/src/accounts/identity.rs
@@ -47,8 +47,8 @@
 ///
 /// Calls of a backend server carry no key and come from the same machine as callers' requests, so
 /// only the missing key distinguishes them. A request without a key is therefore treated as a
-/// call of a backend server, until a request with a valid key has arrived on the route. From then on a
-/// missing key is a mistake or an attempt to pass for a backend server.
+/// call of a backend server, until a request with a valid key has arrived on the route. From then
+/// on a missing key is a mistake or an attempt to pass for a backend server.
 ///
 /// # Errors
 /// The reason why the request is refused for good.
--- a/tests/accounts_coordinator.rs
+++ b/tests/accounts_coordinator.rs
@@ -81,7 +81,8 @@
 }
 
 /// An entry that tracks thousands of accounts evicts one and counts it from 0 again. If the
-/// coordinator did not detect it, its requests would count only once they exceeded the former count.
+/// coordinator did not detect this, the account's requests would count only once they exceeded the
+/// former count.
 #[rstest]
 fn an_evicted_account_is_counted_from_zero() {
     let mut coordinator = coordinator();
