--- a/src/claims/fair_share.rs
+++ b/src/claims/fair_share.rs
@@ -1,6 +1,6 @@
 //! How many slots each member should own, and who gives to whom.
 
-use crate::claims::SLOTS;
+use crate::claims::SLOT_COUNT;
 use crate::claims::SlotMap;
 
 /// A member that may be given slots, and how many it owns.
@@ -24,7 +24,7 @@
 
 /// The most that one of `owners` should own.
 pub fn fair_share(owners: usize) -> usize {
-    SLOTS.div_ceil(owners.max(1))
+    SLOT_COUNT.div_ceil(owners.max(1))
 }
 
 /// How many slots `me` should give to whom now, so that the members own about the same; `None`
--- a/src/claims/holding.rs
+++ b/src/claims/holding.rs
@@ -1,6 +1,6 @@
 //! What a node holds at present: the part of its claims that the ledger checks calls against.
 
-use crate::claims::SLOTS;
+use crate::claims::SLOT_COUNT;
 use crate::core::Name;
 use crate::core::TimeMs;
 
@@ -26,8 +26,8 @@
 pub struct Holding {
     /// Unseen keys may start only before this moment.
     pub lease_until: TimeMs,
-    pub held: [Option<HeldSlot>; SLOTS],
-    pub others: [Option<OtherOwner>; SLOTS],
+    pub held: [Option<HeldSlot>; SLOT_COUNT],
+    pub others: [Option<OtherOwner>; SLOT_COUNT],
 }
 
 impl Holding {
@@ -35,7 +35,7 @@
     pub fn nothing() -> Self {
         Self {
             lease_until: TimeMs(0),
-            held: [None; SLOTS],
+            held: [None; SLOT_COUNT],
             others: std::array::from_fn(|_| None),
         }
     }
--- a/src/claims/keeper_rows.rs
+++ b/src/claims/keeper_rows.rs
@@ -4,7 +4,7 @@
 use crate::claims::LeaseKeeper;
 use crate::claims::Member;
 use crate::claims::OtherOwner;
-use crate::claims::SLOTS;
+use crate::claims::SLOT_COUNT;
 use crate::claims::SlotMap;
 use crate::claims::held_slots;
 use crate::claims::lease_keeper::Pending;
@@ -123,7 +123,7 @@
             .giving
             .as_ref()
             .map_or(&[], |giving| &giving.given.slots);
-        for slot in 0..SLOTS {
+        for slot in 0..SLOT_COUNT {
             let entry = row.map.slots[slot];
             let before = self.holding.held[slot];
             let held = held_slots::held(slot, entry, me, before, &self.received, now, self.limits);
--- a/src/claims/ledger.rs
+++ b/src/claims/ledger.rs
@@ -16,7 +16,7 @@
 use crate::claims::MovedKey;
 use crate::claims::MovedState;
 use crate::claims::ResendLimits;
-use crate::claims::SLOTS;
+use crate::claims::SLOT_COUNT;
 use crate::claims::slot_of;
 use crate::control::KeptAnswer;
 use crate::core::FastMap;
@@ -325,7 +325,7 @@
             let held = self.holding.held[*slot];
             held.is_some_and(|held| !held.giving && now >= held.grace_until)
         };
-        (0..SLOTS).filter(open).count()
+        (0..SLOT_COUNT).filter(open).count()
     }
 }
 
--- a/src/claims/mod.rs
+++ b/src/claims/mod.rs
@@ -63,7 +63,7 @@
 pub use shared_ledger::Settled;
 pub use shared_ledger::SharedLedger;
 pub use slot::LONGEST_KEY_BYTES;
-pub use slot::SLOTS;
+pub use slot::SLOT_COUNT;
 pub use slot::slot_of;
 pub use slot_map::Intent;
 pub use slot_map::Member;
--- a/src/claims/slot.rs
+++ b/src/claims/slot.rs
@@ -3,7 +3,7 @@
 use crate::core::stable_hash;
 
 /// How many slots the keys of a service are spread over. It is part of the protocol.
-pub const SLOTS: usize = 32;
+pub const SLOT_COUNT: usize = 32;
 
 /// The longest key that is accepted, in bytes: the ledger's memory is bounded by it.
 pub const LONGEST_KEY_BYTES: usize = 200;
@@ -11,5 +11,5 @@
 /// The slot to which a key of a service belongs.
 pub fn slot_of(service: &str, key: &str) -> usize {
     let hash = stable_hash(service.bytes().chain([0]).chain(key.bytes()));
-    ((hash ^ (hash >> 32)) % SLOTS as u64) as usize
+    ((hash ^ (hash >> 32)) % SLOT_COUNT as u64) as usize
 }
--- a/src/claims/slot_map.rs
+++ b/src/claims/slot_map.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 
 use crate::claims::LeaseTerms;
-use crate::claims::SLOTS;
+use crate::claims::SLOT_COUNT;
 use crate::core::Name;
 use crate::errors::ClaimsError;
 
@@ -71,7 +71,7 @@
         Self {
             change: 0,
             joins: 0,
-            slots: vec![SlotEntry::default(); SLOTS],
+            slots: vec![SlotEntry::default(); SLOT_COUNT],
             members: Vec::new(),
             intents: Vec::new(),
         }
@@ -94,7 +94,7 @@
     pub fn decode(value: &[u8]) -> Result<Self, ClaimsError> {
         let map: Self =
             serde_json::from_slice(value).map_err(|source| ClaimsError::Row { source })?;
-        if map.slots.len() != SLOTS {
+        if map.slots.len() != SLOT_COUNT {
             let slots = map.slots.len();
             return Err(ClaimsError::SlotCount { slots });
         }
--- a/src/claims/slot_router.rs
+++ b/src/claims/slot_router.rs
@@ -1,6 +1,6 @@
 //! Where an entry sends a keyed call: what it has learnt of the owners of slots.
 
-use crate::claims::SLOTS;
+use crate::claims::SLOT_COUNT;
 use crate::claims::slot_of;
 use crate::core::FastMap;
 use crate::core::Name;
@@ -45,7 +45,7 @@
         let hints = self
             .services
             .entry(service.clone())
-            .or_insert_with(|| vec![None; SLOTS]);
+            .or_insert_with(|| vec![None; SLOT_COUNT]);
         let known = &mut hints[slot_of(service, key)];
         if known.as_ref().is_none_or(|known| known.epoch <= hint.epoch) {
             *known = Some(hint);
--- a/src/mesh/ready.rs
+++ b/src/mesh/ready.rs
@@ -5,7 +5,7 @@
 
 use serde::Deserialize;
 
-use crate::claims::SLOTS;
+use crate::claims::SLOT_COUNT;
 use crate::core::Clock;
 use crate::core::FastMap;
 use crate::core::Name;
@@ -90,8 +90,8 @@
     let without_preset = mesh.plan.presets.is_empty();
     let lacking = open_slots
         .into_iter()
-        .find(|(_, open)| !without_preset && *open < SLOTS);
-    lacking.map(|(service, open)| (service, format!("{open} of {SLOTS} slots have an owner")))
+        .find(|(_, open)| !without_preset && *open < SLOT_COUNT);
+    lacking.map(|(service, open)| (service, format!("{open} of {SLOT_COUNT} slots have an owner")))
 }
 
 async fn node_status(mesh: &Mesh, target: &MeshTarget) -> Result<NodeStatus, MeshError> {
--- a/tests/claims_failover.rs
+++ b/tests/claims_failover.rs
@@ -9,7 +9,7 @@
 use claims_world::WINDOW_MS;
 use claims_world::World;
 use sassafrasgap::claims::ResendLimits;
-use sassafrasgap::claims::SLOTS;
+use sassafrasgap::claims::SLOT_COUNT;
 
 const KEY_EVERY_MS: u64 = 20;
 /// By then every slot has an owner and the owners have about the same number.
@@ -25,7 +25,7 @@
 fn settled() -> World {
     let mut world = World::new(2, 4, 3, Noise::NONE);
     world.run_until(SETTLED_MS);
-    assert_eq!(world.open_slots(), SLOTS);
+    assert_eq!(world.open_slots(), SLOT_COUNT);
     world
 }
 
@@ -46,7 +46,7 @@
 fn slots_are_shared_out_and_follow_members_that_join() {
     let mut world = settled();
     for process in 0..4 {
-        assert_eq!(slots_of(&world, process), SLOTS / 4);
+        assert_eq!(slots_of(&world, process), SLOT_COUNT / 4);
     }
     world.apply(Fault::Stop { process: 0 });
     world.run_until(world.now + 3_000);
@@ -55,10 +55,10 @@
     let same_vm = false;
     world.apply(Fault::Restart { process, same_vm });
     world.run_until(world.now + 10_000);
-    assert_eq!(slots_of(&world, 4), SLOTS / 4);
+    assert_eq!(slots_of(&world, 4), SLOT_COUNT / 4);
     assert_eq!(
         world.open_slots(),
-        SLOTS,
+        SLOT_COUNT,
         "no grace period after hand-overs"
     );
 }
@@ -77,7 +77,7 @@
         load_until(&mut world, end);
     }
     assert!(world.truth.refusals["grace_period"] > 0);
-    assert_eq!(world.open_slots(), SLOTS);
+    assert_eq!(world.open_slots(), SLOT_COUNT);
 }
 
 /// A whole failover: the owner dies, its slots are refused as `unknown` for the grace period, and
@@ -88,14 +88,14 @@
     world.apply(Fault::Crash { process: 1 });
     world.run_until(world.now + TAKEN_OVER_MS);
     let owners: usize = [0, 2, 3].iter().map(|it| slots_of(&world, *it)).sum();
-    assert_eq!(owners, SLOTS);
+    assert_eq!(owners, SLOT_COUNT);
     assert_eq!(
         world.open_slots(),
-        SLOTS - SLOTS / 4,
+        SLOT_COUNT - SLOT_COUNT / 4,
         "the rest is in grace"
     );
     world.run_until(world.now + grace_ms());
-    assert_eq!(world.open_slots(), SLOTS);
+    assert_eq!(world.open_slots(), SLOT_COUNT);
 }
 
 /// A process is killed and started again at once on the same VM. It has forgotten everything it
@@ -138,7 +138,7 @@
         });
         let end = world.now + 6 * TAKEN_OVER_MS + grace_ms();
         load_until(&mut world, end);
-        assert!(world.open_slots() > SLOTS / 2, "seed {seed}");
+        assert!(world.open_slots() > SLOT_COUNT / 2, "seed {seed}");
     }
 }
 
@@ -154,7 +154,7 @@
     assert!(completed >= 99, "{completed}%");
     world.apply(Fault::Heal);
     world.run_until(world.now + 5_000);
-    assert_eq!(world.open_slots(), SLOTS);
+    assert_eq!(world.open_slots(), SLOT_COUNT);
 }
 
 /// The platform is down and an owner dies. Nobody can tell the others that it is gone for good, so
@@ -171,7 +171,7 @@
     assert_eq!(world.open_slots(), 0);
     world.apply(Fault::Heal);
     world.run_until(world.now + TAKEN_OVER_MS + grace_ms());
-    assert_eq!(world.open_slots(), SLOTS);
+    assert_eq!(world.open_slots(), SLOT_COUNT);
 }
 
 /// The platform is down and an owner is stopped as planned. It promises to take nothing over any
@@ -185,7 +185,7 @@
     world.run_until(world.now + 2 * LEASE_MS);
     world.apply(Fault::Crash { process: 3 });
     world.run_until(world.now + 60_000);
-    assert_eq!(world.open_slots(), SLOTS - SLOTS / 4);
+    assert_eq!(world.open_slots(), SLOT_COUNT - SLOT_COUNT / 4);
 }
 
 /// A failure domain is cut off from the others and from the platform. Its owner cannot know
@@ -203,11 +203,11 @@
     let process = &world.processes[cut_off];
     let inside = process.ledger.open_slots(process.clock(world.now));
     assert_eq!(inside, 0);
-    assert_eq!(world.open_slots(), SLOTS);
+    assert_eq!(world.open_slots(), SLOT_COUNT);
     world.apply(Fault::Heal);
     let end = world.now + 20_000;
     load_until(&mut world, end);
-    assert_eq!(world.open_slots(), SLOTS);
+    assert_eq!(world.open_slots(), SLOT_COUNT);
 }
 
 /// A domain loses the others, but not the platform: reading the row is sign enough.
@@ -222,7 +222,7 @@
     load_until(&mut world, end);
     let completed = world.truth.completed_percent(SETTLED_MS, end - WINDOW_MS);
     println!("completed while one domain lost the others: {completed}%");
-    assert_eq!(slots_of(&world, 1), SLOTS / 4, "its slots were not taken");
+    assert_eq!(slots_of(&world, 1), SLOT_COUNT / 4, "its slots were not taken");
     assert!(completed >= 99, "{completed}%");
 }
 
@@ -242,7 +242,7 @@
         let end = world.now + TAKEN_OVER_MS + grace_ms();
         load_until(&mut world, end);
         world.run_until(world.now + LEASE_MS);
-        assert_eq!(world.open_slots(), SLOTS, "stopped for {after_ms} ms");
+        assert_eq!(world.open_slots(), SLOT_COUNT, "stopped for {after_ms} ms");
     }
 }
 
@@ -259,7 +259,7 @@
         let map = world.store.map().expect("a row");
         assert!(map.unowned().is_empty(), "seed {seed}");
         assert!(
-            world.open_slots() > SLOTS / 2,
+            world.open_slots() > SLOT_COUNT / 2,
             "seed {seed}: {}",
             world.open_slots()
         );
--- a/tests/claims_keeper.rs
+++ b/tests/claims_keeper.rs
@@ -8,7 +8,7 @@
 use sassafrasgap::claims::Member;
 use sassafrasgap::claims::ReadResult;
 use sassafrasgap::claims::ResendLimits;
-use sassafrasgap::claims::SLOTS;
+use sassafrasgap::claims::SLOT_COUNT;
 use sassafrasgap::claims::Situation;
 use sassafrasgap::claims::SlotMap;
 use sassafrasgap::claims::WriteResult;
@@ -61,7 +61,7 @@
     for member in &mut map.members {
         member.knows = joins;
     }
-    for slot in 0..SLOTS {
+    for slot in 0..SLOT_COUNT {
         map.assign(slot, Some(members[slot % members.len()]), 0);
     }
     map
@@ -132,7 +132,7 @@
         }
     };
     assert!(announced.is_threatened(OTHER), "announced first");
-    assert_eq!(announced.slots_of(OTHER).len(), SLOTS / 2);
+    assert_eq!(announced.slots_of(OTHER).len(), SLOT_COUNT / 2);
     let mut actions = keeper.on_write(TimeMs(now), op, WriteResult::Applied { version: 2 });
     let announced_at = now;
     let (op, taken) = loop {
@@ -167,7 +167,7 @@
     map.remove(OTHER);
     keeper.on_write(TimeMs(now), op, WriteResult::Applied { version: 3 });
     let holding = keeper.holding();
-    assert_eq!(holding.count(), SLOTS);
+    assert_eq!(holding.count(), SLOT_COUNT);
     let taken = holding.held.iter().flatten().filter(|held| held.epoch == 2);
     let grace_ms = ResendLimits::new(16_000).grace_ms();
     assert!(
@@ -175,7 +175,7 @@
             .clone()
             .all(|held| held.grace_until == TimeMs(now + grace_ms))
     );
-    assert_eq!(taken.count(), SLOTS / 2);
+    assert_eq!(taken.count(), SLOT_COUNT / 2);
 }
 
 /// A member writes that it takes slots over, and the answer is lost. Their owner was only slow;
--- a/tests/claims_ledger.rs
+++ b/tests/claims_ledger.rs
@@ -13,7 +13,7 @@
 use sassafrasgap::claims::LedgerTransfer;
 use sassafrasgap::claims::MovedTo;
 use sassafrasgap::claims::ResendLimits;
-use sassafrasgap::claims::SLOTS;
+use sassafrasgap::claims::SLOT_COUNT;
 use sassafrasgap::claims::slot_of;
 use sassafrasgap::control::KeptAnswer;
 use sassafrasgap::core::Name;
@@ -32,7 +32,7 @@
         epoch: 1,
         grace_until: TimeMs(grace_until),
         giving: false,
-    }); SLOTS];
+    }); SLOT_COUNT];
     holding
 }
 
@@ -198,7 +198,7 @@
 }
 
 fn transfer(from: &mut Ledger, id: u64, now: u64) -> LedgerTransfer {
-    let slots: Vec<usize> = (0..SLOTS).collect();
+    let slots: Vec<usize> = (0..SLOT_COUNT).collect();
     let to = MovedTo {
         node: Name::from("receiver"),
         instance: 2,
--- a/tests/claims_world/mod.rs
+++ b/tests/claims_world/mod.rs
@@ -20,7 +20,7 @@
 use sassafrasgap::claims::LedgerTransfer;
 use sassafrasgap::claims::ReadResult;
 use sassafrasgap::claims::ResendLimits;
-use sassafrasgap::claims::SLOTS;
+use sassafrasgap::claims::SLOT_COUNT;
 use sassafrasgap::claims::Situation;
 use sassafrasgap::claims::SlotMap;
 use sassafrasgap::claims::WriteResult;
@@ -277,7 +277,7 @@
     }
 
     fn check_owners(&self) {
-        for slot in 0..SLOTS {
+        for slot in 0..SLOT_COUNT {
             let open = |process: &&Process| process.could_start(slot, self.now);
             let owners = self.processes.iter().filter(open).count();
             assert!(
--- a/tests/support/test_mesh.rs
+++ b/tests/support/test_mesh.rs
@@ -28,7 +28,7 @@
 use sassafrasgap::claims::LedgerBounds;
 use sassafrasgap::claims::OtherOwner;
 use sassafrasgap::claims::ResendLimits;
-use sassafrasgap::claims::SLOTS;
+use sassafrasgap::claims::SLOT_COUNT;
 use sassafrasgap::claims::SharedLedger;
 use sassafrasgap::conf::NodeSettings;
 use sassafrasgap::core::Clock;
@@ -299,7 +299,7 @@
 ) -> Arc<Claims> {
     let mut holding = Holding::nothing();
     holding.lease_until = TimeMs(u64::MAX);
-    for slot in 0..SLOTS {
+    for slot in 0..SLOT_COUNT {
         match &owner {
             Some(node) => {
                 let node = node.clone();
