--- a/src/claims/mod.rs
+++ b/src/claims/mod.rs
@@ -62,7 +62,7 @@
 pub use shared_ledger::RunTicket;
 pub use shared_ledger::Settled;
 pub use shared_ledger::SharedLedger;
-pub use slot::LONGEST_KEY_BYTES;
+pub use slot::MAX_IDEMPOTENCY_KEY_BYTES;
 pub use slot::SLOT_COUNT;
 pub use slot::slot_of;
 pub use slot_map::Intent;
--- a/src/claims/slot.rs
+++ b/src/claims/slot.rs
@@ -6,7 +6,7 @@
 pub const SLOT_COUNT: usize = 32;
 
 /// The longest key that is accepted, in bytes: the ledger's memory is bounded by it.
-pub const LONGEST_KEY_BYTES: usize = 200;
+pub const MAX_IDEMPOTENCY_KEY_BYTES: usize = 200;
 
 /// The slot to which a key of a service belongs.
 pub fn slot_of(service: &str, key: &str) -> usize {
--- a/src/node/take_call.rs
+++ b/src/node/take_call.rs
@@ -8,7 +8,7 @@
 
 use crate::adapters::Body;
 use crate::admission::route_of;
-use crate::claims::LONGEST_KEY_BYTES;
+use crate::claims::MAX_IDEMPOTENCY_KEY_BYTES;
 use crate::core::Name;
 use crate::core::Refusal;
 use crate::core::RefusalReason;
@@ -128,7 +128,7 @@
         return Ok(None);
     };
     let text = value.to_str().ok();
-    let is_fit = |text: &&str| !text.is_empty() && text.len() <= LONGEST_KEY_BYTES;
+    let is_fit = |text: &&str| !text.is_empty() && text.len() <= MAX_IDEMPOTENCY_KEY_BYTES;
     match (text.filter(is_fit), values.next()) {
         (Some(text), None) => Ok(Some(Name::from(text))),
         _ => Err(not_run(RefusalReason::BadRequest)),
