--- a/src/claims/boot.rs
+++ b/src/claims/boot.rs
@@ -12,7 +12,7 @@
 /// A second process with the same value could only bind the address after this one is gone, be
 /// it paused or not. Where the machine does not name its run, the value is random: then nothing is
 /// concluded, and a restarted node waits like any other.
-pub fn boot_of(bound: SocketAddr) -> u64 {
+pub fn boot_fingerprint(bound: SocketAddr) -> u64 {
     let Ok(boot_id) = fs::read_to_string(BOOT_ID_PATH) else {
         return fastrand::u64(..);
     };
--- a/src/claims/driver.rs
+++ b/src/claims/driver.rs
@@ -57,7 +57,7 @@
 pub struct ClaimsSettings {
     pub node: Name,
     pub region: Name,
-    /// See [`crate::claims::boot_of`]. The node's addresses have to be bound before it is used.
+    /// See [`crate::claims::boot_fingerprint`]. The node's addresses have to be bound before it is used.
     pub boot: u64,
     pub lease: LeaseConf,
     pub bounds: LedgerBounds,
--- a/src/claims/mod.rs
+++ b/src/claims/mod.rs
@@ -26,7 +26,7 @@
 mod slot_table;
 mod window_watch;
 
-pub use boot::boot_of;
+pub use boot::boot_fingerprint;
 pub use driver::Claims;
 pub use driver::ClaimsPorts;
 pub use driver::ClaimsSettings;
--- a/src/node/join_claims.rs
+++ b/src/node/join_claims.rs
@@ -9,7 +9,7 @@
 use crate::claims::LeaseConf;
 use crate::claims::LedgerBounds;
 use crate::claims::LocalService;
-use crate::claims::boot_of;
+use crate::claims::boot_fingerprint;
 use crate::conf::NodeSettings;
 use crate::control::ControlHandle;
 use crate::core::TargetState;
@@ -29,7 +29,7 @@
     let settings = ClaimsSettings {
         node: settings.node.clone(),
         region: settings.region.clone(),
-        boot: boot_of(bound),
+        boot: boot_fingerprint(bound),
         lease: LeaseConf::for_lease(settings.lease_ms),
         bounds,
     };
