--- a/src/claims/driver.rs
+++ b/src/claims/driver.rs
@@ -117,7 +117,7 @@
         })
     }
 
-    /// Claims over a ledger whose holding somebody else decides, for nodes without a control thread.
+    /// Claims over a ledger whose slot_lease somebody else decides, for nodes without a control thread.
     pub fn with_ledger(
         settings: ClaimsSettings,
         clock: Clock,
@@ -276,13 +276,13 @@
         let Some(kept) = guard.as_mut() else {
             return;
         };
-        let before = kept.keeper.holding().count();
+        let before = kept.keeper.slot_lease().count();
         let actions = work(&mut kept.keeper, self.clock.now());
-        let holding = kept.keeper.holding().clone();
-        if holding.count() != before {
-            log::info!("claims: slots held={} before={before}", holding.count());
+        let slot_lease = kept.keeper.slot_lease().clone();
+        if slot_lease.count() != before {
+            log::info!("claims: slots held={} before={before}", slot_lease.count());
         }
-        kept.ledger.with(|ledger, _| ledger.set_holding(holding));
+        kept.ledger.with(|ledger, _| ledger.set_slot_lease(slot_lease));
         for action in actions {
             self.act(ports, kept, action);
         }
--- a/src/claims/keeper_action.rs
+++ b/src/claims/keeper_action.rs
@@ -18,7 +18,7 @@
     },
     /// Ask a member for the promise not to take over.
     AskPromise { round: u64, node: Name, member: u64 },
-    /// Send the ledger of slots that are given to a member. By now the holding marks them as given.
+    /// Send the ledger of slots that are given to a member. By now the slot_lease marks them as given.
     HandOver {
         transfer: u64,
         node: Name,
--- a/src/claims/keeper_peers.rs
+++ b/src/claims/keeper_peers.rs
@@ -72,7 +72,7 @@
             return Vec::new();
         };
         let waiting = now.since(clean_at) < self.conf.promises_after_ms;
-        if waiting || self.holding.count() == 0 || !self.promises.is_due(now) {
+        if waiting || self.slot_lease.count() == 0 || !self.promises.is_due(now) {
             return Vec::new();
         }
         // Members of other regions may only take over by the long way, which outlasts promises.
--- a/src/claims/keeper_rows.rs
+++ b/src/claims/keeper_rows.rs
@@ -35,7 +35,7 @@
         let listed = row.map.member(self.me.instance).is_some();
         if listed && !row.map.is_threatened(self.me.instance) {
             let until = sent_at + self.conf.terms.lease_ms;
-            self.holding.lease_until = self.holding.lease_until.max(until);
+            self.slot_lease.lease_until = self.slot_lease.lease_until.max(until);
             self.clean_at = self.clean_at.max(Some(sent_at));
         }
         self.unowned_since = if row.map.unowned().is_empty() {
@@ -125,15 +125,15 @@
             .map_or(&[], |giving| &giving.given.slots);
         for slot in 0..SLOT_COUNT {
             let entry = row.map.slots[slot];
-            let before = self.holding.held[slot];
+            let before = self.slot_lease.held[slot];
             let held = held_slots::held(slot, entry, me, before, &self.received, now, self.limits);
-            self.holding.held[slot] = held.map(|held| HeldSlot {
+            self.slot_lease.held[slot] = held.map(|held| HeldSlot {
                 giving: given.contains(&slot),
                 ..held
             });
             let other = entry.owner.filter(|owner| *owner != me);
             let member = other.and_then(|owner| row.map.member(owner));
-            self.holding.others[slot] = member.map(|member| OtherOwner {
+            self.slot_lease.others[slot] = member.map(|member| OtherOwner {
                 node: member.node.clone(),
                 epoch: entry.epoch,
             });
--- a/src/claims/lease_keeper.rs
+++ b/src/claims/lease_keeper.rs
@@ -1,13 +1,13 @@
 //! Keeps the lease and the slots of one node: a pure state machine over the service's row.
 //!
-//! Guards against two processes that run calls of the same slot at once, each holding the other
+//! Guards against two processes that run calls of the same slot at once, each slot_lease the other
 //! for gone: a charge would be made twice, once by either. It holds because an owner relies on
 //! its slots only for a lease after a sign that nobody had begun to take them over, and whoever
 //! takes over announces it first and then waits longer than that lease. The argument in full,
 //! with pauses, lost answers and late writes, is in docs/AT_MOST_ONCE.md.
 
 use crate::claims::Action;
-use crate::claims::Holding;
+use crate::claims::SlotLease;
 use crate::claims::LeaseConf;
 use crate::claims::LedgerTransfer;
 use crate::claims::ReadResult;
@@ -100,7 +100,7 @@
     pub(super) give_at: TimeMs,
     pub(super) transfers: u32,
     pub(super) received: Vec<Received>,
-    pub(super) holding: Holding,
+    pub(super) slot_lease: SlotLease,
 }
 
 impl LeaseKeeper {
@@ -127,14 +127,14 @@
             give_at: TimeMs(0),
             transfers: 0,
             received: Vec::new(),
-            holding: Holding::nothing(),
+            slot_lease: SlotLease::none_held(),
         }
     }
 
     /// What the ledger may rely on. It has to be handed to the ledger after every call of the
     /// keeper and before any of the actions is carried out.
-    pub fn holding(&self) -> &Holding {
-        &self.holding
+    pub fn slot_lease(&self) -> &SlotLease {
+        &self.slot_lease
     }
 
     /// Takes in another resend window.
@@ -147,7 +147,7 @@
         let listed = |row: &Row| row.map.member(self.me.instance).is_some();
         !self.row.as_ref().is_some_and(listed)
             && self.pending.is_none()
-            && self.holding.count() == 0
+            && self.slot_lease.count() == 0
     }
 
     /// Moves on with time and with what the node knows of its surroundings.
@@ -224,9 +224,9 @@
         };
         let terms = self.conf.terms;
         let until = (asked_at + terms.lease_ms.min(hold_ms)).min(clean_at + terms.outage_ms);
-        if until > self.holding.lease_until {
+        if until > self.slot_lease.lease_until {
             log::debug!("claims: lease kept by promises now={now} until={until}");
-            self.holding.lease_until = until;
+            self.slot_lease.lease_until = until;
         }
     }
 
--- a/src/claims/ledger.rs
+++ b/src/claims/ledger.rs
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use crate::claims::Holding;
+use crate::claims::SlotLease;
 use crate::claims::KeyOutcome;
 use crate::claims::KeyState;
 use crate::claims::LateNews;
@@ -83,7 +83,7 @@
     pub(super) instance: u64,
     pub(super) bounds: LedgerBounds,
     pub(super) limits: ResendLimits,
-    pub(super) holding: Holding,
+    pub(super) slot_lease: SlotLease,
     pub(super) keys: FastMap<Name, LedgerEntry>,
     /// Ended keys, the earliest to forget first.
     pub(super) ended: VecDeque<(TimeMs, Name)>,
@@ -101,7 +101,7 @@
             instance,
             bounds,
             limits,
-            holding: Holding::nothing(),
+            slot_lease: SlotLease::none_held(),
             keys: FastMap::default(),
             ended: VecDeque::new(),
             answers: VecDeque::new(),
@@ -134,11 +134,11 @@
     /// Why nobody here can say that an unseen key never ran, if that is so.
     fn cannot_know(&self, now: TimeMs, call: &KeyedCall<'_>) -> Option<Refusal> {
         let slot = slot_of(&self.service, call.key);
-        let held = self.holding.held[slot].filter(|held| !held.giving);
+        let held = self.slot_lease.held[slot].filter(|held| !held.giving);
         let Some(held) = held else {
             return Some(Refusal::unknown(RefusalReason::NotOwner, OWNER_RETRY_MS));
         };
-        if now >= self.holding.lease_until {
+        if now >= self.slot_lease.lease_until {
             return Some(Refusal::unknown(RefusalReason::LeaseLapsed, OWNER_RETRY_MS));
         }
         if now < held.grace_until && !call.first_sending {
@@ -197,13 +197,13 @@
     }
 
     /// Takes in what is held now. Every check from here on is made against it.
-    pub fn set_holding(&mut self, holding: Holding) {
-        self.holding = holding;
+    pub fn set_slot_lease(&mut self, slot_lease: SlotLease) {
+        self.slot_lease = slot_lease;
     }
 
     /// What is held.
-    pub fn holding(&self) -> &Holding {
-        &self.holding
+    pub fn slot_lease(&self) -> &SlotLease {
+        &self.slot_lease
     }
 
     /// Takes in another resend window, after a switch of presets.
@@ -234,14 +234,14 @@
     /// Whom to name as the owner of the key's slot.
     pub fn owner_hint(&self, now: TimeMs, own_node: &Name, key: &str) -> Option<OwnerHint> {
         let slot = slot_of(&self.service, key);
-        if let Some(held) = self.holding.held[slot].filter(|held| !held.giving) {
+        if let Some(held) = self.slot_lease.held[slot].filter(|held| !held.giving) {
             return Some(OwnerHint {
                 node: own_node.clone(),
                 epoch: held.epoch,
                 stamp: self.stamp(now),
             });
         }
-        self.holding.others[slot].as_ref().map(|other| OwnerHint {
+        self.slot_lease.others[slot].as_ref().map(|other| OwnerHint {
             node: other.node.clone(),
             epoch: other.epoch,
             stamp: 0,
@@ -318,11 +318,11 @@
 
     /// The slots whose unseen keys would be admitted at `now`; for status and metrics.
     pub fn open_slots(&self, now: TimeMs) -> usize {
-        if now >= self.holding.lease_until {
+        if now >= self.slot_lease.lease_until {
             return 0;
         }
         let open = |slot: &usize| {
-            let held = self.holding.held[*slot];
+            let held = self.slot_lease.held[*slot];
             held.is_some_and(|held| !held.giving && now >= held.grace_until)
         };
         (0..SLOT_COUNT).filter(open).count()
--- a/src/claims/ledger_moves.rs
+++ b/src/claims/ledger_moves.rs
@@ -25,7 +25,7 @@
 impl Ledger {
     /// The ledger of slots for their next owner, who will be told how the keys end that run here.
     ///
-    /// The holding has to mark the slots as given by now: then no further key starts in them, and
+    /// The slot_lease has to mark the slots as given by now: then no further key starts in them, and
     /// the copy misses none.
     pub fn give(&mut self, now: TimeMs, slots: &[usize], to: &MovedTo) -> LedgerTransfer {
         self.mark_moved(slots, to);
@@ -43,7 +43,7 @@
     }
 
     fn moved_slot(&self, now: TimeMs, slot: usize) -> MovedSlot {
-        let held = self.holding.held[slot];
+        let held = self.slot_lease.held[slot];
         // A slot that is not held has no ledger here: its next owner has to wait in full.
         let full_ms = self.limits.grace_ms();
         MovedSlot {
--- a/src/claims/holding.rs
+++ b/src/claims/slot_lease.rs
@@ -23,16 +23,16 @@
 
 /// The lease and the slots of this process, and whom else it knows to own slots.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Holding {
+pub struct SlotLease {
     /// Unseen keys may start only before this moment.
     pub lease_until: TimeMs,
     pub held: [Option<HeldSlot>; SLOT_COUNT],
     pub others: [Option<OtherOwner>; SLOT_COUNT],
 }
 
-impl Holding {
+impl SlotLease {
     /// Nothing held and nothing known.
-    pub fn nothing() -> Self {
+    pub fn none_held() -> Self {
         Self {
             lease_until: TimeMs(0),
             held: [None; SLOT_COUNT],
--- a/src/node/status.rs
+++ b/src/node/status.rs
@@ -102,7 +102,7 @@
             return Self::default();
         };
         ledger.with(|ledger, now| Self {
-            slots_owned: ledger.holding().count(),
+            slots_owned: ledger.slot_lease().count(),
             slots_open: ledger.open_slots(now),
             keys: ledger.len(),
             answer_bytes: ledger.answer_bytes(),
--- a/tests/claims_keeper.rs
+++ b/tests/claims_keeper.rs
@@ -166,9 +166,9 @@
     }
     map.remove(OTHER);
     keeper.on_write(TimeMs(now), op, WriteResult::Applied { version: 3 });
-    let holding = keeper.holding();
-    assert_eq!(holding.count(), SLOT_COUNT);
-    let taken = holding.held.iter().flatten().filter(|held| held.epoch == 2);
+    let slot_lease = keeper.slot_lease();
+    assert_eq!(slot_lease.count(), SLOT_COUNT);
+    let taken = slot_lease.held.iter().flatten().filter(|held| held.epoch == 2);
     let grace_ms = ResendLimits::new(16_000).grace_ms();
     assert!(
         taken
@@ -254,7 +254,7 @@
     let mut keeper = keeper();
     let alive = [ME, OTHER, THIRD];
     read(&mut keeper, 1_000, &alive, 1, &row_of(&alive));
-    assert_eq!(keeper.holding().lease_until, TimeMs(1_000 + LEASE_MS));
+    assert_eq!(keeper.slot_lease().lease_until, TimeMs(1_000 + LEASE_MS));
     let mut now = 1_000;
     let round = loop {
         now += 100;
@@ -274,10 +274,10 @@
     let granted = Promise::Granted { hold_ms: LEASE_MS };
     let answered_at = TimeMs(now + 500);
     keeper.on_promise(answered_at, round, OTHER, &granted);
-    assert_eq!(keeper.holding().lease_until, TimeMs(1_000 + LEASE_MS));
+    assert_eq!(keeper.slot_lease().lease_until, TimeMs(1_000 + LEASE_MS));
     keeper.on_promise(answered_at, round, THIRD, &granted);
     // From the moment of the question on: the promises began at some moment after it.
-    assert_eq!(keeper.holding().lease_until, TimeMs(now + LEASE_MS));
+    assert_eq!(keeper.slot_lease().lease_until, TimeMs(now + LEASE_MS));
 }
 
 /// The table stays down for longer than promises may stand in for it. A member that joined since
@@ -303,7 +303,7 @@
             }
         }
     }
-    assert_eq!(keeper.holding().lease_until, TimeMs(end));
+    assert_eq!(keeper.slot_lease().lease_until, TimeMs(end));
     assert!(conf().terms.outage_over_ms() * 100 >= conf().terms.outage_ms * 102);
 }
 
@@ -320,11 +320,11 @@
         victim: ME,
     });
     let actions = read(&mut keeper, 1_000, &[ME, OTHER], 1, &map);
-    assert_eq!(keeper.holding().lease_until, TimeMs(0));
+    assert_eq!(keeper.slot_lease().lease_until, TimeMs(0));
     let (op, map) = written(&actions).expect("a write");
     assert!(!map.is_threatened(ME));
     keeper.on_write(TimeMs(1_800), op, WriteResult::Applied { version: 2 });
-    assert_eq!(keeper.holding().lease_until, TimeMs(1_000 + LEASE_MS));
+    assert_eq!(keeper.slot_lease().lease_until, TimeMs(1_000 + LEASE_MS));
 }
 
 /// A promise outlasts what is built on it: whoever promised takes nothing over until the owner's
@@ -371,7 +371,7 @@
         assert_eq!(map.slots_of(9).is_empty(), at_once);
         keeper.on_write(TimeMs(1_000), op, WriteResult::Applied { version: 2 });
         let grace_until = TimeMs(1_000 + ResendLimits::new(16_000).grace_ms());
-        let held: Vec<_> = keeper.holding().held.iter().flatten().collect();
+        let held: Vec<_> = keeper.slot_lease().held.iter().flatten().collect();
         assert_eq!(!held.is_empty(), at_once);
         assert!(held.iter().all(|held| held.grace_until == grace_until));
     }
--- a/tests/claims_ledger.rs
+++ b/tests/claims_ledger.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use sassafrasgap::claims::Begin;
 use sassafrasgap::claims::HeldSlot;
-use sassafrasgap::claims::Holding;
+use sassafrasgap::claims::SlotLease;
 use sassafrasgap::claims::KeyOutcome;
 use sassafrasgap::claims::KeyedCall;
 use sassafrasgap::claims::Ledger;
@@ -25,15 +25,15 @@
 const WINDOW_MS: u64 = 16_000;
 const CONTENT: u64 = 7;
 
-fn held(lease_until: u64, grace_until: u64) -> Holding {
-    let mut holding = Holding::nothing();
-    holding.lease_until = TimeMs(lease_until);
-    holding.held = [Some(HeldSlot {
+fn held(lease_until: u64, grace_until: u64) -> SlotLease {
+    let mut slot_lease = SlotLease::none_held();
+    slot_lease.lease_until = TimeMs(lease_until);
+    slot_lease.held = [Some(HeldSlot {
         epoch: 1,
         grace_until: TimeMs(grace_until),
         giving: false,
     }); SLOT_COUNT];
-    holding
+    slot_lease
 }
 
 fn ledger(instance: u64, max_keys: usize, max_answer_bytes: usize) -> Ledger {
@@ -43,7 +43,7 @@
     };
     let limits = ResendLimits::new(WINDOW_MS);
     let mut ledger = Ledger::new(Name::from("jobs"), instance, bounds, limits);
-    ledger.set_holding(held(u64::MAX, 0));
+    ledger.set_slot_lease(held(u64::MAX, 0));
     ledger
 }
 
@@ -104,14 +104,14 @@
 #[rstest]
 #[case(held(1_000, 0), RefusalReason::LeaseLapsed)]
 #[case(held(9_000, 2_000), RefusalReason::GracePeriod)]
-#[case(Holding::nothing(), RefusalReason::NotOwner)]
+#[case(SlotLease::none_held(), RefusalReason::NotOwner)]
 fn an_unseen_key_is_unknown_where_it_may_have_run_elsewhere(
-    #[case] holding: Holding,
+    #[case] slot_lease: SlotLease,
     #[case] reason: RefusalReason,
 ) {
     let mut ledger = ledger(1, 10, 1_000);
     assert_eq!(begin(&mut ledger, 1, "seen", CONTENT), Begin::Run);
-    ledger.set_holding(holding);
+    ledger.set_slot_lease(slot_lease);
     let unseen = begin(&mut ledger, 1_000, "unseen", CONTENT);
     assert_eq!(refused(unseen), (reason, RunState::Unknown));
     assert_eq!(begin(&mut ledger, 1_000, "seen", CONTENT), Begin::Join);
--- a/tests/claims_world/process.rs
+++ b/tests/claims_world/process.rs
@@ -80,14 +80,14 @@
     /// Lets the keeper work, and the ledger see the result before any action is carried out.
     pub fn keep(&mut self, work: impl FnOnce(&mut LeaseKeeper) -> Vec<Action>) -> Vec<Action> {
         let actions = work(&mut self.keeper);
-        self.ledger.set_holding(self.keeper.holding().clone());
+        self.ledger.set_slot_lease(self.keeper.slot_lease().clone());
         actions
     }
 
     /// Whether an unseen key of the slot could start now, but for the grace period.
     pub fn could_start(&self, slot: usize, now: u64) -> bool {
-        let holding = self.ledger.holding();
-        let open = holding.held[slot].is_some_and(|held| !held.giving);
-        !self.is_dead && open && self.clock(now) < holding.lease_until
+        let slot_lease = self.ledger.slot_lease();
+        let open = slot_lease.held[slot].is_some_and(|held| !held.giving);
+        !self.is_dead && open && self.clock(now) < slot_lease.lease_until
     }
 }
--- a/tests/node_child_keys.rs
+++ b/tests/node_child_keys.rs
@@ -55,11 +55,11 @@
     let claims = mesh.nodes[place].node.inputs.claims.as_ref();
     let ledger = claims.and_then(|claims| claims.ledger()).expect("a ledger");
     ledger.with(|ledger, _| {
-        let mut holding = ledger.holding().clone();
-        for held in holding.held.iter_mut().flatten() {
+        let mut slot_lease = ledger.slot_lease().clone();
+        for held in slot_lease.held.iter_mut().flatten() {
             held.grace_until = TimeMs(3_600_000);
         }
-        ledger.set_holding(holding);
+        ledger.set_slot_lease(slot_lease);
     });
 }
 
--- a/tests/support/test_mesh.rs
+++ b/tests/support/test_mesh.rs
@@ -22,7 +22,7 @@
 use sassafrasgap::claims::Claims;
 use sassafrasgap::claims::ClaimsSettings;
 use sassafrasgap::claims::HeldSlot;
-use sassafrasgap::claims::Holding;
+use sassafrasgap::claims::SlotLease;
 use sassafrasgap::claims::LeaseConf;
 use sassafrasgap::claims::Ledger;
 use sassafrasgap::claims::LedgerBounds;
@@ -297,16 +297,16 @@
     owner: Option<Name>,
     clock: Clock,
 ) -> Arc<Claims> {
-    let mut holding = Holding::nothing();
-    holding.lease_until = TimeMs(u64::MAX);
+    let mut slot_lease = SlotLease::none_held();
+    slot_lease.lease_until = TimeMs(u64::MAX);
     for slot in 0..SLOT_COUNT {
         match &owner {
             Some(node) => {
                 let node = node.clone();
-                holding.others[slot] = Some(OtherOwner { node, epoch: 1 });
+                slot_lease.others[slot] = Some(OtherOwner { node, epoch: 1 });
             }
             None => {
-                holding.held[slot] = Some(HeldSlot {
+                slot_lease.held[slot] = Some(HeldSlot {
                     epoch: 1,
                     grace_until: TimeMs(0),
                     giving: false,
@@ -317,7 +317,7 @@
     let bounds = LedgerBounds::default();
     let limits = ResendLimits::new(10_000);
     let mut ledger = Ledger::new(Name::from(service), fastrand::u64(..), bounds, limits);
-    ledger.set_holding(holding);
+    ledger.set_slot_lease(slot_lease);
     let claims = ClaimsSettings {
         node: settings.node.clone(),
         region: settings.region.clone(),
