--- a/src/claims/held_slots.rs
+++ b/src/claims/held_slots.rs
@@ -41,7 +41,7 @@
     Some(HeldSlot {
         epoch: entry.epoch,
         grace_until,
-        giving: false,
+        handing_over: false,
     })
 }
 
--- a/src/claims/keeper_peers.rs
+++ b/src/claims/keeper_peers.rs
@@ -12,7 +12,7 @@
 
 impl LeaseKeeper {
     pub(super) fn start_giving(&mut self, now: TimeMs) -> Option<Action> {
-        if self.giving.is_some() || now < self.give_at || self.pending_write() {
+        if self.handing_over.is_some() || now < self.give_at || self.pending_write() {
             return None;
         }
         let clean_at = self.clean_at?;
@@ -61,7 +61,7 @@
         if confirmed {
             self.next_read_at = now;
         }
-        self.giving = Some(Giving { given, confirmed });
+        self.handing_over = Some(Giving { given, confirmed });
         self.derive_holding(now);
         action
     }
--- a/src/claims/keeper_rows.rs
+++ b/src/claims/keeper_rows.rs
@@ -80,17 +80,17 @@
 
     /// Ends a hand-over that the row shows to be done or impossible.
     fn note_given(&mut self, now: TimeMs, map: &SlotMap) {
-        let Some(giving) = &self.giving else {
+        let Some(handing_over) = &self.handing_over else {
             return;
         };
         let me = self.me.instance;
         let still_own = |slot: &usize| map.slots[*slot].owner == Some(me);
-        if !giving.given.slots.iter().any(still_own) {
-            self.giving = None;
+        if !handing_over.given.slots.iter().any(still_own) {
+            self.handing_over = None;
             self.give_at = now;
             return;
         }
-        let Some(receiver) = giving.given.receiver else {
+        let Some(receiver) = handing_over.given.receiver else {
             return;
         };
         if map.member(receiver).is_none_or(|member| !member.serving) {
@@ -101,11 +101,11 @@
     /// Keeps the slots after all. Only while no write that gives them away can take effect: the
     /// receiver would own them by it while this process goes on.
     pub(super) fn cancel_giving(&mut self, now: TimeMs) {
-        let confirmed = self.giving.as_ref().is_some_and(|giving| giving.confirmed);
+        let confirmed = self.handing_over.as_ref().is_some_and(|handing_over| handing_over.confirmed);
         if confirmed && (self.pending_write() || self.unresolved.is_some()) {
             return;
         }
-        self.giving = None;
+        self.handing_over = None;
         self.give_at = now + self.conf.give_again_ms;
         self.derive_holding(now);
     }
@@ -120,15 +120,15 @@
         };
         let me = self.me.instance;
         let given: &[usize] = self
-            .giving
+            .handing_over
             .as_ref()
-            .map_or(&[], |giving| &giving.given.slots);
+            .map_or(&[], |handing_over| &handing_over.given.slots);
         for slot in 0..SLOT_COUNT {
             let entry = row.map.slots[slot];
             let before = self.slot_lease.held[slot];
             let held = held_slots::held(slot, entry, me, before, &self.received, now, self.limits);
             self.slot_lease.held[slot] = held.map(|held| HeldSlot {
-                giving: given.contains(&slot),
+                handing_over: given.contains(&slot),
                 ..held
             });
             let other = entry.owner.filter(|owner| *owner != me);
--- a/src/claims/lease_keeper.rs
+++ b/src/claims/lease_keeper.rs
@@ -96,7 +96,7 @@
     pub(super) missing_since: FastMap<u64, TimeMs>,
     pub(super) not_serving_since: Option<TimeMs>,
     pub(super) unowned_since: Option<TimeMs>,
-    pub(super) giving: Option<Giving>,
+    pub(super) handing_over: Option<Giving>,
     pub(super) give_at: TimeMs,
     pub(super) transfers: u32,
     pub(super) received: Vec<Received>,
@@ -123,7 +123,7 @@
             missing_since: FastMap::default(),
             not_serving_since: None,
             unowned_since: None,
-            giving: None,
+            handing_over: None,
             give_at: TimeMs(0),
             transfers: 0,
             received: Vec::new(),
@@ -276,14 +276,14 @@
 
     /// Takes in whether the receiver confirmed [`Action::HandOver`].
     pub fn on_handed_over(&mut self, now: TimeMs, transfer: u64, confirmed: bool) -> Vec<Action> {
-        let Some(giving) = &mut self.giving else {
+        let Some(handing_over) = &mut self.handing_over else {
             return Vec::new();
         };
-        if giving.given.transfer != transfer || giving.confirmed {
+        if handing_over.given.transfer != transfer || handing_over.confirmed {
             return Vec::new();
         }
         if confirmed {
-            giving.confirmed = true;
+            handing_over.confirmed = true;
             self.next_read_at = now;
         } else {
             self.cancel_giving(now);
@@ -310,7 +310,7 @@
     /// What to change in the row that was just taken in.
     fn plan_write(&mut self, now: TimeMs) -> Option<Action> {
         let row = self.row.as_ref()?;
-        let confirmed = self.giving.as_ref().filter(|giving| giving.confirmed);
+        let confirmed = self.handing_over.as_ref().filter(|handing_over| handing_over.confirmed);
         let input = PlanInput {
             me: &self.me,
             conf: &self.conf,
@@ -322,7 +322,7 @@
             missing: &self.missing_since,
             intents: &self.intents,
             may_take_over: self.promises.may_take_over(now),
-            given: confirmed.map(|giving| &giving.given),
+            given: confirmed.map(|handing_over| &handing_over.given),
         };
         let planned = row_plan::plan(&row.map, &input, &mut self.rng);
         let mut planned = match planned {
--- a/src/claims/ledger.rs
+++ b/src/claims/ledger.rs
@@ -134,7 +134,7 @@
     /// Why nobody here can say that an unseen key never ran, if that is so.
     fn cannot_know(&self, now: TimeMs, call: &KeyedCall<'_>) -> Option<Refusal> {
         let slot = slot_of(&self.service, call.key);
-        let held = self.slot_lease.held[slot].filter(|held| !held.giving);
+        let held = self.slot_lease.held[slot].filter(|held| !held.handing_over);
         let Some(held) = held else {
             return Some(Refusal::unknown(RefusalReason::NotOwner, OWNER_RETRY_MS));
         };
@@ -234,7 +234,7 @@
     /// Whom to name as the owner of the key's slot.
     pub fn owner_hint(&self, now: TimeMs, own_node: &Name, key: &str) -> Option<OwnerHint> {
         let slot = slot_of(&self.service, key);
-        if let Some(held) = self.slot_lease.held[slot].filter(|held| !held.giving) {
+        if let Some(held) = self.slot_lease.held[slot].filter(|held| !held.handing_over) {
             return Some(OwnerHint {
                 node: own_node.clone(),
                 epoch: held.epoch,
@@ -323,7 +323,7 @@
         }
         let open = |slot: &usize| {
             let held = self.slot_lease.held[*slot];
-            held.is_some_and(|held| !held.giving && now >= held.grace_until)
+            held.is_some_and(|held| !held.handing_over && now >= held.grace_until)
         };
         (0..SLOT_COUNT).filter(open).count()
     }
--- a/src/claims/slot_lease.rs
+++ b/src/claims/slot_lease.rs
@@ -11,7 +11,7 @@
     /// Keys that were not seen are refused until then, because a predecessor may have run them.
     pub grace_until: TimeMs,
     /// The ledger of the slot is being handed over: no further key may start here.
-    pub giving: bool,
+    pub handing_over: bool,
 }
 
 /// Another node that owns a slot.
--- a/tests/claims_ledger.rs
+++ b/tests/claims_ledger.rs
@@ -31,7 +31,7 @@
     slot_lease.held = [Some(HeldSlot {
         epoch: 1,
         grace_until: TimeMs(grace_until),
-        giving: false,
+        handing_over: false,
     }); SLOT_COUNT];
     slot_lease
 }
--- a/tests/claims_world/mod.rs
+++ b/tests/claims_world/mod.rs
@@ -7,7 +7,7 @@
 
 mod calls;
 mod faults;
-mod handing_over;
+mod hand_overs;
 mod keys;
 mod process;
 mod store;
--- a/tests/claims_world/process.rs
+++ b/tests/claims_world/process.rs
@@ -87,7 +87,7 @@
     /// Whether an unseen key of the slot could start now, but for the grace period.
     pub fn could_start(&self, slot: usize, now: u64) -> bool {
         let slot_lease = self.ledger.slot_lease();
-        let open = slot_lease.held[slot].is_some_and(|held| !held.giving);
+        let open = slot_lease.held[slot].is_some_and(|held| !held.handing_over);
         !self.is_dead && open && self.clock(now) < slot_lease.lease_until
     }
 }
--- a/tests/support/test_mesh.rs
+++ b/tests/support/test_mesh.rs
@@ -309,7 +309,7 @@
                 slot_lease.held[slot] = Some(HeldSlot {
                     epoch: 1,
                     grace_until: TimeMs(0),
-                    giving: false,
+                    handing_over: false,
                 });
             }
         }
