--- a/src/claims/mod.rs
+++ b/src/claims/mod.rs
@@ -58,7 +58,7 @@
 pub use ledger_moves::LateNews;
 pub use pause_watch::PauseWatch;
 pub use resend_limits::ResendLimits;
-pub use shared_ledger::Admitted;
+pub use shared_ledger::KeyedAdmission;
 pub use shared_ledger::RunTicket;
 pub use shared_ledger::Settled;
 pub use shared_ledger::SharedLedger;
--- a/src/claims/shared_ledger.rs
+++ b/src/claims/shared_ledger.rs
@@ -37,7 +37,7 @@
 
 /// What a guard does with a keyed call.
 #[derive(Debug)]
-pub enum Admitted {
+pub enum KeyedAdmission {
     /// Run it and settle the ticket.
     Run(RunTicket),
     /// Wait for the call that runs already. The sender is never dropped without a word.
@@ -75,18 +75,18 @@
     ///
     /// The time is read before the ledger is asked, never after: a pause in between then makes
     /// the call look older than it is, which the grace period covers.
-    pub fn begin(self: &Arc<Self>, call: &KeyedCall<'_>) -> Admitted {
+    pub fn begin(self: &Arc<Self>, call: &KeyedCall<'_>) -> KeyedAdmission {
         let now = self.clock.now();
         let mut inner = self.lock();
         match inner.ledger.begin(now, call) {
-            Begin::Run => Admitted::Run(RunTicket {
+            Begin::Run => KeyedAdmission::Run(RunTicket {
                 ledger: self.clone(),
                 key: call.key.clone(),
                 settled: false,
             }),
             Begin::Join => join(&mut inner, call.key),
-            Begin::Answer(answer) => Admitted::Answer(answer),
-            Begin::Refuse(refusal) => Admitted::Refuse(refusal),
+            Begin::Answer(answer) => KeyedAdmission::Answer(answer),
+            Begin::Refuse(refusal) => KeyedAdmission::Refuse(refusal),
         }
     }
 
@@ -125,16 +125,16 @@
     }
 }
 
-fn join(inner: &mut Inner, key: &Name) -> Admitted {
+fn join(inner: &mut Inner, key: &Name) -> KeyedAdmission {
     let waiters = inner.joined.entry(key.clone()).or_default();
     waiters.retain(|waiter| !waiter.is_closed());
     if waiters.len() >= MAX_JOINED {
         let reason = RefusalReason::AlreadyRan;
-        return Admitted::Refuse(Refusal::unknown(reason, JOIN_RETRY_MS));
+        return KeyedAdmission::Refuse(Refusal::unknown(reason, JOIN_RETRY_MS));
     }
     let (sender, receiver) = oneshot::channel();
     waiters.push(sender);
-    Admitted::Join(receiver)
+    KeyedAdmission::Join(receiver)
 }
 
 /// The right and the duty to run one keyed call.
--- a/src/node/keyed_guard.rs
+++ b/src/node/keyed_guard.rs
@@ -8,7 +8,7 @@
 
 use tokio::sync::oneshot;
 
-use crate::claims::Admitted;
+use crate::claims::KeyedAdmission;
 use crate::claims::KeyedCall;
 use crate::claims::RunTicket;
 use crate::claims::Settled;
@@ -68,26 +68,26 @@
     let left_ms = call.deadline.since(node.inputs.clock.now());
     let left = Duration::from_millis(left_ms);
     match admitted(node, &call, &key) {
-        Admitted::Run(ticket) => {
+        KeyedAdmission::Run(ticket) => {
             let told = start(node, call, ticket);
             within(left, told).await?
         }
-        Admitted::Join(told) => {
+        KeyedAdmission::Join(told) => {
             node.metrics.joined_calls.inc();
             answer_of(within(left, told).await?)
         }
-        Admitted::Answer(kept) => {
+        KeyedAdmission::Answer(kept) => {
             node.metrics.repeated_answers.inc();
             Ok(kept_answer::answer_of(&kept))
         }
-        Admitted::Refuse(refusal) => Err(refusal),
+        KeyedAdmission::Refuse(refusal) => Err(refusal),
     }
 }
 
-fn admitted(node: &Node, call: &GuardedCall, key: &Name) -> Admitted {
+fn admitted(node: &Node, call: &GuardedCall, key: &Name) -> KeyedAdmission {
     let Some(ledger) = ledger(node) else {
         let reason = RefusalReason::NotOwner;
-        return Admitted::Refuse(Refusal::unknown(reason, NO_LEDGER_RETRY_MS));
+        return KeyedAdmission::Refuse(Refusal::unknown(reason, NO_LEDGER_RETRY_MS));
     };
     ledger.begin(&KeyedCall {
         key,
