--- a/src/claims/mod.rs
+++ b/src/claims/mod.rs
@@ -60,7 +60,7 @@
 pub use resend_limits::ResendLimits;
 pub use shared_ledger::KeyedAdmission;
 pub use shared_ledger::RunTicket;
-pub use shared_ledger::Settled;
+pub use shared_ledger::CallOutcome;
 pub use shared_ledger::SharedLedger;
 pub use slot::MAX_IDEMPOTENCY_KEY_BYTES;
 pub use slot::SLOT_COUNT;
--- a/src/claims/shared_ledger.rs
+++ b/src/claims/shared_ledger.rs
@@ -26,7 +26,7 @@
 
 /// How a call ended, for the requests that joined it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Settled {
+pub enum CallOutcome {
     /// It ran; the answer is `None` when it is too large to keep.
     Ran(Option<Arc<KeptAnswer>>),
     /// It may have run.
@@ -41,7 +41,7 @@
     /// Run it and settle the ticket.
     Run(RunTicket),
     /// Wait for the call that runs already. The sender is never dropped without a word.
-    Join(oneshot::Receiver<Settled>),
+    Join(oneshot::Receiver<CallOutcome>),
     /// Repeat the answer.
     Answer(Arc<KeptAnswer>),
     Refuse(Refusal),
@@ -51,7 +51,7 @@
 struct Inner {
     ledger: Ledger,
     /// Bounded by the running keys of the ledger and [`MAX_JOINED`] each.
-    joined: FastMap<Name, Vec<oneshot::Sender<Settled>>>,
+    joined: FastMap<Name, Vec<oneshot::Sender<CallOutcome>>>,
 }
 
 /// A ledger shared by the traffic threads and the control thread.
@@ -97,16 +97,16 @@
         work(&mut inner.ledger, now)
     }
 
-    fn settle(&self, key: &Name, settled: Settled) {
+    fn settle(&self, key: &Name, settled: CallOutcome) {
         let now = self.clock.now();
         let mut inner = self.lock();
         match &settled {
-            Settled::Ran(answer) => {
+            CallOutcome::Ran(answer) => {
                 let outcome = KeyOutcome::Ran(answer.clone());
                 inner.ledger.finish(now, key, outcome);
             }
-            Settled::MayHaveRun => inner.ledger.finish(now, key, KeyOutcome::MayHaveRun),
-            Settled::NotStarted(_) => inner.ledger.not_started(key),
+            CallOutcome::MayHaveRun => inner.ledger.finish(now, key, KeyOutcome::MayHaveRun),
+            CallOutcome::NotStarted(_) => inner.ledger.not_started(key),
         }
         let joined = inner.joined.remove(key);
         drop(inner);
@@ -150,7 +150,7 @@
 
 impl RunTicket {
     /// Reports how the call ended.
-    pub fn settle(mut self, settled: Settled) {
+    pub fn settle(mut self, settled: CallOutcome) {
         self.settled = true;
         self.ledger.settle(&self.key, settled);
     }
@@ -159,7 +159,7 @@
 impl Drop for RunTicket {
     fn drop(&mut self) {
         if !self.settled {
-            self.ledger.settle(&self.key, Settled::MayHaveRun);
+            self.ledger.settle(&self.key, CallOutcome::MayHaveRun);
         }
     }
 }
--- a/src/node/keyed_guard.rs
+++ b/src/node/keyed_guard.rs
@@ -11,7 +11,7 @@
 use crate::claims::KeyedAdmission;
 use crate::claims::KeyedCall;
 use crate::claims::RunTicket;
-use crate::claims::Settled;
+use crate::claims::CallOutcome;
 use crate::claims::SharedLedger;
 use crate::control::KeptAnswer;
 use crate::core::Name;
@@ -118,13 +118,13 @@
     told
 }
 
-fn settled(end: &Result<Answer, Refusal>) -> Settled {
+fn settled(end: &Result<Answer, Refusal>) -> CallOutcome {
     match end {
-        Ok(answer) => Settled::Ran(to_kept(answer).map(Arc::new)),
+        Ok(answer) => CallOutcome::Ran(to_kept(answer).map(Arc::new)),
         Err(refusal) => match refusal.run_state {
-            RunState::NotRun => Settled::NotStarted(*refusal),
-            RunState::Ran => Settled::Ran(None),
-            RunState::Unknown => Settled::MayHaveRun,
+            RunState::NotRun => CallOutcome::NotStarted(*refusal),
+            RunState::Ran => CallOutcome::Ran(None),
+            RunState::Unknown => CallOutcome::MayHaveRun,
         },
     }
 }
@@ -137,16 +137,16 @@
     }
 }
 
-fn answer_of(settled: Settled) -> Result<Answer, Refusal> {
+fn answer_of(settled: CallOutcome) -> Result<Answer, Refusal> {
     match settled {
-        Settled::Ran(Some(kept)) => Ok(kept_answer::answer_of(&kept)),
-        Settled::Ran(None) => Err(Refusal {
+        CallOutcome::Ran(Some(kept)) => Ok(kept_answer::answer_of(&kept)),
+        CallOutcome::Ran(None) => Err(Refusal {
             reason: RefusalReason::AlreadyRan,
             run_state: RunState::Ran,
             retry_after_ms: 0,
         }),
-        Settled::MayHaveRun => Err(Refusal::unknown(RefusalReason::AlreadyRan, 0)),
-        Settled::NotStarted(refusal) => Err(refusal),
+        CallOutcome::MayHaveRun => Err(Refusal::unknown(RefusalReason::AlreadyRan, 0)),
+        CallOutcome::NotStarted(refusal) => Err(refusal),
     }
 }
 
