--- a/src/claims/driver.rs
+++ b/src/claims/driver.rs
@@ -134,12 +134,12 @@
     }
 
     /// Whether an entry should doubt that a keyed request just read is new.
-    pub fn is_pause_suspected(&self, now: TimeMs) -> bool {
+    pub fn may_predate_pause(&self, now: TimeMs) -> bool {
         let limits = self
             .ledger()
             .map(|ledger| ledger.with(|ledger, _| ledger.limits()));
         let unnoticed_ms = limits.map_or(PauseWatch::SHORTEST_MS, |it| it.unnoticed_pause_ms());
-        self.pauses.is_suspicious(now, unnoticed_ms)
+        self.pauses.may_predate_pause(now, unnoticed_ms)
     }
 
     /// Lets the claims answer what peers ask.
--- a/src/claims/pause_watch.rs
+++ b/src/claims/pause_watch.rs
@@ -34,7 +34,7 @@
 
     /// Whether a keyed request read at `now` may have arrived before a pause. It is refused as
     /// `unknown` then.
-    pub fn is_suspicious(&self, now: TimeMs, unnoticed_pause_ms: u64) -> bool {
+    pub fn may_predate_pause(&self, now: TimeMs, unnoticed_pause_ms: u64) -> bool {
         let last = self.last_noted_ms.load(Ordering::SeqCst);
         let until = self.suspicious_until_ms.load(Ordering::SeqCst);
         now.0 < until || (last != 0 && now.0.saturating_sub(last) > unnoticed_pause_ms)
--- a/src/node/keyed_forward.rs
+++ b/src/node/keyed_forward.rs
@@ -62,7 +62,7 @@
 ) -> Result<Answer, Refusal> {
     let claims = node.inputs.claims.as_ref();
     let now = node.inputs.clock.now();
-    if claims.is_some_and(|claims| claims.is_pause_suspected(now)) {
+    if claims.is_some_and(|claims| claims.may_predate_pause(now)) {
         return Err(no_word(RefusalReason::StaleAttempt));
     }
     let sends_until = call.arrived_at + sends_ms(node);
