--- a/src/claims/driver.rs
+++ b/src/claims/driver.rs
@@ -1,5 +1,5 @@
-//! Lets the lease keeper act: the only part of `claims` that meets the outside. It runs on the
-//! control thread and drives the pure keeper with the table, the peers and the clock.
+//! Lets the lease manager act: the only part of `claims` that meets the outside. It runs on the
+//! control thread and drives the pure manager with the table, the peers and the clock.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -19,7 +19,7 @@
 use crate::claims::Action;
 use crate::claims::Identity;
 use crate::claims::LeaseConf;
-use crate::claims::LeaseKeeper;
+use crate::claims::LeaseManager;
 use crate::claims::Ledger;
 use crate::claims::LedgerBounds;
 use crate::claims::LedgerTransfer;
@@ -47,7 +47,7 @@
 use crate::core::View;
 use crate::table_service::PlatformClient;
 
-/// How often the keeper looks at the time.
+/// How often the manager looks at the time.
 const TICK: Duration = Duration::from_millis(100);
 /// How often a planned stop looks whether everything is handed over.
 const LEAVE_POLL: Duration = Duration::from_millis(20);
@@ -84,9 +84,9 @@
     pub window_ms: Box<dyn Fn() -> Option<u64> + Send + Sync>,
 }
 
-/// The keeper together with the ledger that follows it.
+/// The manager together with the ledger that follows it.
 struct Kept {
-    keeper: LeaseKeeper,
+    manager: LeaseManager,
     ledger: Arc<SharedLedger>,
     window: WindowWatch,
     service: Name,
@@ -182,7 +182,7 @@
     fn has_left(&self) -> bool {
         self.lock()
             .as_ref()
-            .is_none_or(|kept| kept.keeper.has_left())
+            .is_none_or(|kept| kept.manager.has_left())
     }
 
     fn lock(&self) -> MutexGuard<'_, Option<Kept>> {
@@ -196,7 +196,7 @@
         self.begin_once(&local.service, window_ms);
         let situation = self.situation(&local, &ports.view.load());
         let news = self.follow_window(window_ms);
-        self.keep(ports, |keeper, now| keeper.tick(now, situation));
+        self.keep(ports, |manager, now| manager.tick(now, situation));
         for (node, transfer) in news {
             self.send_news(ports, &node, transfer);
         }
@@ -224,7 +224,7 @@
         self.ledger.store(Some(ledger.clone()));
         let rng = fastrand::Rng::new();
         *kept = Some(Kept {
-            keeper: LeaseKeeper::new(me, settings.lease, limits, rng),
+            manager: LeaseManager::new(me, settings.lease, limits, rng),
             ledger,
             window,
             service: service.clone(),
@@ -258,7 +258,7 @@
             return Vec::new();
         };
         let limits = kept.window.follow(self.clock.now(), window_ms);
-        kept.keeper.set_limits(limits);
+        kept.manager.set_limits(limits);
         kept.ledger.with(|ledger, now| {
             ledger.set_limits(limits);
             ledger.sweep(now);
@@ -266,19 +266,19 @@
         })
     }
 
-    /// Lets the keeper work, shows the ledger what it holds, and only then carries out its actions.
+    /// Lets the manager work, shows the ledger what it holds, and only then carries out its actions.
     fn keep(
         self: &Arc<Self>,
         ports: &Arc<ClaimsPorts>,
-        work: impl FnOnce(&mut LeaseKeeper, TimeMs) -> Vec<Action>,
+        work: impl FnOnce(&mut LeaseManager, TimeMs) -> Vec<Action>,
     ) {
         let mut guard = self.lock();
         let Some(kept) = guard.as_mut() else {
             return;
         };
-        let before = kept.keeper.slot_lease().count();
-        let actions = work(&mut kept.keeper, self.clock.now());
-        let slot_lease = kept.keeper.slot_lease().clone();
+        let before = kept.manager.slot_lease().count();
+        let actions = work(&mut kept.manager, self.clock.now());
+        let slot_lease = kept.manager.slot_lease().clone();
         if slot_lease.count() != before {
             log::info!("claims: slots held={} before={before}", slot_lease.count());
         }
@@ -296,7 +296,7 @@
                 let row = SlotMap::row_name(&kept.service);
                 tokio::spawn(async move {
                     let result = read_row(&ports.platform, &row).await;
-                    claims.keep(&ports, |keeper, now| keeper.on_read(now, op, result));
+                    claims.keep(&ports, |manager, now| manager.on_read(now, op, result));
                 });
             }
             Action::WriteRow { op, expected, map } => {
@@ -304,7 +304,7 @@
                 tokio::spawn(async move {
                     let result = write_row(&ports.platform, &row, expected, &map).await;
                     log::debug!("claims: row written result={result:?}");
-                    claims.keep(&ports, |keeper, now| keeper.on_write(now, op, result));
+                    claims.keep(&ports, |manager, now| manager.on_write(now, op, result));
                 });
             }
             Action::AskPromise {
@@ -319,8 +319,8 @@
                 };
                 tokio::spawn(async move {
                     let promise = ask_promise(&ports, &node, ask).await;
-                    claims.keep(&ports, |keeper, now| {
-                        keeper.on_promise(now, round, member, &promise);
+                    claims.keep(&ports, |manager, now| {
+                        manager.on_promise(now, round, member, &promise);
                         Vec::new()
                     });
                 });
@@ -342,8 +342,8 @@
                 log::info!("claims: hand over slots={} to={node}", slots.len());
                 tokio::spawn(async move {
                     let confirmed = send_transfer(&ports, &node, &ledger).await;
-                    claims.keep(&ports, |keeper, now| {
-                        keeper.on_handed_over(now, transfer, confirmed)
+                    claims.keep(&ports, |manager, now| {
+                        manager.on_handed_over(now, transfer, confirmed)
                     });
                 });
             }
@@ -361,7 +361,7 @@
         let mut guard = self.lock();
         match guard.as_mut() {
             Some(kept) if kept.service == ask.service => {
-                kept.keeper.promise_asked(self.clock.now(), ask)
+                kept.manager.promise_asked(self.clock.now(), ask)
             }
             _ => Promise::Refused,
         }
@@ -388,7 +388,7 @@
             .ledger
             .with(|ledger, now| ledger.receive(now, transfer.clone()));
         if taken {
-            kept.keeper.on_received(self.clock.now(), &transfer);
+            kept.manager.on_received(self.clock.now(), &transfer);
         }
         log::debug!("claims: transfer received slots={slots} keys={keys} taken={taken}");
         taken
--- a/src/claims/keeper_action.rs
+++ b/src/claims/lease_action.rs
@@ -1,10 +1,10 @@
-//! What the lease keeper asks its surroundings to do, and what it is told.
+//! What the lease manager asks its surroundings to do, and what it is told.
 
 use crate::claims::SlotMap;
 use crate::core::FastSet;
 use crate::core::Name;
 
-/// An action of [`crate::claims::LeaseKeeper`]. Every action is answered once, a failure or a
+/// An action of [`crate::claims::LeaseManager`]. Every action is answered once, a failure or a
 /// timeout included.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
--- a/src/claims/lease_keeper.rs
+++ b/src/claims/lease_manager.rs
@@ -75,9 +75,9 @@
     pub(super) confirmed: bool,
 }
 
-/// The lease keeper of one node. Call [`Self::tick`] several times a second.
+/// The lease manager of one node. Call [`Self::tick`] several times a second.
 #[derive(Debug)]
-pub struct LeaseKeeper {
+pub struct LeaseManager {
     pub(super) me: Identity,
     pub(super) conf: LeaseConf,
     pub(super) limits: ResendLimits,
@@ -103,8 +103,8 @@
     pub(super) slot_lease: SlotLease,
 }
 
-impl LeaseKeeper {
-    /// A keeper that holds nothing yet.
+impl LeaseManager {
+    /// A manager that holds nothing yet.
     pub fn new(me: Identity, conf: LeaseConf, limits: ResendLimits, rng: fastrand::Rng) -> Self {
         Self {
             me,
@@ -132,7 +132,7 @@
     }
 
     /// What the ledger may rely on. It has to be handed to the ledger after every call of the
-    /// keeper and before any of the actions is carried out.
+    /// manager and before any of the actions is carried out.
     pub fn slot_lease(&self) -> &SlotLease {
         &self.slot_lease
     }
--- a/src/claims/keeper_peers.rs
+++ b/src/claims/lease_peers.rs
@@ -1,16 +1,16 @@
-//! What the lease keeper asks of other members: to take slots, and promises.
+//! What the lease manager asks of other members: to take slots, and promises.
 
 use crate::claims::Action;
-use crate::claims::LeaseKeeper;
+use crate::claims::LeaseManager;
 use crate::claims::fair_share::candidates;
 use crate::claims::fair_share::next_gift;
-use crate::claims::lease_keeper::Giving;
+use crate::claims::lease_manager::Giving;
 use crate::claims::row_plan::Given;
 use crate::control::Promise;
 use crate::core::Name;
 use crate::core::TimeMs;
 
-impl LeaseKeeper {
+impl LeaseManager {
     pub(super) fn start_giving(&mut self, now: TimeMs) -> Option<Action> {
         if self.handing_over.is_some() || now < self.give_at || self.pending_write() {
             return None;
--- a/src/claims/keeper_rows.rs
+++ b/src/claims/lease_rows.rs
@@ -1,21 +1,21 @@
-//! What the lease keeper learns from a row that it read or wrote.
+//! What the lease manager learns from a row that it read or wrote.
 
 use crate::claims::HeldSlot;
-use crate::claims::LeaseKeeper;
+use crate::claims::LeaseManager;
 use crate::claims::Member;
 use crate::claims::OtherOwner;
 use crate::claims::SLOT_COUNT;
 use crate::claims::SlotMap;
 use crate::claims::held_slots;
-use crate::claims::lease_keeper::Pending;
-use crate::claims::lease_keeper::Row;
+use crate::claims::lease_manager::Pending;
+use crate::claims::lease_manager::Row;
 use crate::core::FastMap;
 use crate::core::TimeMs;
 
 /// How many leases pass before slots are announced again whose owner turned out to live.
 const REBUFFED_LEASES: u64 = 4;
 
-impl LeaseKeeper {
+impl LeaseManager {
     /// Takes in a row that was true at some moment after `sent_at`, and plans the next write.
     pub(super) fn accept(&mut self, now: TimeMs, sent_at: TimeMs, row: Row) {
         let older = self
--- a/tests/claims_keeper.rs
+++ b/tests/claims_keeper.rs
@@ -1,10 +1,10 @@
-//! The lease keeper alone: which rows it writes, when it relies on its slots, what it promises.
+//! The lease manager alone: which rows it writes, when it relies on its slots, what it promises.
 
 use sassafrasgap::claims::Action;
 use sassafrasgap::claims::Identity;
 use sassafrasgap::claims::Intent;
 use sassafrasgap::claims::LeaseConf;
-use sassafrasgap::claims::LeaseKeeper;
+use sassafrasgap::claims::LeaseManager;
 use sassafrasgap::claims::Member;
 use sassafrasgap::claims::ReadResult;
 use sassafrasgap::claims::ResendLimits;
@@ -26,7 +26,7 @@
     LeaseConf::for_lease(LEASE_MS)
 }
 
-fn keeper() -> LeaseKeeper {
+fn manager() -> LeaseManager {
     let me = Identity {
         node: Name::from("node-1"),
         region: Name::from("region"),
@@ -35,7 +35,7 @@
         boot: 10 + ME,
     };
     let limits = ResendLimits::new(16_000);
-    LeaseKeeper::new(me, conf(), limits, fastrand::Rng::with_seed(1))
+    LeaseManager::new(me, conf(), limits, fastrand::Rng::with_seed(1))
 }
 
 fn member(instance: u64) -> Member {
@@ -92,18 +92,18 @@
     })
 }
 
-/// Lets the keeper read a row at a moment, with the answer at the same moment.
+/// Lets the manager read a row at a moment, with the answer at the same moment.
 fn read(
-    keeper: &mut LeaseKeeper,
+    manager: &mut LeaseManager,
     now: u64,
     alive: &[u64],
     version: u64,
     map: &SlotMap,
 ) -> Vec<Action> {
     let now = TimeMs(now);
-    let op = read_op(&keeper.tick(now, situation(alive)));
+    let op = read_op(&manager.tick(now, situation(alive)));
     let found = Some((version, map.clone()));
-    keeper.on_read(now, op, ReadResult::Row(found))
+    manager.on_read(now, op, ReadResult::Row(found))
 }
 
 fn ask(owner: u64, member: u64) -> PromiseAsk {
@@ -118,36 +118,36 @@
     matches!(promise, Promise::Granted { .. })
 }
 
-/// Brings a keeper to the moment at which it writes that it takes over from `OTHER`.
-fn taking_over(keeper: &mut LeaseKeeper) -> (u64, u64, SlotMap) {
+/// Brings a manager to the moment at which it writes that it takes over from `OTHER`.
+fn taking_over(manager: &mut LeaseManager) -> (u64, u64, SlotMap) {
     let map = row_of(&[ME, OTHER]);
-    read(keeper, 1_000, &[ME], 1, &map);
+    read(manager, 1_000, &[ME], 1, &map);
     let mut now = 1_000;
     let (op, announced) = loop {
         now += 1_000;
-        let op = read_op(&keeper.tick(TimeMs(now), situation(&[ME])));
+        let op = read_op(&manager.tick(TimeMs(now), situation(&[ME])));
         let found = Some((1, map.clone()));
-        if let Some(write) = written(&keeper.on_read(TimeMs(now), op, ReadResult::Row(found))) {
+        if let Some(write) = written(&manager.on_read(TimeMs(now), op, ReadResult::Row(found))) {
             break write;
         }
     };
     assert!(announced.is_threatened(OTHER), "announced first");
     assert_eq!(announced.slots_of(OTHER).len(), SLOT_COUNT / 2);
-    let mut actions = keeper.on_write(TimeMs(now), op, WriteResult::Applied { version: 2 });
+    let mut actions = manager.on_write(TimeMs(now), op, WriteResult::Applied { version: 2 });
     let announced_at = now;
     let (op, taken) = loop {
         if let Some(write) = written(&actions) {
             break write;
         }
         now += 100;
-        actions = keeper.tick(TimeMs(now), situation(&[ME]));
+        actions = manager.tick(TimeMs(now), situation(&[ME]));
         if actions
             .iter()
             .any(|action| matches!(action, Action::ReadRow { .. }))
         {
             let op = read_op(&actions);
             let found = Some((2, announced.clone()));
-            actions = keeper.on_read(TimeMs(now), op, ReadResult::Row(found));
+            actions = manager.on_read(TimeMs(now), op, ReadResult::Row(found));
         }
     };
     assert!(taken.slots_of(OTHER).is_empty());
@@ -159,14 +159,14 @@
 
 #[test]
 fn a_take_over_is_announced_and_outlasts_the_lease_on_a_slower_clock() {
-    let mut keeper = keeper();
-    let (now, op, mut map) = taking_over(&mut keeper);
+    let mut manager = manager();
+    let (now, op, mut map) = taking_over(&mut manager);
     for slot in map.slots_of(OTHER) {
         map.assign(slot, Some(ME), 0);
     }
     map.remove(OTHER);
-    keeper.on_write(TimeMs(now), op, WriteResult::Applied { version: 3 });
-    let slot_lease = keeper.slot_lease();
+    manager.on_write(TimeMs(now), op, WriteResult::Applied { version: 3 });
+    let slot_lease = manager.slot_lease();
     assert_eq!(slot_lease.count(), SLOT_COUNT);
     let taken = slot_lease.held.iter().flatten().filter(|held| held.epoch == 2);
     let grace_ms = ResendLimits::new(16_000).grace_ms();
@@ -184,16 +184,16 @@
 /// row has moved on, because then the lost write fails for good.
 #[test]
 fn no_promise_while_a_lost_take_over_may_still_take_effect() {
-    let mut keeper = keeper();
-    let (now, op, announced) = taking_over(&mut keeper);
+    let mut manager = manager();
+    let (now, op, announced) = taking_over(&mut manager);
     let now = TimeMs(now);
-    assert!(!is_granted(&keeper.promise_asked(now, &ask(OTHER, ME))));
-    keeper.on_write(now, op, WriteResult::Unknown);
-    assert!(!is_granted(&keeper.promise_asked(now, &ask(OTHER, ME))));
+    assert!(!is_granted(&manager.promise_asked(now, &ask(OTHER, ME))));
+    manager.on_write(now, op, WriteResult::Unknown);
+    assert!(!is_granted(&manager.promise_asked(now, &ask(OTHER, ME))));
     let mut later = now;
     let op = loop {
         later = later + 50;
-        let actions = keeper.tick(later, situation(&[ME, OTHER]));
+        let actions = manager.tick(later, situation(&[ME, OTHER]));
         if !actions.is_empty() {
             break read_op(&actions);
         }
@@ -202,47 +202,47 @@
     let mut removed = announced;
     removed.intents.clear();
     let found = Some((3, removed));
-    keeper.on_read(later, op, ReadResult::Row(found));
-    assert!(is_granted(&keeper.promise_asked(later, &ask(OTHER, ME))));
+    manager.on_read(later, op, ReadResult::Row(found));
+    assert!(is_granted(&manager.promise_asked(later, &ask(OTHER, ME))));
 }
 
 /// The row is unchanged after a write was lost: the write may be on its way still. A further
 /// write, whatever it changes, makes the lost one fail.
 #[test]
 fn a_lost_write_is_made_certain_by_a_further_one() {
-    let mut keeper = keeper();
-    let (now, op, announced) = taking_over(&mut keeper);
-    keeper.on_write(TimeMs(now), op, WriteResult::Unknown);
+    let mut manager = manager();
+    let (now, op, announced) = taking_over(&mut manager);
+    manager.on_write(TimeMs(now), op, WriteResult::Unknown);
     let mut later = TimeMs(now);
     let actions = loop {
         later = later + 50;
-        let actions = keeper.tick(later, situation(&[ME, OTHER]));
+        let actions = manager.tick(later, situation(&[ME, OTHER]));
         if !actions.is_empty() {
             break actions;
         }
     };
     let found = Some((2, announced));
-    let actions = keeper.on_read(later, read_op(&actions), ReadResult::Row(found));
+    let actions = manager.on_read(later, read_op(&actions), ReadResult::Row(found));
     assert!(written(&actions).is_some(), "a write on the same version");
-    assert!(!is_granted(&keeper.promise_asked(later, &ask(OTHER, ME))));
+    assert!(!is_granted(&manager.promise_asked(later, &ask(OTHER, ME))));
 }
 
 #[test]
 fn promises_are_refused_to_strangers_and_for_predecessors() {
-    let mut keeper = keeper();
+    let mut manager = manager();
     let now = TimeMs(1_000);
     assert!(
-        !is_granted(&keeper.promise_asked(now, &ask(OTHER, ME))),
+        !is_granted(&manager.promise_asked(now, &ask(OTHER, ME))),
         "no row read"
     );
-    read(&mut keeper, 1_000, &[ME, OTHER], 1, &row_of(&[ME, OTHER]));
-    assert!(is_granted(&keeper.promise_asked(now, &ask(OTHER, ME))));
+    read(&mut manager, 1_000, &[ME, OTHER], 1, &row_of(&[ME, OTHER]));
+    assert!(is_granted(&manager.promise_asked(now, &ask(OTHER, ME))));
     assert!(
-        !is_granted(&keeper.promise_asked(now, &ask(OTHER, 99))),
+        !is_granted(&manager.promise_asked(now, &ask(OTHER, 99))),
         "for a predecessor"
     );
     assert!(
-        !is_granted(&keeper.promise_asked(now, &ask(THIRD, ME))),
+        !is_granted(&manager.promise_asked(now, &ask(THIRD, ME))),
         "to an unlisted owner"
     );
 }
@@ -251,14 +251,14 @@
 /// over; one that does not answer could be taking over, so then the lease runs out.
 #[test]
 fn a_lease_without_the_table_needs_the_promise_of_every_member() {
-    let mut keeper = keeper();
+    let mut manager = manager();
     let alive = [ME, OTHER, THIRD];
-    read(&mut keeper, 1_000, &alive, 1, &row_of(&alive));
-    assert_eq!(keeper.slot_lease().lease_until, TimeMs(1_000 + LEASE_MS));
+    read(&mut manager, 1_000, &alive, 1, &row_of(&alive));
+    assert_eq!(manager.slot_lease().lease_until, TimeMs(1_000 + LEASE_MS));
     let mut now = 1_000;
     let round = loop {
         now += 100;
-        let actions = keeper.tick(TimeMs(now), situation(&alive));
+        let actions = manager.tick(TimeMs(now), situation(&alive));
         let asked: Vec<(u64, u64)> = actions
             .iter()
             .filter_map(|action| match action {
@@ -273,11 +273,11 @@
     };
     let granted = Promise::Granted { hold_ms: LEASE_MS };
     let answered_at = TimeMs(now + 500);
-    keeper.on_promise(answered_at, round, OTHER, &granted);
-    assert_eq!(keeper.slot_lease().lease_until, TimeMs(1_000 + LEASE_MS));
-    keeper.on_promise(answered_at, round, THIRD, &granted);
+    manager.on_promise(answered_at, round, OTHER, &granted);
+    assert_eq!(manager.slot_lease().lease_until, TimeMs(1_000 + LEASE_MS));
+    manager.on_promise(answered_at, round, THIRD, &granted);
     // From the moment of the question on: the promises began at some moment after it.
-    assert_eq!(keeper.slot_lease().lease_until, TimeMs(now + LEASE_MS));
+    assert_eq!(manager.slot_lease().lease_until, TimeMs(now + LEASE_MS));
 }
 
 /// The table stays down for longer than promises may stand in for it. A member that joined since
@@ -285,25 +285,25 @@
 /// owner still at work.
 #[test]
 fn promises_end_for_good_some_time_after_the_last_clean_read() {
-    let mut keeper = keeper();
+    let mut manager = manager();
     let alive = [ME, OTHER];
-    read(&mut keeper, 1_000, &alive, 1, &row_of(&alive));
+    read(&mut manager, 1_000, &alive, 1, &row_of(&alive));
     let granted = Promise::Granted { hold_ms: LEASE_MS };
     let end = 1_000 + conf().terms.outage_ms;
     for now in (1_000..end + 10 * LEASE_MS).step_by(100) {
-        for action in keeper.tick(TimeMs(now), situation(&alive)) {
+        for action in manager.tick(TimeMs(now), situation(&alive)) {
             match action {
                 Action::AskPromise { round, member, .. } => {
-                    keeper.on_promise(TimeMs(now), round, member, &granted);
+                    manager.on_promise(TimeMs(now), round, member, &granted);
                 }
                 Action::ReadRow { op } => {
-                    keeper.on_read(TimeMs(now), op, ReadResult::Failed);
+                    manager.on_read(TimeMs(now), op, ReadResult::Failed);
                 }
                 _ => {}
             }
         }
     }
-    assert_eq!(keeper.slot_lease().lease_until, TimeMs(end));
+    assert_eq!(manager.slot_lease().lease_until, TimeMs(end));
     assert!(conf().terms.outage_over_ms() * 100 >= conf().terms.outage_ms * 102);
 }
 
@@ -312,40 +312,40 @@
 /// the intent, and relies on that write.
 #[test]
 fn an_owner_that_reads_an_intent_relies_on_its_removal_only() {
-    let mut keeper = keeper();
+    let mut manager = manager();
     let mut map = row_of(&[ME, OTHER]);
     map.intents.push(Intent {
         id: 5,
         by: OTHER,
         victim: ME,
     });
-    let actions = read(&mut keeper, 1_000, &[ME, OTHER], 1, &map);
-    assert_eq!(keeper.slot_lease().lease_until, TimeMs(0));
+    let actions = read(&mut manager, 1_000, &[ME, OTHER], 1, &map);
+    assert_eq!(manager.slot_lease().lease_until, TimeMs(0));
     let (op, map) = written(&actions).expect("a write");
     assert!(!map.is_threatened(ME));
-    keeper.on_write(TimeMs(1_800), op, WriteResult::Applied { version: 2 });
-    assert_eq!(keeper.slot_lease().lease_until, TimeMs(1_000 + LEASE_MS));
+    manager.on_write(TimeMs(1_800), op, WriteResult::Applied { version: 2 });
+    assert_eq!(manager.slot_lease().lease_until, TimeMs(1_000 + LEASE_MS));
 }
 
 /// A promise outlasts what is built on it: whoever promised takes nothing over until the owner's
 /// lease is over, even when everything else is ready.
 #[test]
 fn who_promised_does_not_take_over_before_the_promise_is_over() {
-    let mut keeper = keeper();
-    let (now, op, announced) = taking_over(&mut keeper);
-    keeper.on_write(TimeMs(now), op, WriteResult::Conflict);
-    let granted = keeper.promise_asked(TimeMs(now), &ask(OTHER, ME));
+    let mut manager = manager();
+    let (now, op, announced) = taking_over(&mut manager);
+    manager.on_write(TimeMs(now), op, WriteResult::Conflict);
+    let granted = manager.promise_asked(TimeMs(now), &ask(OTHER, ME));
     assert!(is_granted(&granted));
     let mut later = now;
     let taken_at = loop {
         later += 50;
         assert!(later < now + 10 * LEASE_MS, "never taken over");
-        let actions = keeper.tick(TimeMs(later), situation(&[ME]));
+        let actions = manager.tick(TimeMs(later), situation(&[ME]));
         if actions.is_empty() {
             continue;
         }
         let found = Some((3, announced.clone()));
-        let actions = keeper.on_read(TimeMs(later), read_op(&actions), ReadResult::Row(found));
+        let actions = manager.on_read(TimeMs(later), read_op(&actions), ReadResult::Row(found));
         if let Some((_, map)) = written(&actions)
             && map.slots_of(OTHER).is_empty()
         {
@@ -365,13 +365,13 @@
         let namesake = map.member_mut(9).expect("listed");
         namesake.node = Name::from("node-1");
         namesake.boot = boot;
-        let mut keeper = keeper();
-        let actions = read(&mut keeper, 1_000, &[ME, OTHER], 1, &map);
+        let mut manager = manager();
+        let actions = read(&mut manager, 1_000, &[ME, OTHER], 1, &map);
         let (op, map) = written(&actions).expect("it joins");
         assert_eq!(map.slots_of(9).is_empty(), at_once);
-        keeper.on_write(TimeMs(1_000), op, WriteResult::Applied { version: 2 });
+        manager.on_write(TimeMs(1_000), op, WriteResult::Applied { version: 2 });
         let grace_until = TimeMs(1_000 + ResendLimits::new(16_000).grace_ms());
-        let held: Vec<_> = keeper.slot_lease().held.iter().flatten().collect();
+        let held: Vec<_> = manager.slot_lease().held.iter().flatten().collect();
         assert_eq!(!held.is_empty(), at_once);
         assert!(held.iter().all(|held| held.grace_until == grace_until));
     }
--- a/tests/claims_world/hand_overs.rs
+++ b/tests/claims_world/hand_overs.rs
@@ -25,7 +25,7 @@
 
     pub(super) fn asked(&mut self, index: usize, from: usize, round: u64, ask: &PromiseAsk) {
         let now = self.processes[index].clock(self.now);
-        let promise = self.processes[index].keeper.promise_asked(now, ask);
+        let promise = self.processes[index].manager.promise_asked(now, ask);
         let member = ask.member;
         if !self.reaches(index, from) {
             return;
@@ -95,7 +95,7 @@
         let is_ledger = !transfer.slots.is_empty();
         let confirmed = process.ledger.receive(now, transfer.clone());
         if confirmed {
-            process.keeper.on_received(now, &transfer);
+            process.manager.on_received(now, &transfer);
         }
         if is_ledger
             && self.reaches(index, from)
--- a/tests/claims_world/mod.rs
+++ b/tests/claims_world/mod.rs
@@ -316,23 +316,23 @@
         let actions = match event {
             Event::Tick => return self.tick(index),
             Event::ReadDone { op, result } => {
-                process.keep(|keeper| keeper.on_read(now, op, result))
+                process.keep(|manager| manager.on_read(now, op, result))
             }
             Event::WriteDone { op, result } => {
-                process.keep(|keeper| keeper.on_write(now, op, result))
+                process.keep(|manager| manager.on_write(now, op, result))
             }
             Event::Promised {
                 round,
                 member,
                 promise,
-            } => process.keep(|keeper| {
-                keeper.on_promise(now, round, member, &promise);
+            } => process.keep(|manager| {
+                manager.on_promise(now, round, member, &promise);
                 Vec::new()
             }),
             Event::HandOverDone {
                 transfer,
                 confirmed,
-            } => process.keep(|keeper| keeper.on_handed_over(now, transfer, confirmed)),
+            } => process.keep(|manager| manager.on_handed_over(now, transfer, confirmed)),
             Event::Asked { from, round, ask } => return self.asked(index, from, round, &ask),
             Event::HandedOver { from, transfer } => return self.handed_over(index, from, transfer),
             Event::Attempt { sending, stamp } => return self.attempt(index, sending, stamp),
@@ -353,10 +353,10 @@
             stopping: process.stopping,
             alive: process.alive.clone(),
         };
-        let actions = process.keep(|keeper| keeper.tick(now, situation));
+        let actions = process.keep(|manager| manager.tick(now, situation));
         process.ledger.sweep(now);
         let news = process.ledger.take_late_news();
-        let has_left = process.stopping && process.keeper.has_left();
+        let has_left = process.stopping && process.manager.has_left();
         process.is_dead |= has_left;
         self.act(index, actions);
         for (node, transfer) in news {
--- a/tests/claims_world/process.rs
+++ b/tests/claims_world/process.rs
@@ -1,9 +1,9 @@
-//! One process of a node with its keeper and its ledger, on a clock of its own.
+//! One process of a node with its manager and its ledger, on a clock of its own.
 
 use sassafrasgap::claims::Action;
 use sassafrasgap::claims::Identity;
 use sassafrasgap::claims::LeaseConf;
-use sassafrasgap::claims::LeaseKeeper;
+use sassafrasgap::claims::LeaseManager;
 use sassafrasgap::claims::Ledger;
 use sassafrasgap::claims::LedgerBounds;
 use sassafrasgap::claims::ResendLimits;
@@ -16,7 +16,7 @@
     pub domain: usize,
     pub instance: u64,
     pub boot: u64,
-    pub keeper: LeaseKeeper,
+    pub manager: LeaseManager,
     pub ledger: Ledger,
     pub is_dead: bool,
     pub paused_until: u64,
@@ -53,13 +53,13 @@
             max_keys: 500,
             max_answer_bytes: 10_000,
         };
-        let keeper_rng = fastrand::Rng::with_seed(rng.u64(..));
+        let manager_rng = fastrand::Rng::with_seed(rng.u64(..));
         Self {
             node,
             domain,
             instance,
             boot,
-            keeper: LeaseKeeper::new(me.clone(), conf, limits, keeper_rng),
+            manager: LeaseManager::new(me.clone(), conf, limits, manager_rng),
             ledger: Ledger::new(me.service, instance, bounds, limits),
             is_dead: false,
             paused_until: 0,
@@ -77,10 +77,10 @@
         TimeMs(1 + (now - self.started_at) * self.rate_permille / 1_000)
     }
 
-    /// Lets the keeper work, and the ledger see the result before any action is carried out.
-    pub fn keep(&mut self, work: impl FnOnce(&mut LeaseKeeper) -> Vec<Action>) -> Vec<Action> {
-        let actions = work(&mut self.keeper);
-        self.ledger.set_slot_lease(self.keeper.slot_lease().clone());
+    /// Lets the manager work, and the ledger see the result before any action is carried out.
+    pub fn keep(&mut self, work: impl FnOnce(&mut LeaseManager) -> Vec<Action>) -> Vec<Action> {
+        let actions = work(&mut self.manager);
+        self.ledger.set_slot_lease(self.manager.slot_lease().clone());
         actions
     }
 
