--- a/src/claims/driver.rs
+++ b/src/claims/driver.rs
@@ -24,12 +24,12 @@
 use crate::claims::LedgerBounds;
 use crate::claims::LedgerTransfer;
 use crate::claims::MovedTo;
-use crate::claims::PauseWatch;
+use crate::claims::PauseDetector;
 use crate::claims::ResendLimits;
 use crate::claims::SharedLedger;
 use crate::claims::Situation;
 use crate::claims::SlotMap;
-use crate::claims::WindowWatch;
+use crate::claims::WindowTracker;
 use crate::claims::member_calls::ask_promise;
 use crate::claims::member_calls::send_transfer;
 use crate::claims::slot_table::read_row;
@@ -88,7 +88,7 @@
 struct Kept {
     manager: LeaseManager,
     ledger: Arc<SharedLedger>,
-    window: WindowWatch,
+    window: WindowTracker,
     service: Name,
     instance: u64,
 }
@@ -98,7 +98,7 @@
     settings: ClaimsSettings,
     clock: Clock,
     /// Noted by the driver at each tick, asked by entries.
-    pub pauses: PauseWatch,
+    pub pauses: PauseDetector,
     ledger: ArcSwapOption<SharedLedger>,
     kept: Mutex<Option<Kept>>,
     stopping: AtomicBool,
@@ -110,7 +110,7 @@
         Arc::new(Self {
             settings,
             clock,
-            pauses: PauseWatch::default(),
+            pauses: PauseDetector::default(),
             ledger: ArcSwapOption::empty(),
             kept: Mutex::new(None),
             stopping: AtomicBool::new(false),
@@ -138,7 +138,7 @@
         let limits = self
             .ledger()
             .map(|ledger| ledger.with(|ledger, _| ledger.limits()));
-        let unnoticed_ms = limits.map_or(PauseWatch::SHORTEST_MS, |it| it.unnoticed_pause_ms());
+        let unnoticed_ms = limits.map_or(PauseDetector::DEFAULT_PAUSE_MS, |it| it.unnoticed_pause_ms());
         self.pauses.may_predate_pause(now, unnoticed_ms)
     }
 
@@ -162,8 +162,8 @@
             ticks.tick().await;
             let now = self.clock.now();
             let limits = self.ledger().map(|it| it.with(|ledger, _| ledger.limits()));
-            let unnoticed_ms = limits.map_or(PauseWatch::SHORTEST_MS, |it| it.unnoticed_pause_ms());
-            self.pauses.note(now, unnoticed_ms);
+            let unnoticed_ms = limits.map_or(PauseDetector::DEFAULT_PAUSE_MS, |it| it.unnoticed_pause_ms());
+            self.pauses.record_tick(now, unnoticed_ms);
             self.tick(&ports);
         }
     }
@@ -208,7 +208,7 @@
             return;
         }
         let now = self.clock.now();
-        let window = WindowWatch::new(now, window_ms);
+        let window = WindowTracker::new(now, window_ms);
         let limits = ResendLimits::new(window_ms);
         let settings = &self.settings;
         let instance = fastrand::u64(1..);
@@ -257,7 +257,7 @@
         let Some(kept) = kept.as_mut() else {
             return Vec::new();
         };
-        let limits = kept.window.follow(self.clock.now(), window_ms);
+        let limits = kept.window.update(self.clock.now(), window_ms);
         kept.manager.set_limits(limits);
         kept.ledger.with(|ledger, now| {
             ledger.set_limits(limits);
--- a/src/claims/pause_watch.rs
+++ b/src/claims/pause_detector.rs
@@ -14,20 +14,20 @@
 /// watch holds because the control thread notes the time every tick, and a gap is seen either by
 /// that tick or by whoever asks first.
 #[derive(Debug, Default)]
-pub struct PauseWatch {
-    last_noted_ms: AtomicU64,
-    suspicious_until_ms: AtomicU64,
+pub struct PauseDetector {
+    last_tick_ms: AtomicU64,
+    pause_suspected_until_ms: AtomicU64,
 }
 
-impl PauseWatch {
+impl PauseDetector {
     /// A pause that is suspicious before the resend window is known.
-    pub const SHORTEST_MS: u64 = 1_000;
+    pub const DEFAULT_PAUSE_MS: u64 = 1_000;
 
     /// Notes that the process runs; called several times a second.
-    pub fn note(&self, now: TimeMs, unnoticed_pause_ms: u64) {
-        let last = self.last_noted_ms.swap(now.0, Ordering::SeqCst);
+    pub fn record_tick(&self, now: TimeMs, unnoticed_pause_ms: u64) {
+        let last = self.last_tick_ms.swap(now.0, Ordering::SeqCst);
         if last != 0 && now.0.saturating_sub(last) > unnoticed_pause_ms {
-            self.suspicious_until_ms
+            self.pause_suspected_until_ms
                 .store(now.0 + SETTLE_MS, Ordering::SeqCst);
         }
     }
@@ -35,8 +35,8 @@
     /// Whether a keyed request read at `now` may have arrived before a pause. It is refused as
     /// `unknown` then.
     pub fn may_predate_pause(&self, now: TimeMs, unnoticed_pause_ms: u64) -> bool {
-        let last = self.last_noted_ms.load(Ordering::SeqCst);
-        let until = self.suspicious_until_ms.load(Ordering::SeqCst);
+        let last = self.last_tick_ms.load(Ordering::SeqCst);
+        let until = self.pause_suspected_until_ms.load(Ordering::SeqCst);
         now.0 < until || (last != 0 && now.0.saturating_sub(last) > unnoticed_pause_ms)
     }
 }
