--- a/src/claims/driver.rs
+++ b/src/claims/driver.rs
@@ -23,7 +23,7 @@
 use crate::claims::Ledger;
 use crate::claims::LedgerBounds;
 use crate::claims::LedgerTransfer;
-use crate::claims::MovedTo;
+use crate::claims::TransferTarget;
 use crate::claims::PauseDetector;
 use crate::claims::ResendLimits;
 use crate::claims::SharedLedger;
@@ -198,7 +198,7 @@
         let news = self.follow_window(window_ms);
         self.keep(ports, |manager, now| manager.tick(now, situation));
         for (node, transfer) in news {
-            self.send_news(ports, &node, transfer);
+            self.send_key_update(ports, &node, transfer);
         }
     }
 
@@ -262,7 +262,7 @@
         kept.ledger.with(|ledger, now| {
             ledger.set_limits(limits);
             ledger.sweep(now);
-            ledger.take_late_news()
+            ledger.take_key_updates()
         })
     }
 
@@ -331,7 +331,7 @@
                 member,
                 slots,
             } => {
-                let to = MovedTo {
+                let to = TransferTarget {
                     node: node.clone(),
                     instance: member,
                     transfer,
@@ -351,7 +351,7 @@
     }
 
     /// News is sent once: if it is lost, the key stays unknown at the new owner.
-    fn send_news(&self, ports: &Arc<ClaimsPorts>, node: &Name, transfer: LedgerTransfer) {
+    fn send_key_update(&self, ports: &Arc<ClaimsPorts>, node: &Name, transfer: LedgerTransfer) {
         let ports = ports.clone();
         let node = node.clone();
         tokio::spawn(async move { send_transfer(&ports, &node, &transfer).await });
--- a/src/claims/ledger.rs
+++ b/src/claims/ledger.rs
@@ -11,7 +11,7 @@
 use crate::claims::SlotLease;
 use crate::claims::KeyOutcome;
 use crate::claims::KeyState;
-use crate::claims::LateNews;
+use crate::claims::KeyUpdate;
 use crate::claims::LedgerEntry;
 use crate::claims::MovedKey;
 use crate::claims::MovedState;
@@ -90,7 +90,7 @@
     /// Keys with a kept answer, the oldest first, and when each is dropped.
     answers: VecDeque<(TimeMs, Name)>,
     answer_bytes: usize,
-    pub(super) late_news: Vec<LateNews>,
+    pub(super) pending_updates: Vec<KeyUpdate>,
 }
 
 impl Ledger {
@@ -106,7 +106,7 @@
             ended: VecDeque::new(),
             answers: VecDeque::new(),
             answer_bytes: 0,
-            late_news: Vec::new(),
+            pending_updates: Vec::new(),
         }
     }
 
@@ -170,7 +170,7 @@
         self.ended.push_back((entry.expires, key.clone()));
         if let Some(to) = moved_to {
             let key = self.moved_key(now, key);
-            self.late_news.extend(key.map(|key| LateNews { to, key }));
+            self.pending_updates.extend(key.map(|key| KeyUpdate { to, key }));
         }
         self.keep_answer(now, key);
     }
@@ -191,7 +191,7 @@
                 keep_ms: 0,
                 answer: None,
             };
-            self.late_news.push(LateNews { to, key });
+            self.pending_updates.push(KeyUpdate { to, key });
         }
         self.keys.remove(key);
     }
--- a/src/claims/ledger_entry.rs
+++ b/src/claims/ledger_entry.rs
@@ -12,7 +12,7 @@
 
 /// The node to which a slot was given, and the transfer that gave it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct MovedTo {
+pub struct TransferTarget {
     pub node: Name,
     pub instance: u64,
     pub transfer: u64,
@@ -20,13 +20,13 @@
 
 /// The process that handed a key over, and the transfer in which it did.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Giver {
+pub struct TransferSource {
     pub instance: u64,
     /// Rises with each transfer of one giver.
     pub transfer: u64,
 }
 
-impl Giver {
+impl TransferSource {
     /// Stands for several givers: no news of one of them settles the key.
     const SEVERAL: Self = Self {
         instance: 0,
@@ -51,9 +51,9 @@
 pub enum KeyState {
     /// It was accepted here and waits or runs. When its slot was given away meanwhile, the new
     /// owner is told how it ended.
-    Running { moved_to: Option<MovedTo> },
+    Running { moved_to: Option<TransferTarget> },
     /// The slot's former owner accepted it and has not said how it ended.
-    RunningElsewhere { by: Giver },
+    RunningElsewhere { by: TransferSource },
     /// It ran to its end; the answer is repeated while it is kept.
     Ran { answer: Option<Arc<KeptAnswer>> },
     /// It was started, and nobody can say how far it came.
--- a/src/claims/ledger_moves.rs
+++ b/src/claims/ledger_moves.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::claims::Giver;
+use crate::claims::TransferSource;
 use crate::claims::KeyState;
 use crate::claims::Ledger;
 use crate::claims::LedgerEntry;
@@ -10,15 +10,15 @@
 use crate::claims::MovedKey;
 use crate::claims::MovedSlot;
 use crate::claims::MovedState;
-use crate::claims::MovedTo;
+use crate::claims::TransferTarget;
 use crate::claims::slot_of;
 use crate::core::Name;
 use crate::core::TimeMs;
 
 /// News of a key for the node that was given its slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LateNews {
-    pub to: MovedTo,
+pub struct KeyUpdate {
+    pub to: TransferTarget,
     pub key: MovedKey,
 }
 
@@ -27,7 +27,7 @@
     ///
     /// The slot_lease has to mark the slots as given by now: then no further key starts in them, and
     /// the copy misses none.
-    pub fn give(&mut self, now: TimeMs, slots: &[usize], to: &MovedTo) -> LedgerTransfer {
+    pub fn give(&mut self, now: TimeMs, slots: &[usize], to: &TransferTarget) -> LedgerTransfer {
         self.mark_moved(slots, to);
         LedgerTransfer {
             service: self.service.clone(),
@@ -83,7 +83,7 @@
         })
     }
 
-    fn mark_moved(&mut self, slots: &[usize], to: &MovedTo) {
+    fn mark_moved(&mut self, slots: &[usize], to: &TransferTarget) {
         for (key, entry) in &mut self.keys {
             if let KeyState::Running { moved_to } = &mut entry.state
                 && slots.contains(&slot_of(&self.service, key))
@@ -95,14 +95,14 @@
 
     /// Takes out the news for nodes that were given slots. News that cannot be delivered may be
     /// dropped: the key then stays unknown there until it is forgotten.
-    pub fn take_late_news(&mut self) -> Vec<(Name, LedgerTransfer)> {
-        let news = std::mem::take(&mut self.late_news);
+    pub fn take_key_updates(&mut self) -> Vec<(Name, LedgerTransfer)> {
+        let news = std::mem::take(&mut self.pending_updates);
         news.into_iter()
-            .map(|news| self.news_transfer(news))
+            .map(|news| self.update_transfer(news))
             .collect()
     }
 
-    fn news_transfer(&self, news: LateNews) -> (Name, LedgerTransfer) {
+    fn update_transfer(&self, news: KeyUpdate) -> (Name, LedgerTransfer) {
         let transfer = LedgerTransfer {
             service: self.service.clone(),
             id: news.to.transfer,
@@ -121,7 +121,7 @@
         if self.keys.len() + transfer.keys.len() > self.bounds.max_keys {
             return false;
         }
-        let by = Giver {
+        let by = TransferSource {
             instance: transfer.from,
             transfer: transfer.id,
         };
@@ -131,7 +131,7 @@
         true
     }
 
-    fn receive_one(&mut self, now: TimeMs, moved: MovedKey, by: Giver) {
+    fn receive_one(&mut self, now: TimeMs, moved: MovedKey, by: TransferSource) {
         let known = self.keys.get(&moved.key).map(|entry| &entry.state);
         let giver = match known {
             None => None,
--- a/tests/claims_ledger.rs
+++ b/tests/claims_ledger.rs
@@ -11,7 +11,7 @@
 use sassafrasgap::claims::Ledger;
 use sassafrasgap::claims::LedgerBounds;
 use sassafrasgap::claims::LedgerTransfer;
-use sassafrasgap::claims::MovedTo;
+use sassafrasgap::claims::TransferTarget;
 use sassafrasgap::claims::ResendLimits;
 use sassafrasgap::claims::SLOT_COUNT;
 use sassafrasgap::claims::slot_of;
@@ -199,7 +199,7 @@
 
 fn transfer(from: &mut Ledger, id: u64, now: u64) -> LedgerTransfer {
     let slots: Vec<usize> = (0..SLOT_COUNT).collect();
-    let to = MovedTo {
+    let to = TransferTarget {
         node: Name::from("receiver"),
         instance: 2,
         transfer: id,
@@ -207,8 +207,8 @@
     from.give(TimeMs(now), &slots, &to)
 }
 
-fn receive_news(from: &mut Ledger, to: &mut Ledger, now: u64) {
-    for (_, news) in from.take_late_news() {
+fn deliver_updates(from: &mut Ledger, to: &mut Ledger, now: u64) {
+    for (_, news) in from.take_key_updates() {
         assert!(to.receive(TimeMs(now), news));
     }
 }
@@ -226,7 +226,7 @@
     assert_eq!(refused(meanwhile), said);
     finish(&mut giver, 2, "ran", 10);
     giver.not_started(&Name::from("shed"));
-    receive_news(&mut giver, &mut receiver, 3);
+    deliver_updates(&mut giver, &mut receiver, 3);
     let settled = begin(&mut receiver, 4, "ran", CONTENT);
     assert!(matches!(settled, Begin::Answer(_)));
     assert_eq!(begin(&mut receiver, 4, "shed", CONTENT), Begin::Run);
@@ -242,7 +242,7 @@
     assert_eq!(begin(&mut giver, 0, "a", CONTENT), Begin::Run);
     assert!(receiver.receive(TimeMs(0), transfer(&mut giver, 1, 0)));
     giver.not_started(&Name::from("a"));
-    let old_news = giver.take_late_news();
+    let old_news = giver.take_key_updates();
     assert_eq!(begin(&mut giver, 1, "a", CONTENT), Begin::Run);
     assert!(receiver.receive(TimeMs(2), transfer(&mut giver, 2, 2)));
     for (_, news) in old_news {
--- a/tests/claims_world/hand_overs.rs
+++ b/tests/claims_world/hand_overs.rs
@@ -1,7 +1,7 @@
 //! Slots that pass from one process to another: promises and ledgers.
 
 use sassafrasgap::claims::LedgerTransfer;
-use sassafrasgap::claims::MovedTo;
+use sassafrasgap::claims::TransferTarget;
 use sassafrasgap::control::PromiseAsk;
 use sassafrasgap::core::Name;
 
@@ -52,7 +52,7 @@
         slots: &[usize],
     ) {
         let now = self.processes[index].clock(self.now);
-        let to = MovedTo {
+        let to = TransferTarget {
             node: node.clone(),
             instance: member,
             transfer: id,
--- a/tests/claims_world/mod.rs
+++ b/tests/claims_world/mod.rs
@@ -355,7 +355,7 @@
         };
         let actions = process.keep(|manager| manager.tick(now, situation));
         process.ledger.sweep(now);
-        let news = process.ledger.take_late_news();
+        let news = process.ledger.take_key_updates();
         let has_left = process.stopping && process.manager.has_left();
         process.is_dead |= has_left;
         self.act(index, actions);
