--- a/src/claims/driver.rs
+++ b/src/claims/driver.rs
@@ -27,7 +27,7 @@
 use crate::claims::PauseDetector;
 use crate::claims::ResendLimits;
 use crate::claims::SharedLedger;
-use crate::claims::Situation;
+use crate::claims::NodeConditions;
 use crate::claims::SlotMap;
 use crate::claims::WindowTracker;
 use crate::claims::member_calls::ask_promise;
@@ -194,9 +194,9 @@
             return;
         };
         self.begin_once(&local.service, window_ms);
-        let situation = self.situation(&local, &ports.view.load());
+        let conditions = self.conditions(&local, &ports.view.load());
         let news = self.follow_window(window_ms);
-        self.keep(ports, |manager, now| manager.tick(now, situation));
+        self.keep(ports, |manager, now| manager.tick(now, conditions));
         for (node, transfer) in news {
             self.send_key_update(ports, &node, transfer);
         }
@@ -233,7 +233,7 @@
         log::info!("claims: started service={service} instance={instance:x}");
     }
 
-    fn situation(&self, local: &LocalService, view: &View) -> Situation {
+    fn conditions(&self, local: &LocalService, view: &View) -> NodeConditions {
         let is_gone = |state| matches!(state, TargetState::Dead | TargetState::Left);
         let targets = view.targets(&local.service).iter();
         // A domain that cannot be reached counts as gone: its owners cannot run calls from here,
@@ -244,7 +244,7 @@
             .map(|target| target.node.clone())
             .collect();
         alive.insert(self.settings.node.clone());
-        Situation {
+        NodeConditions {
             serving: local.serving,
             draining: local.draining,
             stopping: self.stopping.load(Ordering::Acquire),
--- a/src/claims/lease_action.rs
+++ b/src/claims/lease_action.rs
@@ -51,7 +51,7 @@
 
 /// What the node knows of itself and its surroundings.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Situation {
+pub struct NodeConditions {
     /// The backend server takes work.
     pub serving: bool,
     /// It said itself that it takes no more work, which is no passing trouble.
--- a/src/claims/lease_manager.rs
+++ b/src/claims/lease_manager.rs
@@ -12,7 +12,7 @@
 use crate::claims::LedgerTransfer;
 use crate::claims::ReadResult;
 use crate::claims::ResendLimits;
-use crate::claims::Situation;
+use crate::claims::NodeConditions;
 use crate::claims::SlotMap;
 use crate::claims::WriteResult;
 use crate::claims::held_slots::Received;
@@ -82,7 +82,7 @@
     pub(super) conf: LeaseConf,
     pub(super) limits: ResendLimits,
     pub(super) rng: fastrand::Rng,
-    pub(super) situation: Situation,
+    pub(super) conditions: NodeConditions,
     pub(super) row: Option<Row>,
     pub(super) pending: Option<(u64, TimeMs, Pending)>,
     pub(super) unresolved: Option<Unresolved>,
@@ -111,7 +111,7 @@
             conf,
             limits,
             rng,
-            situation: Situation::default(),
+            conditions: NodeConditions::default(),
             row: None,
             pending: None,
             unresolved: None,
@@ -151,16 +151,16 @@
     }
 
     /// Moves on with time and with what the node knows of its surroundings.
-    pub fn tick(&mut self, now: TimeMs, situation: Situation) -> Vec<Action> {
-        if situation.serving || situation.stopping {
+    pub fn tick(&mut self, now: TimeMs, conditions: NodeConditions) -> Vec<Action> {
+        if conditions.serving || conditions.stopping {
             self.not_serving_since = None;
         } else {
             self.not_serving_since.get_or_insert(now);
         }
-        if situation.stopping && !self.situation.stopping {
+        if conditions.stopping && !self.conditions.stopping {
             self.next_read_at = now;
         }
-        self.situation = situation;
+        self.conditions = conditions;
         self.note_missing(now);
         self.advance(now)
     }
@@ -246,7 +246,7 @@
         if self.may_be_taking_over() {
             return Promise::Refused;
         }
-        self.promises.promise(now, terms, self.situation.stopping)
+        self.promises.promise(now, terms, self.conditions.stopping)
     }
 
     fn may_be_taking_over(&self) -> bool {
@@ -316,8 +316,8 @@
             conf: &self.conf,
             now,
             serving: self.is_serving(now),
-            stopping: self.situation.stopping,
-            alive: self.situation.alive.len(),
+            stopping: self.conditions.stopping,
+            alive: self.conditions.alive.len(),
             claims_all: self.are_slots_left_over(now),
             missing: &self.missing_since,
             intents: &self.intents,
@@ -363,8 +363,8 @@
         let since = self.not_serving_since;
         let lately = since.is_some_and(|since| now.since(since) < self.conf.not_serving_ms);
         let listed = |row: &Row| row.map.member(self.me.instance).is_some();
-        let passing = lately && !self.situation.draining;
-        self.situation.serving || (passing && self.row.as_ref().is_some_and(listed))
+        let passing = lately && !self.conditions.draining;
+        self.conditions.serving || (passing && self.row.as_ref().is_some_and(listed))
     }
 
     fn advance(&mut self, now: TimeMs) -> Vec<Action> {
--- a/src/claims/lease_peers.rs
+++ b/src/claims/lease_peers.rs
@@ -21,7 +21,7 @@
         }
         let map = &self.row.as_ref()?.map;
         let mut slots = map.slots_of(self.me.instance);
-        let stopping = self.situation.stopping;
+        let stopping = self.conditions.stopping;
         let leaving = stopping || !self.is_serving(now);
         let alive = |instance: u64| !self.missing_since.contains_key(&instance);
         let others = candidates(map, alive);
--- a/src/claims/lease_rows.rs
+++ b/src/claims/lease_rows.rs
@@ -154,7 +154,7 @@
                 .any(|other| other.node == member.node && other.added > member.added);
             let is_me = member.instance == self.me.instance;
             let was_me = member.node == self.me.node && !is_me;
-            !is_me && (replaced || was_me || !self.situation.alive.contains(&member.node))
+            !is_me && (replaced || was_me || !self.conditions.alive.contains(&member.node))
         };
         let missing = map.members.iter().filter(missing);
         self.missing_since = missing
--- a/src/claims/ledger.rs
+++ b/src/claims/ledger.rs
@@ -65,7 +65,7 @@
 
 /// What to do with a keyed call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Begin {
+pub enum KeyDecision {
     /// Run it, and report to [`Ledger::finish`] or [`Ledger::not_started`].
     Run,
     /// It waits or runs already: answer this one with the same answer.
@@ -111,12 +111,12 @@
     }
 
     /// Decides on a keyed call that arrived at `now`.
-    pub fn begin(&mut self, now: TimeMs, call: &KeyedCall<'_>) -> Begin {
+    pub fn begin(&mut self, now: TimeMs, call: &KeyedCall<'_>) -> KeyDecision {
         if let Some(entry) = self.keys.get(call.key) {
             return seen_before(entry, call.fingerprint);
         }
         if let Some(refusal) = self.cannot_know(now, call) {
-            return Begin::Refuse(refusal);
+            return KeyDecision::Refuse(refusal);
         }
         self.sweep(now);
         if self.keys.len() >= self.bounds.max_keys {
@@ -128,7 +128,7 @@
             expires: now,
         };
         self.keys.insert(call.key.clone(), entry);
-        Begin::Run
+        KeyDecision::Run
     }
 
     /// Why nobody here can say that an unseen key never ran, if that is so.
@@ -329,19 +329,19 @@
     }
 }
 
-fn seen_before(entry: &LedgerEntry, fingerprint: u64) -> Begin {
+fn seen_before(entry: &LedgerEntry, fingerprint: u64) -> KeyDecision {
     if entry.fingerprint != fingerprint {
         return refuse_unknown(RefusalReason::KeyMismatch, 0);
     }
     match &entry.state {
-        KeyState::Running { .. } => Begin::Join,
+        KeyState::Running { .. } => KeyDecision::Join,
         KeyState::RunningElsewhere { .. } => {
             refuse_unknown(RefusalReason::AlreadyRan, RUNNING_ELSEWHERE_RETRY_MS)
         }
         KeyState::Ran {
             answer: Some(answer),
-        } => Begin::Answer(answer.clone()),
-        KeyState::Ran { answer: None } => Begin::Refuse(Refusal {
+        } => KeyDecision::Answer(answer.clone()),
+        KeyState::Ran { answer: None } => KeyDecision::Refuse(Refusal {
             reason: RefusalReason::AlreadyRan,
             run_state: RunState::Ran,
             retry_after_ms: 0,
@@ -350,12 +350,12 @@
     }
 }
 
-fn refuse_unknown(reason: RefusalReason, retry_after_ms: u64) -> Begin {
-    Begin::Refuse(Refusal::unknown(reason, retry_after_ms))
+fn refuse_unknown(reason: RefusalReason, retry_after_ms: u64) -> KeyDecision {
+    KeyDecision::Refuse(Refusal::unknown(reason, retry_after_ms))
 }
 
-fn refuse_not_run(reason: RefusalReason, retry_after_ms: u64) -> Begin {
-    Begin::Refuse(Refusal::not_run(reason, retry_after_ms))
+fn refuse_not_run(reason: RefusalReason, retry_after_ms: u64) -> KeyDecision {
+    KeyDecision::Refuse(Refusal::not_run(reason, retry_after_ms))
 }
 
 fn has_ended(state: &KeyState) -> bool {
--- a/src/claims/shared_ledger.rs
+++ b/src/claims/shared_ledger.rs
@@ -7,7 +7,7 @@
 
 use tokio::sync::oneshot;
 
-use crate::claims::Begin;
+use crate::claims::KeyDecision;
 use crate::claims::KeyOutcome;
 use crate::claims::KeyedCall;
 use crate::claims::Ledger;
@@ -79,14 +79,14 @@
         let now = self.clock.now();
         let mut inner = self.lock();
         match inner.ledger.begin(now, call) {
-            Begin::Run => KeyedAdmission::Run(RunTicket {
+            KeyDecision::Run => KeyedAdmission::Run(RunTicket {
                 ledger: self.clone(),
                 key: call.key.clone(),
                 settled: false,
             }),
-            Begin::Join => join(&mut inner, call.key),
-            Begin::Answer(answer) => KeyedAdmission::Answer(answer),
-            Begin::Refuse(refusal) => KeyedAdmission::Refuse(refusal),
+            KeyDecision::Join => join(&mut inner, call.key),
+            KeyDecision::Answer(answer) => KeyedAdmission::Answer(answer),
+            KeyDecision::Refuse(refusal) => KeyedAdmission::Refuse(refusal),
         }
     }
 
--- a/tests/claims_keeper.rs
+++ b/tests/claims_keeper.rs
@@ -9,7 +9,7 @@
 use sassafrasgap::claims::ReadResult;
 use sassafrasgap::claims::ResendLimits;
 use sassafrasgap::claims::SLOT_COUNT;
-use sassafrasgap::claims::Situation;
+use sassafrasgap::claims::NodeConditions;
 use sassafrasgap::claims::SlotMap;
 use sassafrasgap::claims::WriteResult;
 use sassafrasgap::control::Promise;
@@ -67,9 +67,9 @@
     map
 }
 
-fn situation(alive: &[u64]) -> Situation {
+fn conditions(alive: &[u64]) -> NodeConditions {
     let names = alive.iter().map(|it| Name::from(format!("node-{it}")));
-    Situation {
+    NodeConditions {
         serving: true,
         draining: false,
         stopping: false,
@@ -101,7 +101,7 @@
     map: &SlotMap,
 ) -> Vec<Action> {
     let now = TimeMs(now);
-    let op = read_op(&manager.tick(now, situation(alive)));
+    let op = read_op(&manager.tick(now, conditions(alive)));
     let found = Some((version, map.clone()));
     manager.on_read(now, op, ReadResult::Row(found))
 }
@@ -125,7 +125,7 @@
     let mut now = 1_000;
     let (op, announced) = loop {
         now += 1_000;
-        let op = read_op(&manager.tick(TimeMs(now), situation(&[ME])));
+        let op = read_op(&manager.tick(TimeMs(now), conditions(&[ME])));
         let found = Some((1, map.clone()));
         if let Some(write) = written(&manager.on_read(TimeMs(now), op, ReadResult::Row(found))) {
             break write;
@@ -140,7 +140,7 @@
             break write;
         }
         now += 100;
-        actions = manager.tick(TimeMs(now), situation(&[ME]));
+        actions = manager.tick(TimeMs(now), conditions(&[ME]));
         if actions
             .iter()
             .any(|action| matches!(action, Action::ReadRow { .. }))
@@ -193,7 +193,7 @@
     let mut later = now;
     let op = loop {
         later = later + 50;
-        let actions = manager.tick(later, situation(&[ME, OTHER]));
+        let actions = manager.tick(later, conditions(&[ME, OTHER]));
         if !actions.is_empty() {
             break read_op(&actions);
         }
@@ -216,7 +216,7 @@
     let mut later = TimeMs(now);
     let actions = loop {
         later = later + 50;
-        let actions = manager.tick(later, situation(&[ME, OTHER]));
+        let actions = manager.tick(later, conditions(&[ME, OTHER]));
         if !actions.is_empty() {
             break actions;
         }
@@ -258,7 +258,7 @@
     let mut now = 1_000;
     let round = loop {
         now += 100;
-        let actions = manager.tick(TimeMs(now), situation(&alive));
+        let actions = manager.tick(TimeMs(now), conditions(&alive));
         let asked: Vec<(u64, u64)> = actions
             .iter()
             .filter_map(|action| match action {
@@ -291,7 +291,7 @@
     let granted = Promise::Granted { hold_ms: LEASE_MS };
     let end = 1_000 + conf().terms.outage_ms;
     for now in (1_000..end + 10 * LEASE_MS).step_by(100) {
-        for action in manager.tick(TimeMs(now), situation(&alive)) {
+        for action in manager.tick(TimeMs(now), conditions(&alive)) {
             match action {
                 Action::AskPromise { round, member, .. } => {
                     manager.on_promise(TimeMs(now), round, member, &granted);
@@ -340,7 +340,7 @@
     let taken_at = loop {
         later += 50;
         assert!(later < now + 10 * LEASE_MS, "never taken over");
-        let actions = manager.tick(TimeMs(later), situation(&[ME]));
+        let actions = manager.tick(TimeMs(later), conditions(&[ME]));
         if actions.is_empty() {
             continue;
         }
--- a/tests/claims_ledger.rs
+++ b/tests/claims_ledger.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use rstest::rstest;
-use sassafrasgap::claims::Begin;
+use sassafrasgap::claims::KeyDecision;
 use sassafrasgap::claims::HeldSlot;
 use sassafrasgap::claims::SlotLease;
 use sassafrasgap::claims::KeyOutcome;
@@ -47,7 +47,7 @@
     ledger
 }
 
-fn begin(ledger: &mut Ledger, now: u64, key: &str, fingerprint: u64) -> Begin {
+fn begin(ledger: &mut Ledger, now: u64, key: &str, fingerprint: u64) -> KeyDecision {
     let stamp = ledger.stamp(TimeMs(now));
     let key = Name::from(key);
     let call = KeyedCall {
@@ -69,14 +69,14 @@
     ledger.finish(TimeMs(now), &Name::from(key), outcome);
 }
 
-fn refusal(begin: Begin) -> Refusal {
+fn refusal(begin: KeyDecision) -> Refusal {
     match begin {
-        Begin::Refuse(refusal) => refusal,
+        KeyDecision::Refuse(refusal) => refusal,
         other => panic!("not refused: {other:?}"),
     }
 }
 
-fn refused(begin: Begin) -> (RefusalReason, RunState) {
+fn refused(begin: KeyDecision) -> (RefusalReason, RunState) {
     let refusal = refusal(begin);
     (refusal.reason, refusal.run_state)
 }
@@ -84,12 +84,12 @@
 #[test]
 fn a_resend_joins_then_gets_the_first_answer_then_an_honest_ran() {
     let mut ledger = ledger(1, 10, 1_000);
-    assert_eq!(begin(&mut ledger, 0, "a", CONTENT), Begin::Run);
-    assert_eq!(begin(&mut ledger, 10, "a", CONTENT), Begin::Join);
+    assert_eq!(begin(&mut ledger, 0, "a", CONTENT), KeyDecision::Run);
+    assert_eq!(begin(&mut ledger, 10, "a", CONTENT), KeyDecision::Join);
     finish(&mut ledger, 20, "a", 100);
     assert!(matches!(
         begin(&mut ledger, 30, "a", CONTENT),
-        Begin::Answer(_)
+        KeyDecision::Answer(_)
     ));
     ledger.sweep(TimeMs(20 + WINDOW_MS));
     let late = begin(&mut ledger, 20 + WINDOW_MS, "a", CONTENT);
@@ -110,11 +110,11 @@
     #[case] reason: RefusalReason,
 ) {
     let mut ledger = ledger(1, 10, 1_000);
-    assert_eq!(begin(&mut ledger, 1, "seen", CONTENT), Begin::Run);
+    assert_eq!(begin(&mut ledger, 1, "seen", CONTENT), KeyDecision::Run);
     ledger.set_slot_lease(slot_lease);
     let unseen = begin(&mut ledger, 1_000, "unseen", CONTENT);
     assert_eq!(refused(unseen), (reason, RunState::Unknown));
-    assert_eq!(begin(&mut ledger, 1_000, "seen", CONTENT), Begin::Join);
+    assert_eq!(begin(&mut ledger, 1_000, "seen", CONTENT), KeyDecision::Join);
 }
 
 /// A caller sends an order through an entry that is paused with the attempt half sent, then again
@@ -126,7 +126,7 @@
     let mut ledger = ledger(1, 10, 1_000);
     let key = Name::from("a");
     let old_stamp = ledger.stamp(TimeMs(0));
-    assert_eq!(begin(&mut ledger, 10, "a", CONTENT), Begin::Run);
+    assert_eq!(begin(&mut ledger, 10, "a", CONTENT), KeyDecision::Run);
     finish(&mut ledger, 20, "a", 10);
     let much_later = TimeMs(10 * WINDOW_MS);
     ledger.sweep(much_later);
@@ -149,14 +149,14 @@
 fn a_full_ledger_refuses_new_keys_and_forgets_none_early() {
     let mut ledger = ledger(1, 2, 1_000);
     for key in ["a", "b"] {
-        assert_eq!(begin(&mut ledger, 0, key, CONTENT), Begin::Run);
+        assert_eq!(begin(&mut ledger, 0, key, CONTENT), KeyDecision::Run);
         finish(&mut ledger, 1, key, 10);
     }
     let full = begin(&mut ledger, 2 * WINDOW_MS, "c", CONTENT);
     assert_eq!(refused(full), (RefusalReason::LedgerFull, RunState::NotRun));
     assert_eq!(
         begin(&mut ledger, 1 + 2 * WINDOW_MS, "c", CONTENT),
-        Begin::Run
+        KeyDecision::Run
     );
     assert_eq!(ledger.len(), 1);
 }
@@ -176,7 +176,7 @@
     let mut ledger = ledger(1, 100, 1_000);
     for index in 0..20 {
         let key = format!("key-{index}");
-        assert_eq!(begin(&mut ledger, 0, &key, CONTENT), Begin::Run);
+        assert_eq!(begin(&mut ledger, 0, &key, CONTENT), KeyDecision::Run);
         finish(&mut ledger, 1, &key, 300);
     }
     assert!(ledger.answer_bytes() <= 1_000);
@@ -188,9 +188,9 @@
 #[test]
 fn a_key_that_was_not_started_may_run_again() {
     let mut ledger = ledger(1, 10, 1_000);
-    assert_eq!(begin(&mut ledger, 0, "a", CONTENT), Begin::Run);
+    assert_eq!(begin(&mut ledger, 0, "a", CONTENT), KeyDecision::Run);
     ledger.not_started(&Name::from("a"));
-    assert_eq!(begin(&mut ledger, 1, "a", CONTENT), Begin::Run);
+    assert_eq!(begin(&mut ledger, 1, "a", CONTENT), KeyDecision::Run);
     ledger.finish(TimeMs(2), &Name::from("a"), KeyOutcome::MayHaveRun);
     let again = begin(&mut ledger, 3, "a", CONTENT);
     let said = (RefusalReason::AlreadyRan, RunState::Unknown);
@@ -218,7 +218,7 @@
     let mut giver = ledger(1, 10, 1_000);
     let mut receiver = ledger(2, 10, 1_000);
     for key in ["ran", "shed"] {
-        assert_eq!(begin(&mut giver, 0, key, CONTENT), Begin::Run);
+        assert_eq!(begin(&mut giver, 0, key, CONTENT), KeyDecision::Run);
     }
     assert!(receiver.receive(TimeMs(0), transfer(&mut giver, 1, 0)));
     let meanwhile = begin(&mut receiver, 1, "ran", CONTENT);
@@ -228,8 +228,8 @@
     giver.not_started(&Name::from("shed"));
     deliver_updates(&mut giver, &mut receiver, 3);
     let settled = begin(&mut receiver, 4, "ran", CONTENT);
-    assert!(matches!(settled, Begin::Answer(_)));
-    assert_eq!(begin(&mut receiver, 4, "shed", CONTENT), Begin::Run);
+    assert!(matches!(settled, KeyDecision::Answer(_)));
+    assert_eq!(begin(&mut receiver, 4, "shed", CONTENT), KeyDecision::Run);
 }
 
 /// A hand-over fails half way and the giver goes on. A call it had queued is shed, sent again and
@@ -239,11 +239,11 @@
 fn old_news_of_a_shed_call_does_not_override_a_later_transfer() {
     let mut giver = ledger(1, 10, 1_000);
     let mut receiver = ledger(2, 10, 1_000);
-    assert_eq!(begin(&mut giver, 0, "a", CONTENT), Begin::Run);
+    assert_eq!(begin(&mut giver, 0, "a", CONTENT), KeyDecision::Run);
     assert!(receiver.receive(TimeMs(0), transfer(&mut giver, 1, 0)));
     giver.not_started(&Name::from("a"));
     let old_news = giver.take_key_updates();
-    assert_eq!(begin(&mut giver, 1, "a", CONTENT), Begin::Run);
+    assert_eq!(begin(&mut giver, 1, "a", CONTENT), KeyDecision::Run);
     assert!(receiver.receive(TimeMs(2), transfer(&mut giver, 2, 2)));
     for (_, news) in old_news {
         assert!(receiver.receive(TimeMs(3), news));
--- a/tests/claims_world/keys.rs
+++ b/tests/claims_world/keys.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use sassafrasgap::claims::Begin;
+use sassafrasgap::claims::KeyDecision;
 use sassafrasgap::claims::KeyOutcome;
 use sassafrasgap::claims::KeyedCall;
 use sassafrasgap::claims::ResendLimits;
@@ -105,23 +105,23 @@
             first_sending: false,
         };
         match process.ledger.begin(now, &call) {
-            Begin::Run => {
+            KeyDecision::Run => {
                 let key = sending.key;
                 let late = self.chance(self.noise.late_permille);
                 let wait_ms = self.rng.u64(0..if late { 5_000 } else { 200 });
                 self.post(index, wait_ms, Event::Dispatch { key });
             }
-            Begin::Join => {}
-            Begin::Answer(_) => self.truth.told_ran(&sending.key, self.now),
-            Begin::Refuse(refusal) if refusal.reason == RefusalReason::StaleAttempt => {
+            KeyDecision::Join => {}
+            KeyDecision::Answer(_) => self.truth.told_ran(&sending.key, self.now),
+            KeyDecision::Refuse(refusal) if refusal.reason == RefusalReason::StaleAttempt => {
                 sending.next = Some((index, process.ledger.stamp(now)));
                 let delay = self.rng.u64(1..20);
                 self.push(delay, None, Event::Send { sending });
             }
-            Begin::Refuse(refusal) if refusal.reason == RefusalReason::NotOwner => {
+            KeyDecision::Refuse(refusal) if refusal.reason == RefusalReason::NotOwner => {
                 self.push(50, None, Event::Send { sending });
             }
-            Begin::Refuse(refusal) => self.truth.told_refused(&sending.key, refusal),
+            KeyDecision::Refuse(refusal) => self.truth.told_refused(&sending.key, refusal),
         }
     }
 
--- a/tests/claims_world/mod.rs
+++ b/tests/claims_world/mod.rs
@@ -21,7 +21,7 @@
 use sassafrasgap::claims::ReadResult;
 use sassafrasgap::claims::ResendLimits;
 use sassafrasgap::claims::SLOT_COUNT;
-use sassafrasgap::claims::Situation;
+use sassafrasgap::claims::NodeConditions;
 use sassafrasgap::claims::SlotMap;
 use sassafrasgap::claims::WriteResult;
 use sassafrasgap::control::Promise;
@@ -347,13 +347,13 @@
         self.refresh_alive(index);
         let now = self.processes[index].clock(self.now);
         let process = &mut self.processes[index];
-        let situation = Situation {
+        let conditions = NodeConditions {
             serving: process.serving,
             draining: false,
             stopping: process.stopping,
             alive: process.alive.clone(),
         };
-        let actions = process.keep(|manager| manager.tick(now, situation));
+        let actions = process.keep(|manager| manager.tick(now, conditions));
         process.ledger.sweep(now);
         let news = process.ledger.take_key_updates();
         let has_left = process.stopping && process.manager.has_left();
