--- a/src/claims/boot.rs
+++ b/src/claims/boot.rs
@@ -1,17 +1,17 @@
-//! What tells a process that its predecessor is gone.
+//! Fingerprint by which a process recognises that its predecessor has ended.
 
 use std::fs;
 use std::net::SocketAddr;
 
 use crate::core::stable_hash;
 
-/// Where Linux names the present run of the machine.
+/// Path of the Linux boot id, which changes with every boot of the machine.
 const BOOT_ID_PATH: &str = "/proc/sys/kernel/random/boot_id";
-/// Names the run of the VM together with an address that this process has bound.
+/// Hashes the boot id of the VM together with an address that this process has bound.
 ///
-/// A second process with the same value could only bind the address after this one is gone, be
-/// it paused or not. Where the machine does not name its run, the value is random: then nothing is
-/// concluded, and a restarted node waits like any other.
+/// A second process with the same value can bind the address only after the first one has ended; a
+/// paused process still holds its address. If the boot id cannot be read, the value is random. It
+/// then matches no predecessor, and a restarted node waits like any other member.
 pub fn boot_fingerprint(bound: SocketAddr) -> u64 {
     let Ok(boot_id) = fs::read_to_string(BOOT_ID_PATH) else {
         return fastrand::u64(..);
--- a/src/claims/driver.rs
+++ b/src/claims/driver.rs
@@ -1,5 +1,6 @@
-//! Lets the lease manager act: the only part of `claims` that meets the outside. It runs on the
-//! control thread and drives the pure manager with the table, the peers and the clock.
+//! Runs the lease manager against the outside world. The driver runs on the control thread and
+//! connects the manager, which does no I/O, to the table, the peers and the clock. It is the only
+//! part of `claims` that does I/O.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -23,12 +24,12 @@
 use crate::claims::Ledger;
 use crate::claims::LedgerBounds;
 use crate::claims::LedgerTransfer;
-use crate::claims::TransferTarget;
+use crate::claims::NodeConditions;
 use crate::claims::PauseDetector;
 use crate::claims::ResendLimits;
 use crate::claims::SharedLedger;
-use crate::claims::NodeConditions;
 use crate::claims::SlotMap;
+use crate::claims::TransferTarget;
 use crate::claims::WindowTracker;
 use crate::claims::member_calls::ask_promise;
 use crate::claims::member_calls::send_transfer;
@@ -47,45 +48,46 @@
 use crate::core::View;
 use crate::table_service::PlatformClient;
 
-/// How often the manager looks at the time.
+/// Interval between two ticks of the lease manager.
 const TICK: Duration = Duration::from_millis(100);
-/// How often a planned stop looks whether everything is handed over.
+/// Polling interval in which a planned stop checks whether all slots are handed over.
 const LEAVE_POLL: Duration = Duration::from_millis(20);
 
-/// Who the node is, for its claims.
+/// Settings of a node's claims: its identity, its lease durations and the bounds of its ledger.
 #[derive(Clone, Debug)]
 pub struct ClaimsSettings {
     pub node: Name,
     pub region: Name,
-    /// See [`crate::claims::boot_fingerprint`]. The node's addresses have to be bound before it is used.
+    /// See [`crate::claims::boot_fingerprint`]. The node's addresses have to be bound before it is
+    /// computed.
     pub boot: u64,
     pub lease: LeaseConf,
     pub bounds: LedgerBounds,
 }
 
-/// What the local backend server is at the moment.
+/// The present state of the local backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LocalService {
     pub service: Name,
-    /// It takes work.
+    /// The backend server accepts work.
     pub serving: bool,
-    /// It said itself that it takes no more.
+    /// The backend server announced that it accepts no more work.
     pub draining: bool,
 }
 
-/// What the driver needs of the rest of the node.
+/// Interfaces to the rest of the node that the driver uses.
 pub struct ClaimsPorts {
     pub platform: PlatformClient,
     pub clients: Arc<PeerClients>,
     pub view: Arc<Published<View>>,
-    /// `None` until the backend server announced itself.
+    /// Returns `None` until the backend server has announced itself.
     pub local: Box<dyn Fn() -> Option<LocalService> + Send + Sync>,
-    /// The resend window of the preset in force, `None` until one is known.
+    /// Returns the resend window of the preset in force, or `None` until a preset is known.
     pub window_ms: Box<dyn Fn() -> Option<u64> + Send + Sync>,
 }
 
-/// The manager together with the ledger that follows it.
-struct Kept {
+/// The lease manager together with the ledger that it updates.
+struct ActiveClaims {
     manager: LeaseManager,
     ledger: Arc<SharedLedger>,
     window: WindowTracker,
@@ -93,31 +95,33 @@
     instance: u64,
 }
 
-/// The claims of one node: made before the control thread starts, run on it, read by traffic.
+/// The claims of one node. They are created before the control thread starts, run on it, and are
+/// read by the traffic threads.
 pub struct Claims {
     settings: ClaimsSettings,
     clock: Clock,
-    /// Noted by the driver at each tick, asked by entries.
+    /// Updated by the driver at each tick and read by entries.
     pub pauses: PauseDetector,
     ledger: ArcSwapOption<SharedLedger>,
-    kept: Mutex<Option<Kept>>,
+    active: Mutex<Option<ActiveClaims>>,
     stopping: AtomicBool,
 }
 
 impl Claims {
-    /// Claims that hold nothing.
+    /// Claims that hold no slots.
     pub fn new(settings: ClaimsSettings, clock: Clock) -> Arc<Self> {
         Arc::new(Self {
             settings,
             clock,
             pauses: PauseDetector::default(),
             ledger: ArcSwapOption::empty(),
-            kept: Mutex::new(None),
+            active: Mutex::new(None),
             stopping: AtomicBool::new(false),
         })
     }
 
-    /// Claims over a ledger whose slot_lease somebody else decides, for nodes without a control thread.
+    /// Claims with a ledger whose slot lease is set by the caller, for nodes without a control
+    /// thread.
     pub fn with_ledger(
         settings: ClaimsSettings,
         clock: Clock,
@@ -128,27 +132,30 @@
         claims
     }
 
-    /// The ledger, once the backend server has announced itself and a preset is known.
+    /// The ledger, or `None` until the backend server has announced itself and a preset is known.
     pub fn ledger(&self) -> Option<Arc<SharedLedger>> {
         self.ledger.load_full()
     }
 
-    /// Whether an entry should doubt that a keyed request just read is new.
+    /// Whether a keyed request that an entry has just read may have arrived before a pause of this
+    /// process.
     pub fn may_predate_pause(&self, now: TimeMs) -> bool {
         let limits = self
             .ledger()
             .map(|ledger| ledger.with(|ledger, _| ledger.limits()));
-        let unnoticed_ms = limits.map_or(PauseDetector::DEFAULT_PAUSE_MS, |it| it.unnoticed_pause_ms());
-        self.pauses.may_predate_pause(now, unnoticed_ms)
+        let unnoticed_ms = limits.map_or(PauseDetector::DEFAULT_PAUSE_MS, |it| {
+            it.unnoticed_pause_ms()
+        });
+        self.pauses.is_after_pause(now, unnoticed_ms)
     }
 
-    /// Lets the claims answer what peers ask.
+    /// Registers the handlers for promise requests and ledger transfers of peers.
     pub fn attach(self: &Arc<Self>, handlers: &mut ControlHandlers) {
         let claims = self.clone();
         handlers.promise = Arc::new(move |ask| claims.promise(&ask));
         let claims = self.clone();
         handlers.hand_over = Arc::new(move |bytes| {
-            let taken = claims.take_in(&bytes);
+            let taken = claims.receive_transfer(&bytes);
             ready(taken).boxed()
         });
     }
@@ -162,14 +169,16 @@
             ticks.tick().await;
             let now = self.clock.now();
             let limits = self.ledger().map(|it| it.with(|ledger, _| ledger.limits()));
-            let unnoticed_ms = limits.map_or(PauseDetector::DEFAULT_PAUSE_MS, |it| it.unnoticed_pause_ms());
+            let unnoticed_ms = limits.map_or(PauseDetector::DEFAULT_PAUSE_MS, |it| {
+                it.unnoticed_pause_ms()
+            });
             self.pauses.record_tick(now, unnoticed_ms);
             self.tick(&ports);
         }
     }
 
-    /// Hands everything over before a planned stop; gives up after `wait_ms`, for example when the
-    /// table is down. What is not handed over is taken over by others after the lease.
+    /// Hands over all slots before a planned stop. Gives up after `wait_ms`, for example when the
+    /// table is down. Other members take over the remaining slots after the lease expires.
     pub async fn leave(&self, wait_ms: u64) {
         self.stopping.store(true, Ordering::Release);
         let started_at = self.clock.now();
@@ -182,29 +191,29 @@
     fn has_left(&self) -> bool {
         self.lock()
             .as_ref()
-            .is_none_or(|kept| kept.manager.has_left())
+            .is_none_or(|active| active.manager.has_left())
     }
 
-    fn lock(&self) -> MutexGuard<'_, Option<Kept>> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Option<ActiveClaims>> {
+        self.active.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn tick(self: &Arc<Self>, ports: &Arc<ClaimsPorts>) {
         let (Some(local), Some(window_ms)) = ((ports.local)(), (ports.window_ms)()) else {
             return;
         };
-        self.begin_once(&local.service, window_ms);
+        self.start_once(&local.service, window_ms);
         let conditions = self.conditions(&local, &ports.view.load());
-        let news = self.follow_window(window_ms);
-        self.keep(ports, |manager, now| manager.tick(now, conditions));
-        for (node, transfer) in news {
+        let updates = self.update_window(window_ms);
+        self.with_manager(ports, |manager, now| manager.tick(now, conditions));
+        for (node, transfer) in updates {
             self.send_key_update(ports, &node, transfer);
         }
     }
 
-    fn begin_once(&self, service: &Name, window_ms: u64) {
-        let mut kept = self.lock();
-        if kept.is_some() {
+    fn start_once(&self, service: &Name, window_ms: u64) {
+        let mut active = self.lock();
+        if active.is_some() {
             return;
         }
         let now = self.clock.now();
@@ -223,7 +232,7 @@
         let ledger = SharedLedger::new(self.clock, ledger);
         self.ledger.store(Some(ledger.clone()));
         let rng = fastrand::Rng::new();
-        *kept = Some(Kept {
+        *active = Some(ActiveClaims {
             manager: LeaseManager::new(me, settings.lease, limits, rng),
             ledger,
             window,
@@ -236,8 +245,9 @@
     fn conditions(&self, local: &LocalService, view: &View) -> NodeConditions {
         let is_gone = |state| matches!(state, TargetState::Dead | TargetState::Left);
         let targets = view.targets(&local.service).iter();
-        // A domain that cannot be reached counts as gone: its owners cannot run calls from here,
-        // and if they still read the row, they remove what others announce against them.
+        // Nodes in an unreachable failure domain count as gone, because calls cannot reach them
+        // from here. If such an owner still reads the row, it removes the intents that others
+        // announce against it.
         let mut alive: FastSet<Name> = targets
             .filter(|target| !is_gone(target.state))
             .filter(|target| !view.cut_off_domains.contains(&target.domain))
@@ -252,59 +262,63 @@
         }
     }
 
-    fn follow_window(&self, window_ms: u64) -> Vec<(Name, LedgerTransfer)> {
-        let mut kept = self.lock();
-        let Some(kept) = kept.as_mut() else {
+    fn update_window(&self, window_ms: u64) -> Vec<(Name, LedgerTransfer)> {
+        let mut active = self.lock();
+        let Some(active) = active.as_mut() else {
             return Vec::new();
         };
-        let limits = kept.window.update(self.clock.now(), window_ms);
-        kept.manager.set_limits(limits);
-        kept.ledger.with(|ledger, now| {
+        let limits = active.window.update(self.clock.now(), window_ms);
+        active.manager.set_limits(limits);
+        active.ledger.with(|ledger, now| {
             ledger.set_limits(limits);
             ledger.sweep(now);
             ledger.take_key_updates()
         })
     }
 
-    /// Lets the manager work, shows the ledger what it holds, and only then carries out its actions.
-    fn keep(
+    /// Runs `work` on the manager, passes the resulting slot lease to the ledger, and only then
+    /// executes the actions. In another order the ledger could start keys in slots that an action
+    /// gives away.
+    fn with_manager(
         self: &Arc<Self>,
         ports: &Arc<ClaimsPorts>,
         work: impl FnOnce(&mut LeaseManager, TimeMs) -> Vec<Action>,
     ) {
         let mut guard = self.lock();
-        let Some(kept) = guard.as_mut() else {
+        let Some(active) = guard.as_mut() else {
             return;
         };
-        let before = kept.manager.slot_lease().count();
-        let actions = work(&mut kept.manager, self.clock.now());
-        let slot_lease = kept.manager.slot_lease().clone();
+        let before = active.manager.slot_lease().count();
+        let actions = work(&mut active.manager, self.clock.now());
+        let slot_lease = active.manager.slot_lease().clone();
         if slot_lease.count() != before {
             log::info!("claims: slots held={} before={before}", slot_lease.count());
         }
-        kept.ledger.with(|ledger, _| ledger.set_slot_lease(slot_lease));
+        active
+            .ledger
+            .with(|ledger, _| ledger.set_slot_lease(slot_lease));
         for action in actions {
-            self.act(ports, kept, action);
+            self.execute(ports, active, action);
         }
     }
 
-    fn act(self: &Arc<Self>, ports: &Arc<ClaimsPorts>, kept: &Kept, action: Action) {
+    fn execute(self: &Arc<Self>, ports: &Arc<ClaimsPorts>, active: &ActiveClaims, action: Action) {
         let claims = self.clone();
         let ports = ports.clone();
         match action {
             Action::ReadRow { op } => {
-                let row = SlotMap::row_name(&kept.service);
+                let row = SlotMap::row_name(&active.service);
                 tokio::spawn(async move {
                     let result = read_row(&ports.platform, &row).await;
-                    claims.keep(&ports, |manager, now| manager.on_read(now, op, result));
+                    claims.with_manager(&ports, |manager, now| manager.on_read(now, op, result));
                 });
             }
             Action::WriteRow { op, expected, map } => {
-                let row = SlotMap::row_name(&kept.service);
+                let row = SlotMap::row_name(&active.service);
                 tokio::spawn(async move {
                     let result = write_row(&ports.platform, &row, expected, &map).await;
-                    log::debug!("claims: row written result={result:?}");
-                    claims.keep(&ports, |manager, now| manager.on_write(now, op, result));
+                    log::debug!("claims: row write finished result={result:?}");
+                    claims.with_manager(&ports, |manager, now| manager.on_write(now, op, result));
                 });
             }
             Action::AskPromise {
@@ -313,13 +327,13 @@
                 member,
             } => {
                 let ask = PromiseAsk {
-                    service: kept.service.clone(),
-                    owner: kept.instance,
+                    service: active.service.clone(),
+                    owner: active.instance,
                     member,
                 };
                 tokio::spawn(async move {
                     let promise = ask_promise(&ports, &node, ask).await;
-                    claims.keep(&ports, |manager, now| {
+                    claims.with_manager(&ports, |manager, now| {
                         manager.on_promise(now, round, member, &promise);
                         Vec::new()
                     });
@@ -336,13 +350,13 @@
                     instance: member,
                     transfer,
                 };
-                let ledger = kept
+                let ledger = active
                     .ledger
-                    .with(|ledger, now| ledger.give(now, &slots, &to));
-                log::info!("claims: hand over slots={} to={node}", slots.len());
+                    .with(|ledger, now| ledger.export_slots(now, &slots, &to));
+                log::info!("claims: handing over slots={} to={node}", slots.len());
                 tokio::spawn(async move {
                     let confirmed = send_transfer(&ports, &node, &ledger).await;
-                    claims.keep(&ports, |manager, now| {
+                    claims.with_manager(&ports, |manager, now| {
                         manager.on_handed_over(now, transfer, confirmed)
                     });
                 });
@@ -350,7 +364,8 @@
         }
     }
 
-    /// News is sent once: if it is lost, the key stays unknown at the new owner.
+    /// Sends a key update once, without a retry. If it is lost, the run state of the key stays
+    /// unknown at the new owner.
     fn send_key_update(&self, ports: &Arc<ClaimsPorts>, node: &Name, transfer: LedgerTransfer) {
         let ports = ports.clone();
         let node = node.clone();
@@ -360,35 +375,35 @@
     fn promise(&self, ask: &PromiseAsk) -> Promise {
         let mut guard = self.lock();
         match guard.as_mut() {
-            Some(kept) if kept.service == ask.service => {
-                kept.manager.promise_asked(self.clock.now(), ask)
+            Some(active) if active.service == ask.service => {
+                active.manager.on_promise_request(self.clock.now(), ask)
             }
             _ => Promise::Refused,
         }
     }
 
-    fn take_in(&self, bytes: &[u8]) -> bool {
+    fn receive_transfer(&self, bytes: &[u8]) -> bool {
         let transfer = match LedgerTransfer::decode(bytes) {
             Ok(transfer) => transfer,
             Err(error) => {
-                log::warn!("claims: transfer refused error={error}");
+                log::warn!("claims: transfer cannot be decoded error={error}");
                 return false;
             }
         };
         let mut guard = self.lock();
-        let Some(kept) = guard.as_mut() else {
+        let Some(active) = guard.as_mut() else {
             return false;
         };
-        if transfer.to != kept.instance || transfer.service != kept.service {
+        if transfer.to != active.instance || transfer.service != active.service {
             return false;
         }
         let slots = transfer.slots.len();
         let keys = transfer.keys.len();
-        let taken = kept
+        let taken = active
             .ledger
             .with(|ledger, now| ledger.receive(now, transfer.clone()));
         if taken {
-            kept.manager.on_received(self.clock.now(), &transfer);
+            active.manager.on_received(self.clock.now(), &transfer);
         }
         log::debug!("claims: transfer received slots={slots} keys={keys} taken={taken}");
         taken
--- a/src/claims/fair_share.rs
+++ b/src/claims/fair_share.rs
@@ -1,16 +1,16 @@
-//! How many slots each member should own, and who gives to whom.
+//! Balances slots between members: how many each should own, and who hands slots to whom.
 
 use crate::claims::SLOT_COUNT;
 use crate::claims::SlotMap;
 
-/// A member that may be given slots, and how many it owns.
+/// A member that may receive slots, and how many it owns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate {
     pub instance: u64,
     pub owned: usize,
 }
 
-/// The members that may be given slots, in the order of the row.
+/// The members that may receive slots, in the order of the row.
 pub fn candidates(map: &SlotMap, is_alive: impl Fn(u64) -> bool) -> Vec<Candidate> {
     map.members
         .iter()
@@ -22,14 +22,14 @@
         .collect()
 }
 
-/// The most that one of `owners` should own.
+/// The largest number of slots that each of `owners` members should own.
 pub fn fair_share(owners: usize) -> usize {
     SLOT_COUNT.div_ceil(owners.max(1))
 }
 
-/// How many slots `me` should give to whom now, so that the members own about the same; `None`
-/// when nothing is worth moving.
-pub fn next_gift(
+/// The receiver and the number of slots that `me` should hand over next, so that the members own
+/// about the same number. Returns `None` when no move improves the balance.
+pub fn next_hand_over(
     candidates: &[Candidate],
     me: u64,
     owned: usize,
--- a/src/claims/held_slots.rs
+++ b/src/claims/held_slots.rs
@@ -1,4 +1,4 @@
-//! From what moment on a slot that the row gives to this process may be used.
+//! Decides from when on this process may use a slot that the row assigns to it.
 
 use crate::claims::HeldSlot;
 use crate::claims::MovedSlot;
@@ -6,24 +6,25 @@
 use crate::claims::SlotEntry;
 use crate::core::TimeMs;
 
-/// A ledger that was received and whose slots may follow in the row.
+/// A ledger transfer that was received. The row may assign its slots to this process later.
 #[derive(Clone, Debug)]
-pub struct Received {
+pub struct ReceivedTransfer {
     pub id: u64,
     pub at: TimeMs,
     pub slots: Vec<MovedSlot>,
 }
 
-/// The slot as held by `me`, if the row says that it is the owner.
+/// The slot as held by `me`, or `None` if the row names another owner.
 ///
-/// A slot never owned before has no history. One that came with its ledger continues the giver's
-/// grace period. Any other one begins a grace period: its former owner may have run any key.
+/// A slot that was never owned has no history and needs no grace period. A slot that came with its
+/// ledger continues the grace period of its former owner. Any other slot begins a new grace period,
+/// because its former owner may have run any key.
 pub fn held(
     slot: usize,
     entry: SlotEntry,
     me: u64,
     before: Option<HeldSlot>,
-    received: &[Received],
+    received: &[ReceivedTransfer],
     now: TimeMs,
     limits: ResendLimits,
 ) -> Option<HeldSlot> {
@@ -33,7 +34,7 @@
     if let Some(before) = before.filter(|before| before.epoch == entry.epoch) {
         return Some(before);
     }
-    let grace_until = match grace_received(slot, entry, received) {
+    let grace_until = match transferred_grace(slot, entry, received) {
         _ if entry.epoch == 1 => TimeMs(0),
         Some(until) => until,
         None => now + limits.grace_ms(),
@@ -45,7 +46,11 @@
     })
 }
 
-fn grace_received(slot: usize, entry: SlotEntry, received: &[Received]) -> Option<TimeMs> {
+fn transferred_grace(
+    slot: usize,
+    entry: SlotEntry,
+    received: &[ReceivedTransfer],
+) -> Option<TimeMs> {
     if entry.transfer == 0 {
         return None;
     }
--- a/src/claims/lease_action.rs
+++ b/src/claims/lease_action.rs
@@ -1,16 +1,17 @@
-//! What the lease manager asks its surroundings to do, and what it is told.
+//! Actions that the lease manager requests, and the results that it is told.
 
 use crate::claims::SlotMap;
 use crate::core::FastSet;
 use crate::core::Name;
 
-/// An action of [`crate::claims::LeaseManager`]. Every action is answered once, a failure or a
-/// timeout included.
+/// An action of [`crate::claims::LeaseManager`]. The driver reports exactly one result for each
+/// action, also after a failure or a timeout.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Read the service's row.
     ReadRow { op: u64 },
-    /// Write the service's row if it still has the expected version (`None`: if there is none).
+    /// Write the service's row if it still has the expected version. `None` requires that no row
+    /// exists.
     WriteRow {
         op: u64,
         expected: Option<u64>,
@@ -18,7 +19,8 @@
     },
     /// Ask a member for the promise not to take over.
     AskPromise { round: u64, node: Name, member: u64 },
-    /// Send the ledger of slots that are given to a member. By now the slot_lease marks them as given.
+    /// Send the ledger of slots to the member that receives them. The slot lease already marks
+    /// these slots as being handed over.
     HandOver {
         transfer: u64,
         node: Name,
@@ -27,37 +29,37 @@
     },
 }
 
-/// What became of a read of the row.
+/// Result of a read of the row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadResult {
-    /// The row with its version, or that there is none.
+    /// The row with its version, or `None` if no row exists.
     Row(Option<(u64, SlotMap)>),
     /// No answer, or an answer that cannot be used.
     Failed,
 }
 
-/// What became of a write of the row.
+/// Result of a conditional write of the row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteResult {
-    /// It is written, and has this version.
+    /// The row was written and has this version.
     Applied { version: u64 },
-    /// The row had another version; certainly not written.
+    /// The row had another version and was certainly not written.
     Conflict,
-    /// Certainly not written.
+    /// The row was certainly not written.
     NotWritten,
-    /// The answer was lost: it may be written, now or later.
+    /// The answer was lost. The write may have taken effect, or may still do so later.
     Unknown,
 }
 
-/// What the node knows of itself and its surroundings.
+/// The state of the node and of its service's other nodes, as known to this node.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct NodeConditions {
-    /// The backend server takes work.
+    /// The backend server accepts work.
     pub serving: bool,
-    /// It said itself that it takes no more work, which is no passing trouble.
+    /// The backend server announced that it accepts no more work. This is no temporary failure.
     pub draining: bool,
-    /// The node is about to stop: it gives everything away and leaves.
+    /// The node is about to stop: it hands over all slots and leaves the row.
     pub stopping: bool,
-    /// Names of the nodes of this service that membership does not take to be gone.
+    /// Names of the nodes of this service that membership does not consider gone.
     pub alive: FastSet<Name>,
 }
--- a/src/claims/lease_conf.rs
+++ b/src/claims/lease_conf.rs
@@ -1,58 +1,63 @@
-//! The durations of leases and of what keeps them.
+//! Durations of leases and of the reads and promises that renew them.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Added to every wait that must outlast a duration on another VM's clock.
+/// Added to every wait that must be longer than a duration measured on another VM's clock.
 const MARGIN_MS: u64 = 500;
 
-/// What an owner relies on, recorded in the row for those who would take over from it.
+/// Durations that an owner relies on. They are recorded in the row, because a member that takes
+/// over from the owner has to wait by them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct LeaseTerms {
-    /// For how long a sign that nobody takes over holds, from the moment it was asked for.
+    /// How long a lease lasts after a clean read of the row or a round of promises, counted from
+    /// the moment of the request.
     pub lease_ms: u64,
-    /// For how long promises may stand in for the table, from the last clean read on.
+    /// How long promises may replace reads of the table, counted from the last clean read.
     pub outage_ms: u64,
 }
 
 impl LeaseTerms {
-    /// How long one waits on one's own clock until the owner's lease is over on its clock.
-    pub fn lease_over_ms(self) -> u64 {
-        outlast(self.lease_ms)
+    /// How long another member waits on its own clock until the owner's lease has certainly expired
+    /// on the owner's clock.
+    pub fn lease_expiry_wait_ms(self) -> u64 {
+        with_clock_margin(self.lease_ms)
     }
 
-    /// How long one waits until the owner does not rely on promises any more.
-    pub fn outage_over_ms(self) -> u64 {
-        outlast(self.outage_ms)
+    /// How long another member waits until the owner certainly no longer relies on promises.
+    pub fn outage_expiry_wait_ms(self) -> u64 {
+        with_clock_margin(self.outage_ms)
     }
 }
 
-/// Clocks of two VMs differ by up to 1% in speed each; a twentieth covers both.
-fn outlast(duration_ms: u64) -> u64 {
+/// Adds 5% and a fixed margin. Each of two VM clocks may run up to 1% fast or slow, and 5% covers
+/// both.
+fn with_clock_margin(duration_ms: u64) -> u64 {
     duration_ms + duration_ms / 20 + MARGIN_MS
 }
 
-/// How a node keeps its lease.
+/// Intervals and thresholds by which a node renews its lease and takes over slots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseConf {
     pub terms: LeaseTerms,
-    /// Between two reads of the row; 720 nodes read it 144 times a second at 5 s.
-    pub read_every_ms: u64,
-    /// After a read that failed.
-    pub read_again_ms: u64,
-    /// Without a clean read for so long, promises are asked for.
+    /// Interval between two reads of the row. With 5 s, 720 nodes read it 144 times a second.
+    pub read_interval_ms: u64,
+    /// Delay before the next read after a failed one.
+    pub read_retry_ms: u64,
+    /// How long after the last clean read the node begins to ask for promises.
     pub promises_after_ms: u64,
-    /// Between two rounds of promises.
-    pub promises_every_ms: u64,
-    /// For how long a member has to be gone from the view before its slots are taken over.
-    pub missing_ms: u64,
-    /// How much longer each further candidate waits, so that one of them acts and not all.
+    /// Interval between two rounds of promises.
+    pub promise_interval_ms: u64,
+    /// How long a member has to be missing from the membership view before its slots are taken
+    /// over.
+    pub missing_threshold_ms: u64,
+    /// Extra delay for each further candidate, so that one of them acts and not all at once.
     pub rank_step_ms: u64,
-    /// For how long the backend server has to be down before its slots are given away.
-    pub not_serving_ms: u64,
-    /// After a hand-over that failed.
-    pub give_again_ms: u64,
+    /// How long the backend server has to be down before the node hands its slots over.
+    pub not_serving_threshold_ms: u64,
+    /// Delay before the next hand-over after a failed one.
+    pub hand_over_retry_ms: u64,
 }
 
 impl Default for LeaseConf {
@@ -62,7 +67,7 @@
 }
 
 impl LeaseConf {
-    /// The proportions that are measured in docs/AT_MOST_ONCE.md, for a lease of any length.
+    /// Derives all durations from the lease, in the proportions that docs/AT_MOST_ONCE.md measures.
     pub fn for_lease(lease_ms: u64) -> Self {
         let terms = LeaseTerms {
             lease_ms,
@@ -70,14 +75,14 @@
         };
         Self {
             terms,
-            read_every_ms: lease_ms / 3,
-            read_again_ms: lease_ms / 8,
+            read_interval_ms: lease_ms / 3,
+            read_retry_ms: lease_ms / 8,
             promises_after_ms: lease_ms * 2 / 5,
-            promises_every_ms: lease_ms / 5,
-            missing_ms: lease_ms / 4,
+            promise_interval_ms: lease_ms / 5,
+            missing_threshold_ms: lease_ms / 4,
             rank_step_ms: lease_ms / 4,
-            not_serving_ms: lease_ms / 5,
-            give_again_ms: lease_ms / 2,
+            not_serving_threshold_ms: lease_ms / 5,
+            hand_over_retry_ms: lease_ms / 2,
         }
     }
 }
--- a/src/claims/lease_manager.rs
+++ b/src/claims/lease_manager.rs
@@ -1,37 +1,39 @@
-//! Keeps the lease and the slots of one node: a pure state machine over the service's row.
+//! Maintains the lease and the slots of one node. It is a state machine over the service's row and
+//! does no I/O.
 //!
-//! Guards against two processes that run calls of the same slot at once, each slot_lease the other
-//! for gone: a charge would be made twice, once by either. It holds because an owner relies on
-//! its slots only for a lease after a sign that nobody had begun to take them over, and whoever
-//! takes over announces it first and then waits longer than that lease. The argument in full,
-//! with pauses, lost answers and late writes, is in docs/AT_MOST_ONCE.md.
+//! Guards against two processes that run calls of the same slot at the same time because each
+//! believes the other is gone. A charge would then be made twice, once by each. Two rules prevent
+//! this. An owner relies on its slots only for the length of a lease after evidence that no member
+//! had begun to take them over. A member that takes over first announces it and then waits longer
+//! than that lease. docs/AT_MOST_ONCE.md has the full argument, including pauses, lost answers and
+//! late writes.
 
 use crate::claims::Action;
-use crate::claims::SlotLease;
 use crate::claims::LeaseConf;
 use crate::claims::LedgerTransfer;
+use crate::claims::NodeConditions;
 use crate::claims::ReadResult;
 use crate::claims::ResendLimits;
-use crate::claims::NodeConditions;
+use crate::claims::SlotLease;
 use crate::claims::SlotMap;
 use crate::claims::WriteResult;
-use crate::claims::held_slots::Received;
+use crate::claims::held_slots::ReceivedTransfer;
 use crate::claims::promises::Promises;
 use crate::claims::row_plan;
-use crate::claims::row_plan::Given;
 use crate::claims::row_plan::PlanInput;
+use crate::claims::row_plan::SlotTransfer;
 use crate::control::Promise;
 use crate::control::PromiseAsk;
 use crate::core::FastMap;
 use crate::core::Name;
 use crate::core::TimeMs;
 
-/// How many transfers are remembered that were received and not seen in the row yet.
+/// How many received transfers are remembered that have not appeared in the row yet.
 const MAX_RECEIVED: usize = 16;
-/// The longest wait after a lost race for the row.
-const CONFLICT_WAIT_MS: u64 = 200;
+/// The longest delay before the next read after a write conflict or a write without an answer.
+const MAX_CONFLICT_BACKOFF_MS: u64 = 200;
 
-/// Who a node is, for as long as its process lives.
+/// Identity of a node's process. It is fixed for the life of the process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Identity {
     pub node: Name,
@@ -68,10 +70,10 @@
     takes_over: bool,
 }
 
-/// Slots on their way to another member.
+/// Slots that are being handed over to another member or released.
 #[derive(Clone, Debug)]
-pub(super) struct Giving {
-    pub(super) given: Given,
+pub(super) struct OutgoingHandOver {
+    pub(super) slot_transfer: SlotTransfer,
     pub(super) confirmed: bool,
 }
 
@@ -88,23 +90,24 @@
     pub(super) unresolved: Option<Unresolved>,
     pub(super) next_op: u64,
     pub(super) next_read_at: TimeMs,
-    /// When the last sign was asked for that nobody takes over, out of the row itself.
-    pub(super) clean_at: Option<TimeMs>,
+    /// When the last clean read was requested. A read or write of the row is clean if the row lists
+    /// this process and contains no intent against it.
+    pub(super) last_clean_read_at: Option<TimeMs>,
     pub(super) promises: Promises,
-    /// Own intents in the row and when each was seen to be there.
+    /// This process's intents in the row, and when each was first seen there.
     pub(super) intents: FastMap<u64, TimeMs>,
     pub(super) missing_since: FastMap<u64, TimeMs>,
     pub(super) not_serving_since: Option<TimeMs>,
     pub(super) unowned_since: Option<TimeMs>,
-    pub(super) handing_over: Option<Giving>,
-    pub(super) give_at: TimeMs,
+    pub(super) handing_over: Option<OutgoingHandOver>,
+    pub(super) next_hand_over_at: TimeMs,
     pub(super) transfers: u32,
-    pub(super) received: Vec<Received>,
+    pub(super) received: Vec<ReceivedTransfer>,
     pub(super) slot_lease: SlotLease,
 }
 
 impl LeaseManager {
-    /// A manager that holds nothing yet.
+    /// A manager that holds no slots yet.
     pub fn new(me: Identity, conf: LeaseConf, limits: ResendLimits, rng: fastrand::Rng) -> Self {
         Self {
             me,
@@ -117,32 +120,32 @@
             unresolved: None,
             next_op: 0,
             next_read_at: TimeMs(0),
-            clean_at: None,
+            last_clean_read_at: None,
             promises: Promises::default(),
             intents: FastMap::default(),
             missing_since: FastMap::default(),
             not_serving_since: None,
             unowned_since: None,
             handing_over: None,
-            give_at: TimeMs(0),
+            next_hand_over_at: TimeMs(0),
             transfers: 0,
             received: Vec::new(),
             slot_lease: SlotLease::none_held(),
         }
     }
 
-    /// What the ledger may rely on. It has to be handed to the ledger after every call of the
-    /// manager and before any of the actions is carried out.
+    /// The lease and slots that the ledger may rely on. Pass it to the ledger after every call of
+    /// the manager and before executing any of the returned actions.
     pub fn slot_lease(&self) -> &SlotLease {
         &self.slot_lease
     }
 
-    /// Takes in another resend window.
+    /// Sets the limits after a change of the resend window.
     pub fn set_limits(&mut self, limits: ResendLimits) {
         self.limits = limits;
     }
 
-    /// Whether this process has left the row, so that a planned stop may go on.
+    /// Whether this process is no longer listed in the row, so that a planned stop may proceed.
     pub fn has_left(&self) -> bool {
         let listed = |row: &Row| row.map.member(self.me.instance).is_some();
         !self.row.as_ref().is_some_and(listed)
@@ -150,7 +153,7 @@
             && self.slot_lease.count() == 0
     }
 
-    /// Moves on with time and with what the node knows of its surroundings.
+    /// Advances the time and updates the conditions of the node.
     pub fn tick(&mut self, now: TimeMs, conditions: NodeConditions) -> Vec<Action> {
         if conditions.serving || conditions.stopping {
             self.not_serving_since = None;
@@ -161,32 +164,32 @@
             self.next_read_at = now;
         }
         self.conditions = conditions;
-        self.note_missing(now);
+        self.update_missing(now);
         self.advance(now)
     }
 
-    /// Takes in the answer to [`Action::ReadRow`].
+    /// Processes the result of [`Action::ReadRow`].
     pub fn on_read(&mut self, now: TimeMs, op: u64, result: ReadResult) -> Vec<Action> {
         let Some((sent_at, Pending::Read)) = self.take_pending(op) else {
             return Vec::new();
         };
         match result {
             ReadResult::Failed => {
-                self.next_read_at = now + self.around(self.conf.read_again_ms);
+                self.next_read_at = now + self.jittered(self.conf.read_retry_ms);
             }
             ReadResult::Row(found) => {
                 let (version, map) = match found {
                     Some((version, map)) => (Some(version), map),
                     None => (None, SlotMap::empty()),
                 };
-                self.next_read_at = sent_at + self.around(self.conf.read_every_ms);
+                self.next_read_at = sent_at + self.jittered(self.conf.read_interval_ms);
                 return self.accept_and_plan(now, sent_at, Row { version, map });
             }
         }
         self.advance(now)
     }
 
-    /// Takes in the answer to [`Action::WriteRow`].
+    /// Processes the result of [`Action::WriteRow`].
     pub fn on_write(&mut self, now: TimeMs, op: u64, result: WriteResult) -> Vec<Action> {
         let Some((sent_at, Pending::Write(write))) = self.take_pending(op) else {
             return Vec::new();
@@ -194,15 +197,15 @@
         match result {
             WriteResult::Applied { version } => {
                 let map = write.map;
-                self.next_read_at = sent_at + self.around(self.conf.read_every_ms);
+                self.next_read_at = sent_at + self.jittered(self.conf.read_interval_ms);
                 let version = Some(version);
                 return self.accept_and_plan(now, sent_at, Row { version, map });
             }
             WriteResult::Conflict => {
-                self.next_read_at = now + self.rng.u64(0..=CONFLICT_WAIT_MS);
+                self.next_read_at = now + self.rng.u64(0..=MAX_CONFLICT_BACKOFF_MS);
             }
             WriteResult::NotWritten => {
-                self.next_read_at = now + self.around(self.conf.read_again_ms);
+                self.next_read_at = now + self.jittered(self.conf.read_retry_ms);
             }
             WriteResult::Unknown => {
                 let before = self.unresolved.is_some_and(|before| before.takes_over);
@@ -210,31 +213,35 @@
                     expected: write.expected,
                     takes_over: before || write.takes_over,
                 });
-                self.next_read_at = now + self.rng.u64(0..=CONFLICT_WAIT_MS);
+                self.next_read_at = now + self.rng.u64(0..=MAX_CONFLICT_BACKOFF_MS);
             }
         }
         self.advance(now)
     }
 
-    /// Takes in the answer to [`Action::AskPromise`]; no answer is a refusal.
+    /// Processes the answer to [`Action::AskPromise`]. A missing answer counts as a refusal.
     pub fn on_promise(&mut self, now: TimeMs, round: u64, member: u64, promise: &Promise) {
         let granted = self.promises.on_answer(round, member, promise);
-        let (Some((asked_at, hold_ms)), Some(clean_at)) = (granted, self.clean_at) else {
+        let (Some((asked_at, hold_ms)), Some(last_clean_read_at)) =
+            (granted, self.last_clean_read_at)
+        else {
             return;
         };
         let terms = self.conf.terms;
-        let until = (asked_at + terms.lease_ms.min(hold_ms)).min(clean_at + terms.outage_ms);
+        let until =
+            (asked_at + terms.lease_ms.min(hold_ms)).min(last_clean_read_at + terms.outage_ms);
         if until > self.slot_lease.lease_until {
-            log::debug!("claims: lease kept by promises now={now} until={until}");
+            log::debug!("claims: lease extended by promises now={now} until={until}");
             self.slot_lease.lease_until = until;
         }
     }
 
-    /// Answers another owner that asks for a promise.
+    /// Answers another owner's request for a promise not to take over.
     ///
-    /// Refused while a take-over may still take effect, and when the asker is not listed any more:
-    /// then this process, or one before it in the row, has taken its slots over.
-    pub fn promise_asked(&mut self, now: TimeMs, ask: &PromiseAsk) -> Promise {
+    /// Refuses while a take-over by this process may still take effect. Also refuses an asker that
+    /// the row no longer lists: this process, or an earlier writer of the row, has then taken its
+    /// slots over.
+    pub fn on_promise_request(&mut self, now: TimeMs, ask: &PromiseAsk) -> Promise {
         let asker = self
             .row
             .as_ref()
@@ -257,7 +264,8 @@
         writing || self.unresolved.is_some_and(|lost| lost.takes_over)
     }
 
-    /// Notes that the ledger took in a transfer, whose slots may follow in the row.
+    /// Records a transfer that the ledger received. The row may assign its slots to this process
+    /// later.
     pub fn on_received(&mut self, now: TimeMs, transfer: &LedgerTransfer) {
         if transfer.slots.is_empty() || transfer.to != self.me.instance {
             return;
@@ -265,28 +273,28 @@
         if self.received.len() >= MAX_RECEIVED {
             self.received.remove(0);
         }
-        self.received.push(Received {
+        self.received.push(ReceivedTransfer {
             id: transfer.id,
             at: now,
             slots: transfer.slots.clone(),
         });
-        // The row is about to name this process as the owner.
-        self.next_read_at = self.next_read_at.min(now + CONFLICT_WAIT_MS);
+        // The next version of the row is expected to name this process as the owner.
+        self.next_read_at = self.next_read_at.min(now + MAX_CONFLICT_BACKOFF_MS);
     }
 
-    /// Takes in whether the receiver confirmed [`Action::HandOver`].
+    /// Processes whether the receiver confirmed [`Action::HandOver`].
     pub fn on_handed_over(&mut self, now: TimeMs, transfer: u64, confirmed: bool) -> Vec<Action> {
         let Some(handing_over) = &mut self.handing_over else {
             return Vec::new();
         };
-        if handing_over.given.transfer != transfer || handing_over.confirmed {
+        if handing_over.slot_transfer.transfer != transfer || handing_over.confirmed {
             return Vec::new();
         }
         if confirmed {
             handing_over.confirmed = true;
             self.next_read_at = now;
         } else {
-            self.cancel_giving(now);
+            self.cancel_hand_over(now);
         }
         self.advance(now)
     }
@@ -300,17 +308,20 @@
     }
 
     fn accept_and_plan(&mut self, now: TimeMs, sent_at: TimeMs, row: Row) -> Vec<Action> {
-        self.accept(now, sent_at, row);
+        self.accept_row(now, sent_at, row);
         let mut actions = Vec::new();
         actions.extend(self.plan_write(now));
         actions.extend(self.advance(now));
         actions
     }
 
-    /// What to change in the row that was just taken in.
+    /// Plans the next write for the row that was just accepted.
     fn plan_write(&mut self, now: TimeMs) -> Option<Action> {
         let row = self.row.as_ref()?;
-        let confirmed = self.handing_over.as_ref().filter(|handing_over| handing_over.confirmed);
+        let confirmed = self
+            .handing_over
+            .as_ref()
+            .filter(|handing_over| handing_over.confirmed);
         let input = PlanInput {
             me: &self.me,
             conf: &self.conf,
@@ -318,16 +329,16 @@
             serving: self.is_serving(now),
             stopping: self.conditions.stopping,
             alive: self.conditions.alive.len(),
-            claims_all: self.are_slots_left_over(now),
+            claim_all_unowned: self.has_unclaimed_slots(now),
             missing: &self.missing_since,
             intents: &self.intents,
             may_take_over: self.promises.may_take_over(now),
-            given: confirmed.map(|handing_over| &handing_over.given),
+            slot_transfer: confirmed.map(|handing_over| &handing_over.slot_transfer),
         };
         let planned = row_plan::plan(&row.map, &input, &mut self.rng);
         let mut planned = match planned {
             Some(planned) => planned,
-            // Only a further write makes certain that the lost one cannot take effect any more.
+            // Only a further write ensures that the lost one can no longer take effect.
             None if self.unresolved.is_some() => row_plan::unchanged(&row.map),
             None => {
                 let due_at = row_plan::next_due(&row.map, &input);
@@ -345,7 +356,7 @@
         let expected = write.expected;
         let op = self.new_op();
         self.pending = Some((op, now, Pending::Write(Box::new(write))));
-        log::debug!("claims: row to be written change={:x}", planned.map.change);
+        log::debug!("claims: writing row change={:x}", planned.map.change);
         Some(Action::WriteRow {
             op,
             expected,
@@ -353,18 +364,20 @@
         })
     }
 
-    /// Whether those for whom slots were left did not claim them in time.
-    fn are_slots_left_over(&self, now: TimeMs) -> bool {
+    /// Whether slots are still unowned although the members they were left for had time to claim
+    /// them.
+    fn has_unclaimed_slots(&self, now: TimeMs) -> bool {
         self.unowned_since
-            .is_some_and(|since| now.since(since) >= 2 * self.conf.read_every_ms)
+            .is_some_and(|since| now.since(since) >= 2 * self.conf.read_interval_ms)
     }
 
     pub(super) fn is_serving(&self, now: TimeMs) -> bool {
         let since = self.not_serving_since;
-        let lately = since.is_some_and(|since| now.since(since) < self.conf.not_serving_ms);
+        let recently =
+            since.is_some_and(|since| now.since(since) < self.conf.not_serving_threshold_ms);
         let listed = |row: &Row| row.map.member(self.me.instance).is_some();
-        let passing = lately && !self.conditions.draining;
-        self.conditions.serving || (passing && self.row.as_ref().is_some_and(listed))
+        let is_temporary = recently && !self.conditions.draining;
+        self.conditions.serving || (is_temporary && self.row.as_ref().is_some_and(listed))
     }
 
     fn advance(&mut self, now: TimeMs) -> Vec<Action> {
@@ -374,7 +387,7 @@
             self.pending = Some((op, now, Pending::Read));
             actions.push(Action::ReadRow { op });
         }
-        actions.extend(self.start_giving(now));
+        actions.extend(self.start_hand_over(now));
         actions.extend(self.ask_promises(now));
         actions
     }
@@ -384,8 +397,8 @@
         self.next_op
     }
 
-    /// A duration within a tenth of `wait_ms`, so that nodes started together drift apart.
-    fn around(&mut self, wait_ms: u64) -> u64 {
+    /// Randomises `wait_ms` by up to 10%, so that nodes started together spread out over time.
+    fn jittered(&mut self, wait_ms: u64) -> u64 {
         let tenth = wait_ms / 10;
         wait_ms - tenth + self.rng.u64(0..=2 * tenth)
     }
--- a/src/claims/lease_rows.rs
+++ b/src/claims/lease_rows.rs
@@ -1,4 +1,4 @@
-//! What the lease manager learns from a row that it read or wrote.
+//! How the lease manager updates its state from a row that it read or wrote.
 
 use crate::claims::HeldSlot;
 use crate::claims::LeaseManager;
@@ -12,12 +12,14 @@
 use crate::core::FastMap;
 use crate::core::TimeMs;
 
-/// How many leases pass before slots are announced again whose owner turned out to live.
-const REBUFFED_LEASES: u64 = 4;
+/// Number of leases before this process announces another take-over from a member that removed the
+/// previous intent.
+const REANNOUNCE_DELAY_LEASES: u64 = 4;
 
 impl LeaseManager {
-    /// Takes in a row that was true at some moment after `sent_at`, and plans the next write.
-    pub(super) fn accept(&mut self, now: TimeMs, sent_at: TimeMs, row: Row) {
+    /// Accepts a row that was current at some moment after `sent_at`, and updates all state derived
+    /// from it.
+    pub(super) fn accept_row(&mut self, now: TimeMs, sent_at: TimeMs, row: Row) {
         let older = self
             .row
             .as_ref()
@@ -29,30 +31,30 @@
             .unresolved
             .is_some_and(|lost| lost.expected != row.version)
         {
-            // The row has moved on: the lost write took effect, or it never will.
+            // The row has another version: the lost write has either taken effect or never will.
             self.unresolved = None;
         }
         let listed = row.map.member(self.me.instance).is_some();
-        if listed && !row.map.is_threatened(self.me.instance) {
+        if listed && !row.map.has_intent_against(self.me.instance) {
             let until = sent_at + self.conf.terms.lease_ms;
             self.slot_lease.lease_until = self.slot_lease.lease_until.max(until);
-            self.clean_at = self.clean_at.max(Some(sent_at));
+            self.last_clean_read_at = self.last_clean_read_at.max(Some(sent_at));
         }
         self.unowned_since = if row.map.unowned().is_empty() {
             None
         } else {
             self.unowned_since.or(Some(now))
         };
-        self.note_intents(now, &row.map);
-        self.note_given(now, &row.map);
+        self.update_own_intents(now, &row.map);
+        self.update_hand_over(now, &row.map);
         self.row = Some(row);
-        self.derive_holding(now);
-        self.note_missing(now);
+        self.derive_slot_lease(now);
+        self.update_missing(now);
     }
 
-    fn note_intents(&mut self, now: TimeMs, map: &SlotMap) {
+    fn update_own_intents(&mut self, now: TimeMs, map: &SlotMap) {
         let me = self.me.instance;
-        self.note_rebuffs(now, map);
+        self.postpone_removed_intents(now, map);
         let own = map.intents.iter().filter(|intent| intent.by == me);
         let seen: FastMap<u64, TimeMs> = own
             .map(|intent| {
@@ -63,9 +65,12 @@
         self.intents = seen;
     }
 
-    /// An own intent that is gone while its victim is listed was removed by the victim: it lives,
-    /// though not for this node. To announce again at once would only make both write in turn.
-    fn note_rebuffs(&mut self, now: TimeMs, map: &SlotMap) {
+    /// Delays the next announcement against a member that removed this process's intent.
+    ///
+    /// If the intent is gone while its victim is still listed, the victim removed it. The victim is
+    /// alive, although this node cannot see it. An immediate new announcement would make both write
+    /// the row in turn.
+    fn postpone_removed_intents(&mut self, now: TimeMs, map: &SlotMap) {
         let Some(before) = &self.row else {
             return;
         };
@@ -73,62 +78,66 @@
         for intent in before.map.intents.iter().filter(|intent| intent.by == me) {
             let is_gone = !map.intents.iter().any(|other| other.id == intent.id);
             if is_gone && let Some(since) = self.missing_since.get_mut(&intent.victim) {
-                *since = now + REBUFFED_LEASES * self.conf.terms.lease_ms;
+                *since = now + REANNOUNCE_DELAY_LEASES * self.conf.terms.lease_ms;
             }
         }
     }
 
-    /// Ends a hand-over that the row shows to be done or impossible.
-    fn note_given(&mut self, now: TimeMs, map: &SlotMap) {
+    /// Ends a hand-over that the row shows to be complete or impossible.
+    fn update_hand_over(&mut self, now: TimeMs, map: &SlotMap) {
         let Some(handing_over) = &self.handing_over else {
             return;
         };
         let me = self.me.instance;
         let still_own = |slot: &usize| map.slots[*slot].owner == Some(me);
-        if !handing_over.given.slots.iter().any(still_own) {
+        if !handing_over.slot_transfer.slots.iter().any(still_own) {
             self.handing_over = None;
-            self.give_at = now;
+            self.next_hand_over_at = now;
             return;
         }
-        let Some(receiver) = handing_over.given.receiver else {
+        let Some(receiver) = handing_over.slot_transfer.receiver else {
             return;
         };
         if map.member(receiver).is_none_or(|member| !member.serving) {
-            self.cancel_giving(now);
+            self.cancel_hand_over(now);
         }
     }
 
-    /// Keeps the slots after all. Only while no write that gives them away can take effect: the
-    /// receiver would own them by it while this process goes on.
-    pub(super) fn cancel_giving(&mut self, now: TimeMs) {
-        let confirmed = self.handing_over.as_ref().is_some_and(|handing_over| handing_over.confirmed);
+    /// Cancels the hand-over and keeps the slots. This is allowed only while no write that gives
+    /// them away can take effect. Otherwise the receiver could come to own them while this process
+    /// still uses them.
+    pub(super) fn cancel_hand_over(&mut self, now: TimeMs) {
+        let confirmed = self
+            .handing_over
+            .as_ref()
+            .is_some_and(|handing_over| handing_over.confirmed);
         if confirmed && (self.pending_write() || self.unresolved.is_some()) {
             return;
         }
         self.handing_over = None;
-        self.give_at = now + self.conf.give_again_ms;
-        self.derive_holding(now);
+        self.next_hand_over_at = now + self.conf.hand_over_retry_ms;
+        self.derive_slot_lease(now);
     }
 
     pub(super) fn pending_write(&self) -> bool {
         matches!(self.pending, Some((_, _, Pending::Write(_))))
     }
 
-    pub(super) fn derive_holding(&mut self, now: TimeMs) {
+    pub(super) fn derive_slot_lease(&mut self, now: TimeMs) {
         let Some(row) = &self.row else {
             return;
         };
         let me = self.me.instance;
-        let given: &[usize] = self
+        let handed_over: &[usize] = self
             .handing_over
             .as_ref()
-            .map_or(&[], |handing_over| &handing_over.given.slots);
+            .map_or(&[], |handing_over| &handing_over.slot_transfer.slots);
         for slot in 0..SLOT_COUNT {
             let entry = row.map.slots[slot];
             let before = self.slot_lease.held[slot];
             let held = held_slots::held(slot, entry, me, before, &self.received, now, self.limits);
             self.slot_lease.held[slot] = held.map(|held| HeldSlot {
-                handing_over: given.contains(&slot),
+                handing_over: handed_over.contains(&slot),
                 ..held
             });
             let other = entry.owner.filter(|owner| *owner != me);
@@ -140,9 +149,9 @@
         }
     }
 
-    /// Notes since when members are gone from the view. A member whose node runs as another
-    /// process that joined later is gone, too.
-    pub(super) fn note_missing(&mut self, now: TimeMs) {
+    /// Updates since when each member has been missing from the membership view. A member also
+    /// counts as missing if another process of its node joined later.
+    pub(super) fn update_missing(&mut self, now: TimeMs) {
         let Some(row) = &self.row else {
             return;
         };
--- a/src/claims/ledger.rs
+++ b/src/claims/ledger.rs
@@ -1,14 +1,13 @@
-//! The keys that this guard ran, kept in memory: the check before every keyed call.
+//! Records in memory the keys that this guard ran, and decides on every keyed call.
 //!
-//! Guards against a call that runs twice because its caller sent it again: the caller would see
-//! two charges for one order. It holds because a key starts only where it is not in the ledger,
-//! and only while the ledger is known to hold every key of its slot that can still be sent
-//! (lease, grace period and stamp; docs/AT_MOST_ONCE.md has the argument).
+//! Guards against a call that runs twice because its caller sent it again: the caller would see two
+//! charges for one order. A key starts only if it is not in the ledger, and only while the ledger
+//! is known to contain every key of its slot that can still be sent again. The lease, the grace
+//! period and the stamp ensure this; docs/AT_MOST_ONCE.md has the argument.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use crate::claims::SlotLease;
 use crate::claims::KeyOutcome;
 use crate::claims::KeyState;
 use crate::claims::KeyUpdate;
@@ -17,6 +16,7 @@
 use crate::claims::MovedState;
 use crate::claims::ResendLimits;
 use crate::claims::SLOT_COUNT;
+use crate::claims::SlotLease;
 use crate::claims::slot_of;
 use crate::control::KeptAnswer;
 use crate::core::FastMap;
@@ -28,11 +28,11 @@
 use crate::core::stable_hash;
 use crate::wire::OwnerHint;
 
-/// When to come back while a call runs at the slot's former owner.
+/// Retry delay while a call of the key runs at the slot's former owner.
 const RUNNING_ELSEWHERE_RETRY_MS: u64 = 1_000;
-/// When to come back to an owner that does not hold the slot or the lease at the moment.
+/// Retry delay when this process does not hold the slot or its lease has lapsed.
 const OWNER_RETRY_MS: u64 = 1_000;
-/// When to come back to a full ledger.
+/// Retry delay when the ledger is full.
 const FULL_RETRY_MS: u64 = 5_000;
 
 /// Bounds on the ledger's memory.
@@ -55,28 +55,28 @@
 #[derive(Clone, Debug)]
 pub struct KeyedCall<'a> {
     pub key: &'a Name,
-    /// The hash of the content: the same key with another content is refused.
+    /// Hash of the request content. A known key with another hash is refused.
     pub fingerprint: u64,
-    /// The stamp of the call header.
+    /// The stamp from the call header.
     pub stamp: u64,
-    /// No earlier sending of the key exists: the grace period need not pass for it.
+    /// The key has certainly never been sent before, so it may start during a grace period.
     pub first_sending: bool,
 }
 
-/// What to do with a keyed call.
+/// The ledger's decision on a keyed call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyDecision {
-    /// Run it, and report to [`Ledger::finish`] or [`Ledger::not_started`].
+    /// Run the call, and report its end to [`Ledger::finish`] or [`Ledger::not_started`].
     Run,
-    /// It waits or runs already: answer this one with the same answer.
+    /// A call of the key already waits or runs. Answer this request with the result of that call.
     Join,
-    /// It ran: repeat the answer.
+    /// The call ran. Send the kept answer again.
     Answer(Arc<KeptAnswer>),
-    /// Refuse it. The run state speaks of the key, not just of this attempt.
+    /// Refuse the call. The run state in the refusal covers all attempts of the key.
     Refuse(Refusal),
 }
 
-/// The ledger of one guard. It serves one service.
+/// The ledger of one guard, for one service.
 #[derive(Debug)]
 pub struct Ledger {
     pub(super) service: Name,
@@ -85,16 +85,16 @@
     pub(super) limits: ResendLimits,
     pub(super) slot_lease: SlotLease,
     pub(super) keys: FastMap<Name, LedgerEntry>,
-    /// Ended keys, the earliest to forget first.
+    /// Ended keys, in the order in which they expire.
     pub(super) ended: VecDeque<(TimeMs, Name)>,
-    /// Keys with a kept answer, the oldest first, and when each is dropped.
+    /// Keys with a kept answer and when each answer is dropped, the oldest first.
     answers: VecDeque<(TimeMs, Name)>,
     answer_bytes: usize,
     pub(super) pending_updates: Vec<KeyUpdate>,
 }
 
 impl Ledger {
-    /// An empty ledger that holds no slot. `instance` names this process.
+    /// An empty ledger that holds no slot. `instance` identifies this process.
     pub fn new(service: Name, instance: u64, bounds: LedgerBounds, limits: ResendLimits) -> Self {
         Self {
             service,
@@ -113,9 +113,9 @@
     /// Decides on a keyed call that arrived at `now`.
     pub fn begin(&mut self, now: TimeMs, call: &KeyedCall<'_>) -> KeyDecision {
         if let Some(entry) = self.keys.get(call.key) {
-            return seen_before(entry, call.fingerprint);
+            return decide_seen_key(entry, call.fingerprint);
         }
-        if let Some(refusal) = self.cannot_know(now, call) {
+        if let Some(refusal) = self.refusal_for_unseen(now, call) {
             return KeyDecision::Refuse(refusal);
         }
         self.sweep(now);
@@ -131,8 +131,8 @@
         KeyDecision::Run
     }
 
-    /// Why nobody here can say that an unseen key never ran, if that is so.
-    fn cannot_know(&self, now: TimeMs, call: &KeyedCall<'_>) -> Option<Refusal> {
+    /// The refusal for an unseen key if this process cannot rule out that the key ran before.
+    fn refusal_for_unseen(&self, now: TimeMs, call: &KeyedCall<'_>) -> Option<Refusal> {
         let slot = slot_of(&self.service, call.key);
         let held = self.slot_lease.held[slot].filter(|held| !held.handing_over);
         let Some(held) = held else {
@@ -143,8 +143,8 @@
         }
         if now < held.grace_until && !call.first_sending {
             let left_ms = held.grace_until.since(now);
-            let spread_ms = spread_of(call.key, left_ms / 4);
-            let refusal = Refusal::unknown(RefusalReason::GracePeriod, left_ms + spread_ms);
+            let jitter_ms = retry_jitter_ms(call.key, left_ms / 4);
+            let refusal = Refusal::unknown(RefusalReason::GracePeriod, left_ms + jitter_ms);
             return Some(refusal);
         }
         if !self.is_fresh(now, call.stamp) {
@@ -153,7 +153,7 @@
         None
     }
 
-    /// The call of `key` ended at `now`.
+    /// Records that the call of `key` ended at `now`.
     pub fn finish(&mut self, now: TimeMs, key: &Name, outcome: KeyOutcome) {
         let Some(entry) = self.keys.get_mut(key) else {
             return;
@@ -170,12 +170,14 @@
         self.ended.push_back((entry.expires, key.clone()));
         if let Some(to) = moved_to {
             let key = self.moved_key(now, key);
-            self.pending_updates.extend(key.map(|key| KeyUpdate { to, key }));
+            self.pending_updates
+                .extend(key.map(|key| KeyUpdate { to, key }));
         }
         self.keep_answer(now, key);
     }
 
-    /// The call of `key` was accepted but provably not started: the key may run again.
+    /// Records that the call of `key` was accepted but certainly never started. The key may run
+    /// again.
     pub fn not_started(&mut self, key: &Name) {
         let Some(entry) = self.keys.get(key) else {
             return;
@@ -196,17 +198,17 @@
         self.keys.remove(key);
     }
 
-    /// Takes in what is held now. Every check from here on is made against it.
+    /// Replaces the slot lease. All later decisions use it.
     pub fn set_slot_lease(&mut self, slot_lease: SlotLease) {
         self.slot_lease = slot_lease;
     }
 
-    /// What is held.
+    /// The present slot lease.
     pub fn slot_lease(&self) -> &SlotLease {
         &self.slot_lease
     }
 
-    /// Takes in another resend window, after a switch of presets.
+    /// Sets the limits after a preset with another resend window came into force.
     pub fn set_limits(&mut self, limits: ResendLimits) {
         self.limits = limits;
     }
@@ -216,22 +218,22 @@
         self.limits
     }
 
-    /// The stamp of this moment: an attempt that carries it was sent after it was given out.
+    /// The stamp for `now`. An attempt that carries it was sent after the stamp was issued.
     pub fn stamp(&self, now: TimeMs) -> u64 {
         let period = now.0 / self.limits.stamp_period_ms();
         ((self.instance | 1) << 32) | (period & 0xffff_ffff)
     }
 
-    /// Guards against an attempt that a paused entry or a healed connection delivers after its
-    /// key was forgotten, which would run it a second time. It holds because the sender had to
-    /// hear the stamp within the last two periods.
+    /// Guards against an attempt that a paused entry or a recovered connection delivers after its
+    /// key was forgotten: the call would run a second time. An attempt is fresh only if its sender
+    /// learned the stamp within the last two stamp periods.
     fn is_fresh(&self, now: TimeMs, stamp: u64) -> bool {
         let present = self.stamp(now);
         let before = self.stamp(now - self.limits.stamp_period_ms());
         stamp == present || stamp == before
     }
 
-    /// Whom to name as the owner of the key's slot.
+    /// The owner of the key's slot that an answer should name.
     pub fn owner_hint(&self, now: TimeMs, own_node: &Name, key: &str) -> Option<OwnerHint> {
         let slot = slot_of(&self.service, key);
         if let Some(held) = self.slot_lease.held[slot].filter(|held| !held.handing_over) {
@@ -241,14 +243,16 @@
                 stamp: self.stamp(now),
             });
         }
-        self.slot_lease.others[slot].as_ref().map(|other| OwnerHint {
-            node: other.node.clone(),
-            epoch: other.epoch,
-            stamp: 0,
-        })
+        self.slot_lease.others[slot]
+            .as_ref()
+            .map(|other| OwnerHint {
+                node: other.node.clone(),
+                epoch: other.epoch,
+                stamp: 0,
+            })
     }
 
-    /// How many keys are remembered.
+    /// The number of remembered keys.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
@@ -258,13 +262,13 @@
         self.keys.is_empty()
     }
 
-    /// How many bytes of answers are kept.
+    /// Total size of the kept answers in bytes.
     pub fn answer_bytes(&self) -> usize {
         self.answer_bytes
     }
 
-    /// Forgets keys and answers whose time is over. A key whose time is not over is never
-    /// forgotten, however full the ledger is.
+    /// Removes expired keys and answers. A key is never removed before it expires, even if the
+    /// ledger is full; a resend of it would run again.
     pub fn sweep(&mut self, now: TimeMs) {
         while let Some((expires, key)) = self.ended.front() {
             if *expires > now {
@@ -316,7 +320,8 @@
         }
     }
 
-    /// The slots whose unseen keys would be admitted at `now`; for status and metrics.
+    /// The number of slots in which an unseen key would be admitted at `now`, for status and
+    /// metrics.
     pub fn open_slots(&self, now: TimeMs) -> usize {
         if now >= self.slot_lease.lease_until {
             return 0;
@@ -329,7 +334,7 @@
     }
 }
 
-fn seen_before(entry: &LedgerEntry, fingerprint: u64) -> KeyDecision {
+fn decide_seen_key(entry: &LedgerEntry, fingerprint: u64) -> KeyDecision {
     if entry.fingerprint != fingerprint {
         return refuse_unknown(RefusalReason::KeyMismatch, 0);
     }
@@ -369,16 +374,16 @@
         } => {
             let headers = answer.headers.iter();
             let header_bytes: usize = headers.map(|(name, value)| name.len() + value.len()).sum();
-            // An empty answer still takes room, and 0 means that none is kept.
+            // An empty answer counts one byte, because 0 means that no answer is kept.
             answer.body.len() + header_bytes + 1
         }
         _ => 0,
     }
 }
 
-/// A value in 0..=`up_to_ms` that differs from key to key: refused callers must not all come back
-/// at the end of the grace period.
-fn spread_of(key: &str, up_to_ms: u64) -> u64 {
+/// A delay in 0..=`up_to_ms` that depends on the key. It spreads out the callers that would
+/// otherwise all come back at the end of the grace period.
+fn retry_jitter_ms(key: &str, up_to_ms: u64) -> u64 {
     let hash = stable_hash(key.bytes());
     hash % (up_to_ms + 1)
 }
--- a/src/claims/ledger_entry.rs
+++ b/src/claims/ledger_entry.rs
@@ -1,4 +1,4 @@
-//! What the ledger knows of one key.
+//! Ledger entries and their encoding in transfers between owners.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use crate::core::TimeMs;
 use crate::errors::ClaimsError;
 
-/// The node to which a slot was given, and the transfer that gave it.
+/// The node that received a slot, and the transfer that carried it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TransferTarget {
     pub node: Name,
@@ -18,25 +18,25 @@
     pub transfer: u64,
 }
 
-/// The process that handed a key over, and the transfer in which it did.
+/// The process that handed a key over, and the transfer that carried it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TransferSource {
     pub instance: u64,
-    /// Rises with each transfer of one giver.
+    /// Increases with each transfer of one sender.
     pub transfer: u64,
 }
 
 impl TransferSource {
-    /// Stands for several givers: no news of one of them settles the key.
-    const SEVERAL: Self = Self {
+    /// Stands for several senders. No key update from any one of them settles the key.
+    const AMBIGUOUS: Self = Self {
         instance: 0,
         transfer: u64::MAX,
     };
 
-    /// Whose news settles a key that was handed over twice.
+    /// The source whose key updates settle a key that was handed over twice.
     pub fn latest(self, other: Self) -> Self {
         if self.instance != other.instance {
-            return Self::SEVERAL;
+            return Self::AMBIGUOUS;
         }
         if self.transfer > other.transfer {
             self
@@ -46,17 +46,17 @@
     }
 }
 
-/// What became of a key's call.
+/// The state of a key's call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyState {
-    /// It was accepted here and waits or runs. When its slot was given away meanwhile, the new
-    /// owner is told how it ended.
+    /// The call was accepted here and waits or runs. If its slot was handed over since, `moved_to`
+    /// names the new owner, which is told how the call ends.
     Running { moved_to: Option<TransferTarget> },
-    /// The slot's former owner accepted it and has not said how it ended.
+    /// The slot's former owner accepted the call and has not reported its end.
     RunningElsewhere { by: TransferSource },
-    /// It ran to its end; the answer is repeated while it is kept.
+    /// The call ran to its end. Its answer is sent again while it is kept.
     Ran { answer: Option<Arc<KeptAnswer>> },
-    /// It was started, and nobody can say how far it came.
+    /// The call was started, and it is unknown how far it ran.
     MayHaveRun,
 }
 
@@ -65,60 +65,60 @@
 pub struct LedgerEntry {
     pub fingerprint: u64,
     pub state: KeyState,
-    /// When the key may be forgotten; not used while it runs here.
+    /// When the key may be removed. Not used while its call runs here.
     pub expires: TimeMs,
 }
 
-/// How a call ended, as its guard reports it to the ledger.
+/// The end of a call, as its guard reports it to the ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyOutcome {
-    /// The backend server answered; the answer is `None` when it is too large to keep.
+    /// The backend server answered. The answer is `None` if it is too large to keep.
     Ran(Option<Arc<KeptAnswer>>),
     /// The call was dispatched and its answer was lost.
     MayHaveRun,
 }
 
-/// How a key stands, as it is handed from one owner to the next.
+/// The state of a key in a transfer from one owner to the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum MovedState {
     Running,
     Ran,
     MayHaveRun,
-    /// It was accepted, but provably never started: the key may run.
+    /// The call was accepted but certainly never started. The key may run.
     NotStarted,
 }
 
-/// One key on its way to the slot's next owner.
+/// One key in a transfer to the slot's next owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct MovedKey {
     pub key: Name,
     pub fingerprint: u64,
     pub state: MovedState,
-    /// For how long it has to be remembered from the receipt on.
+    /// How long the receiver has to remember the key, counted from the receipt.
     pub keep_ms: u64,
     pub answer: Option<KeptAnswer>,
 }
 
-/// One slot on its way to its next owner.
+/// One slot in a transfer to its next owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct MovedSlot {
     pub slot: u8,
-    /// What is left of the giver's own grace period, from the receipt on.
+    /// The rest of the sender's own grace period, counted from the receipt.
     pub grace_left_ms: u64,
 }
 
-/// The ledger of slots, or news of keys whose slots were handed over before (then `slots` is
-/// empty).
+/// The ledger of slots that are handed over. With empty `slots` it is an update of keys whose slots
+/// were handed over before.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct LedgerTransfer {
     pub service: Name,
-    /// Ties the transfer to the one row change that may follow it.
+    /// Links the transfer to the one change of the row that may follow it.
     pub id: u64,
-    /// The process instance of the giver and of the receiver.
+    /// The process instances of the sender (`from`) and the receiver (`to`).
     pub from: u64,
     pub to: u64,
     pub slots: Vec<MovedSlot>,
@@ -126,12 +126,12 @@
 }
 
 impl LedgerTransfer {
-    /// The transfer as it travels.
+    /// Encodes the transfer for the wire.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).expect("plain structs always encode")
     }
 
-    /// Reads a transfer that a peer sent.
+    /// Decodes a transfer that a peer sent.
     ///
     /// # Errors
     /// When the bytes are not a transfer.
--- a/src/claims/ledger_moves.rs
+++ b/src/claims/ledger_moves.rs
@@ -1,8 +1,7 @@
-//! The ledger on its way from one owner of slots to the next.
+//! Moves ledger entries from one owner of slots to the next.
 
 use std::sync::Arc;
 
-use crate::claims::TransferSource;
 use crate::claims::KeyState;
 use crate::claims::Ledger;
 use crate::claims::LedgerEntry;
@@ -10,12 +9,13 @@
 use crate::claims::MovedKey;
 use crate::claims::MovedSlot;
 use crate::claims::MovedState;
+use crate::claims::TransferSource;
 use crate::claims::TransferTarget;
 use crate::claims::slot_of;
 use crate::core::Name;
 use crate::core::TimeMs;
 
-/// News of a key for the node that was given its slot.
+/// An update of one key for the node that received its slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyUpdate {
     pub to: TransferTarget,
@@ -23,11 +23,17 @@
 }
 
 impl Ledger {
-    /// The ledger of slots for their next owner, who will be told how the keys end that run here.
+    /// Exports the ledger of slots for their next owner, and registers the owner for updates of the
+    /// keys that still run here.
     ///
-    /// The slot_lease has to mark the slots as given by now: then no further key starts in them, and
-    /// the copy misses none.
-    pub fn give(&mut self, now: TimeMs, slots: &[usize], to: &TransferTarget) -> LedgerTransfer {
+    /// The slot lease must already mark the slots as being handed over. No further key then starts
+    /// in them, so the copy is complete.
+    pub fn export_slots(
+        &mut self,
+        now: TimeMs,
+        slots: &[usize],
+        to: &TransferTarget,
+    ) -> LedgerTransfer {
         self.mark_moved(slots, to);
         LedgerTransfer {
             service: self.service.clone(),
@@ -44,7 +50,8 @@
 
     fn moved_slot(&self, now: TimeMs, slot: usize) -> MovedSlot {
         let held = self.slot_lease.held[slot];
-        // A slot that is not held has no ledger here: its next owner has to wait in full.
+        // This process has no ledger for a slot that it does not hold, so the next owner waits for
+        // a full grace period.
         let full_ms = self.limits.grace_ms();
         MovedSlot {
             slot: slot as u8,
@@ -93,29 +100,30 @@
         }
     }
 
-    /// Takes out the news for nodes that were given slots. News that cannot be delivered may be
-    /// dropped: the key then stays unknown there until it is forgotten.
+    /// Takes the pending key updates, with the node that each is for. An update that cannot be
+    /// delivered may be dropped: the receiver then answers `unknown` for the key until it expires.
     pub fn take_key_updates(&mut self) -> Vec<(Name, LedgerTransfer)> {
-        let news = std::mem::take(&mut self.pending_updates);
-        news.into_iter()
-            .map(|news| self.update_transfer(news))
+        let updates = std::mem::take(&mut self.pending_updates);
+        updates
+            .into_iter()
+            .map(|update| self.update_transfer(update))
             .collect()
     }
 
-    fn update_transfer(&self, news: KeyUpdate) -> (Name, LedgerTransfer) {
+    fn update_transfer(&self, update: KeyUpdate) -> (Name, LedgerTransfer) {
         let transfer = LedgerTransfer {
             service: self.service.clone(),
-            id: news.to.transfer,
+            id: update.to.transfer,
             from: self.instance,
-            to: news.to.instance,
+            to: update.to.instance,
             slots: Vec::new(),
-            keys: vec![news.key],
+            keys: vec![update.key],
         };
-        (news.to.node, transfer)
+        (update.to.node, transfer)
     }
 
-    /// Takes in keys from another owner. They are facts about keys, so they may be taken in
-    /// whether or not the slots follow. False when there is no room for all of them.
+    /// Adds keys from another owner. The entries are true whether or not the slots follow, so they
+    /// may be added in either case. Returns false if there is no room for all of them.
     pub fn receive(&mut self, now: TimeMs, transfer: LedgerTransfer) -> bool {
         self.sweep(now);
         if self.keys.len() + transfer.keys.len() > self.bounds.max_keys {
@@ -126,31 +134,31 @@
             transfer: transfer.id,
         };
         for key in transfer.keys {
-            self.receive_one(now, key, by);
+            self.receive_key(now, key, by);
         }
         true
     }
 
-    fn receive_one(&mut self, now: TimeMs, moved: MovedKey, by: TransferSource) {
+    fn receive_key(&mut self, now: TimeMs, moved: MovedKey, by: TransferSource) {
         let known = self.keys.get(&moved.key).map(|entry| &entry.state);
-        let giver = match known {
+        let known_source = match known {
             None => None,
             Some(KeyState::RunningElsewhere { by }) => Some(*by),
             Some(_) => return,
         };
         let state = match moved.state {
             MovedState::Running => KeyState::RunningElsewhere {
-                by: giver.map_or(by, |known| known.latest(by)),
+                by: known_source.map_or(by, |known| known.latest(by)),
             },
             MovedState::MayHaveRun => KeyState::MayHaveRun,
             MovedState::Ran => KeyState::Ran {
                 answer: moved.answer.map(Arc::new),
             },
             MovedState::NotStarted => {
-                // The news may be older than a second transfer, in which the same key runs after
-                // all: believing it would run the key here as well. So it only speaks for the
-                // transfer that it belongs to.
-                if giver == Some(by) {
+                // This update may be older than a second transfer, after which the same key did run
+                // at the sender. Removing the key would then run it here as well. The update is
+                // therefore applied only if it belongs to the transfer that delivered the key.
+                if known_source == Some(by) {
                     self.keys.remove(&moved.key);
                 }
                 return;
--- a/src/claims/member_calls.rs
+++ b/src/claims/member_calls.rs
@@ -1,4 +1,4 @@
-//! What the claims of one node ask of another.
+//! Remote calls from the claims of one node to another member.
 
 use crate::claims::ClaimsPorts;
 use crate::claims::LedgerTransfer;
@@ -6,7 +6,7 @@
 use crate::control::PromiseAsk;
 use crate::core::Name;
 
-/// Asks a member for a promise; no answer is a refusal.
+/// Asks a member for a promise. A missing answer counts as a refusal.
 pub(super) async fn ask_promise(ports: &ClaimsPorts, node: &Name, ask: PromiseAsk) -> Promise {
     let target = ports.view.load().nodes.get(node).cloned();
     let Some(target) = target else {
@@ -14,12 +14,12 @@
     };
     let answer = ports.clients.promise(target.control_address, ask).await;
     answer.unwrap_or_else(|error| {
-        log::debug!("claims: no promise node={node} error={error}");
+        log::debug!("claims: promise request failed node={node} error={error}");
         Promise::Refused
     })
 }
 
-/// Sends a ledger or news of it; whether it was confirmed.
+/// Sends a ledger transfer or a key update. Returns whether the receiver confirmed it.
 pub(super) async fn send_transfer(
     ports: &ClaimsPorts,
     node: &Name,
--- a/src/claims/pause_detector.rs
+++ b/src/claims/pause_detector.rs
@@ -1,18 +1,20 @@
-//! Notices that this process was paused.
+//! Detects pauses of this process.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
 use crate::core::TimeMs;
 
-/// For how long after a pause requests are still read that arrived during it.
+/// How long after a pause the entry may still read requests that arrived during it.
 const SETTLE_MS: u64 = 2_000;
 
 /// Guards against a keyed request that lay in the receive buffer of a paused entry for longer than
-/// its owner remembers the key: the caller sent it again through another entry, and the paused one
-/// would run it a second time. It shows as a request that is new here and old everywhere else. The
-/// watch holds because the control thread notes the time every tick, and a gap is seen either by
-/// that tick or by whoever asks first.
+/// the key's owner remembers the key. The caller sent it again through another entry, and the
+/// paused entry would run it a second time. The paused entry cannot tell such a request from a new
+/// one.
+///
+/// The control thread records the time at every tick. A gap is detected either by the next tick or
+/// by the first request that is checked after the pause.
 #[derive(Debug, Default)]
 pub struct PauseDetector {
     last_tick_ms: AtomicU64,
@@ -20,10 +22,10 @@
 }
 
 impl PauseDetector {
-    /// A pause that is suspicious before the resend window is known.
+    /// Length of a pause that is detected as such before the resend window is known.
     pub const DEFAULT_PAUSE_MS: u64 = 1_000;
 
-    /// Notes that the process runs; called several times a second.
+    /// Records that the process is running. Called several times a second.
     pub fn record_tick(&self, now: TimeMs, unnoticed_pause_ms: u64) {
         let last = self.last_tick_ms.swap(now.0, Ordering::SeqCst);
         if last != 0 && now.0.saturating_sub(last) > unnoticed_pause_ms {
@@ -32,9 +34,9 @@
         }
     }
 
-    /// Whether a keyed request read at `now` may have arrived before a pause. It is refused as
-    /// `unknown` then.
-    pub fn may_predate_pause(&self, now: TimeMs, unnoticed_pause_ms: u64) -> bool {
+    /// Whether a keyed request read at `now` may have arrived before a pause. Such a request is
+    /// refused as `unknown`.
+    pub fn is_after_pause(&self, now: TimeMs, unnoticed_pause_ms: u64) -> bool {
         let last = self.last_tick_ms.load(Ordering::SeqCst);
         let until = self.pause_suspected_until_ms.load(Ordering::SeqCst);
         now.0 < until || (last != 0 && now.0.saturating_sub(last) > unnoticed_pause_ms)
--- a/src/claims/promises.rs
+++ b/src/claims/promises.rs
@@ -1,4 +1,4 @@
-//! Promises not to take over: those asked of others and those given to others.
+//! Promises not to take over slots: those requested from other members and those made to them.
 
 use crate::claims::LeaseTerms;
 use crate::control::Promise;
@@ -6,28 +6,28 @@
 use crate::core::Name;
 use crate::core::TimeMs;
 
-/// The promises of one node. The sets are bounded by the members of the row.
+/// The promises of one node. The sets are bounded by the number of members in the row.
 #[derive(Clone, Debug, Default)]
 pub struct Promises {
     round: u64,
     asked_at: TimeMs,
     next_round_at: TimeMs,
-    /// Who has not answered the present round yet.
-    open: FastSet<u64>,
+    /// Members that have not answered the present round yet.
+    unanswered: FastSet<u64>,
     hold_ms: u64,
-    /// Members that said they leave and take nothing over any more.
+    /// Members that are leaving and promised to take nothing over any more.
     resigned: FastSet<u64>,
     promised_until: TimeMs,
     has_resigned: bool,
 }
 
 impl Promises {
-    /// Whether another round may start.
+    /// Whether the next round may start.
     pub fn is_due(&self, now: TimeMs) -> bool {
         now >= self.next_round_at
     }
 
-    /// Starts a round; returns its number and whom to ask.
+    /// Starts a round. Returns its number and the members to ask.
     pub fn start_round(
         &mut self,
         now: TimeMs,
@@ -42,12 +42,12 @@
         self.resigned.retain(listed);
         let mut to_ask = members;
         to_ask.retain(|(member, _)| !self.resigned.contains(member));
-        self.open = to_ask.iter().map(|(member, _)| *member).collect();
+        self.unanswered = to_ask.iter().map(|(member, _)| *member).collect();
         (self.round, to_ask)
     }
 
-    /// Takes in an answer. When every member has promised: when the round was asked and for how
-    /// long the promises hold from then on.
+    /// Processes an answer. Once every member has promised, returns when the round was started and
+    /// how long the promises hold from then on.
     pub fn on_answer(
         &mut self,
         round: u64,
@@ -57,24 +57,24 @@
         let Promise::Granted { hold_ms } = promise else {
             return None;
         };
-        if *hold_ms == u64::MAX && self.open.contains(&member) {
+        if *hold_ms == u64::MAX && self.unanswered.contains(&member) {
             self.resigned.insert(member);
         }
         if round != self.round {
             return None;
         }
-        self.open.remove(&member);
+        self.unanswered.remove(&member);
         self.hold_ms = self.hold_ms.min(*hold_ms);
-        self.open
+        self.unanswered
             .is_empty()
             .then_some((self.asked_at, self.hold_ms))
     }
 
-    /// Promises an owner with these terms not to take over for as long as it relies on it; a
-    /// leaving node promises it for good.
+    /// Promises an owner with these terms not to take over for as long as the owner relies on the
+    /// promise. A node that is leaving promises it for good.
     pub fn promise(&mut self, now: TimeMs, terms: LeaseTerms, leaving: bool) -> Promise {
         self.has_resigned |= leaving;
-        let until = now + terms.lease_over_ms();
+        let until = now + terms.lease_expiry_wait_ms();
         self.promised_until = self.promised_until.max(until);
         let hold_ms = if self.has_resigned {
             u64::MAX
@@ -84,8 +84,8 @@
         Promise::Granted { hold_ms }
     }
 
-    /// Whether no promise stands in the way of a take-over. One promise covers the whole service:
-    /// the asker may since have been given slots that this node takes for another's.
+    /// Whether no promise prevents a take-over. A promise covers the whole service, because the
+    /// asker may meanwhile own slots that this node still attributes to another member.
     pub fn may_take_over(&self, now: TimeMs) -> bool {
         !self.has_resigned && now >= self.promised_until
     }
--- a/src/claims/row_plan.rs
+++ b/src/claims/row_plan.rs
@@ -1,4 +1,4 @@
-//! The next write of a service's row: what one member wants to change in it.
+//! Plans the next write of a service's row: the changes that one member wants to make.
 
 use crate::claims::Identity;
 use crate::claims::Intent;
@@ -10,42 +10,44 @@
 use crate::core::FastMap;
 use crate::core::TimeMs;
 
-/// How many leases a member that may only take over by the long way leaves to the others.
-const LEASES_LEFT_TO_OTHERS: u64 = 3;
+/// Number of leases by which a member that needs the long wait delays its announcement, so that
+/// members with the short wait act first.
+const LONG_WAIT_DELAY_LEASES: u64 = 3;
 
-/// Slots whose hand-over their receiver confirmed, or that are released for lack of one.
+/// Slots to reassign in the row: the receiver has confirmed their hand-over, or they are released
+/// because there is no receiver.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Given {
+pub struct SlotTransfer {
     pub transfer: u64,
     pub receiver: Option<u64>,
     pub slots: Vec<usize>,
 }
 
-/// What the plan is made from, besides the row.
+/// Input of the plan besides the row.
 pub struct PlanInput<'a> {
     pub me: &'a Identity,
     pub conf: &'a LeaseConf,
     pub now: TimeMs,
     pub serving: bool,
     pub stopping: bool,
-    /// How many nodes of the service membership knows to be alive.
+    /// The number of nodes of the service that membership considers alive.
     pub alive: usize,
-    /// Slots without an owner are claimed beyond the fair share.
-    pub claims_all: bool,
-    /// Members that seem to be gone, and since when.
+    /// Claims all slots without an owner, even beyond the fair share.
+    pub claim_all_unowned: bool,
+    /// Members that are missing, and since when.
     pub missing: &'a FastMap<u64, TimeMs>,
-    /// Own intents and when each was seen to be in the row.
+    /// This process's intents, and when each was first seen in the row.
     pub intents: &'a FastMap<u64, TimeMs>,
-    /// No promise stands in the way.
+    /// No promise prevents a take-over.
     pub may_take_over: bool,
-    pub given: Option<&'a Given>,
+    pub slot_transfer: Option<&'a SlotTransfer>,
 }
 
-/// The row as it should be.
+/// The planned content of the row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Planned {
     pub map: SlotMap,
-    /// It takes slots away from a member that may be alive.
+    /// The plan takes slots from a member that may be alive.
     pub takes_over: bool,
 }
 
@@ -57,7 +59,7 @@
     }
 }
 
-/// The row as this member wants it, or `None` when it is content.
+/// The row with this member's changes, or `None` if it needs none.
 pub fn plan(map: &SlotMap, input: &PlanInput<'_>, rng: &mut fastrand::Rng) -> Option<Planned> {
     let mut next = map.clone();
     let me = input.me.instance;
@@ -70,9 +72,9 @@
     take_from_predecessor(&mut next, input);
     next.intents.retain(|intent| intent.victim != me);
     update_own_member(&mut next, input);
-    give(&mut next, input);
+    apply_slot_transfer(&mut next, input);
     let takes_over = take_over(&mut next, input);
-    drop_settled_intents(&mut next, input);
+    drop_obsolete_intents(&mut next, input);
     announce(&mut next, input, rng);
     remove_missing_without_slots(&mut next, input);
     claim_unowned(&mut next, input);
@@ -85,12 +87,13 @@
     })
 }
 
-/// When the row should be read again because a wait of this member ends.
+/// When the row should be read again because one of this member's waits ends.
 pub fn next_due(map: &SlotMap, input: &PlanInput<'_>) -> Option<TimeMs> {
     let own = map.intents.iter().filter(|own| own.by == input.me.instance);
     let take_overs = own.filter_map(|intent| due_at(map, input, intent));
     let missing = input.missing.iter();
-    let announcements = missing.map(|(victim, since)| *since + patience_ms(map, input, *victim));
+    let announcements =
+        missing.map(|(victim, since)| *since + announce_delay_ms(map, input, *victim));
     take_overs
         .chain(announcements)
         .filter(|at| *at > input.now)
@@ -110,8 +113,10 @@
     }
 }
 
-/// A process that bound the addresses of an earlier one on the same run of the VM proves by it
-/// that the earlier one is gone. So nothing has to be waited for but the grace period.
+/// Takes the slots of an earlier process of this node at once.
+///
+/// A process that bound the addresses of an earlier one in the same boot of the VM proves that the
+/// earlier one has ended. No wait is needed except the grace period.
 fn take_from_predecessor(next: &mut SlotMap, input: &PlanInput<'_>) {
     let me = input.me;
     let is_predecessor = |member: &&Member| {
@@ -143,40 +148,41 @@
     }
 }
 
-fn give(next: &mut SlotMap, input: &PlanInput<'_>) {
-    let Some(given) = input.given else {
+fn apply_slot_transfer(next: &mut SlotMap, input: &PlanInput<'_>) {
+    let Some(slot_transfer) = input.slot_transfer else {
         return;
     };
     let listed = |receiver| next.member(receiver).is_some();
-    if !given.receiver.is_none_or(listed) {
+    if !slot_transfer.receiver.is_none_or(listed) {
         return;
     }
-    for slot in &given.slots {
+    for slot in &slot_transfer.slots {
         if next.slots[*slot].owner == Some(input.me.instance) {
-            let transfer = given.receiver.map_or(0, |_| given.transfer);
-            next.assign(*slot, given.receiver, transfer);
+            let transfer = slot_transfer.receiver.map_or(0, |_| slot_transfer.transfer);
+            next.assign(*slot, slot_transfer.receiver, transfer);
         }
     }
 }
 
 fn due_at(map: &SlotMap, input: &PlanInput<'_>, intent: &Intent) -> Option<TimeMs> {
     let seen_at = *input.intents.get(&intent.id)?;
-    Some(seen_at + wait_ms(map, input, intent.victim)?)
+    Some(seen_at + take_over_wait_ms(map, input, intent.victim)?)
 }
 
-/// How long an intent has to stand before the slots may be taken.
+/// How long an intent has to stand in the row before the slots may be taken.
 ///
-/// An owner without the table relies on the promises of the members that it knows. A member that
-/// joined since is not asked, and one of another region may be out of reach: they wait until the
-/// owner relies on no promises any more.
-fn wait_ms(map: &SlotMap, input: &PlanInput<'_>, victim: u64) -> Option<u64> {
+/// Without the table, an owner relies on the promises of the members that it knows. It does not ask
+/// a member that joined later, and a member of another region may be unreachable. Such members take
+/// the long wait: until the owner certainly no longer relies on promises. All others take the short
+/// wait, until the owner's lease has expired.
+fn take_over_wait_ms(map: &SlotMap, input: &PlanInput<'_>, victim: u64) -> Option<u64> {
     let owner = map.member(victim)?;
     let own = map.member(input.me.instance)?;
     let is_asked = own.region == owner.region && own.added <= owner.knows;
     Some(if is_asked {
-        owner.terms.lease_over_ms()
+        owner.terms.lease_expiry_wait_ms()
     } else {
-        owner.terms.outage_over_ms()
+        owner.terms.outage_expiry_wait_ms()
     })
 }
 
@@ -202,8 +208,8 @@
     !victims.is_empty()
 }
 
-/// Removes own intents against members that are back or have left.
-fn drop_settled_intents(next: &mut SlotMap, input: &PlanInput<'_>) {
+/// Removes this member's intents against members that are back or have left.
+fn drop_obsolete_intents(next: &mut SlotMap, input: &PlanInput<'_>) {
     let me = input.me.instance;
     next.intents.retain(|intent| {
         intent.by != me || (input.missing.contains_key(&intent.victim) && !input.stopping)
@@ -216,12 +222,12 @@
     }
     let me = input.me.instance;
     for (victim, since) in input.missing {
-        let patient = input.now.since(*since) < patience_ms(next, input, *victim);
+        let too_early = input.now.since(*since) < announce_delay_ms(next, input, *victim);
         let announced = next
             .intents
             .iter()
             .any(|intent| intent.by == me && intent.victim == *victim);
-        if patient || announced || next.slots_of(*victim).is_empty() {
+        if too_early || announced || next.slots_of(*victim).is_empty() {
             continue;
         }
         next.intents.push(Intent {
@@ -232,9 +238,9 @@
     }
 }
 
-/// How long a member has to be missing before this one acts: the candidates take turns, and those
-/// that could only take over by the long way come last.
-fn patience_ms(map: &SlotMap, input: &PlanInput<'_>, victim: u64) -> u64 {
+/// How long a member has to be missing before this one announces a take-over. The candidates wait
+/// in order of rank, and those that need the long wait come last.
+fn announce_delay_ms(map: &SlotMap, input: &PlanInput<'_>, victim: u64) -> u64 {
     let conf = input.conf;
     let order = |instance: u64| (instance ^ victim).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let own = order(input.me.instance);
@@ -244,22 +250,25 @@
         .filter(|member| member.serving && order(member.instance) < own)
         .count() as u64;
     let terms = map.member(victim).map(|member| member.terms);
-    let is_short = wait_ms(map, input, victim) == terms.map(|terms| terms.lease_over_ms());
-    let last = if is_short {
+    let uses_short_wait =
+        take_over_wait_ms(map, input, victim) == terms.map(|terms| terms.lease_expiry_wait_ms());
+    let long_wait_delay_ms = if uses_short_wait {
         0
     } else {
-        LEASES_LEFT_TO_OTHERS * conf.terms.lease_ms
+        LONG_WAIT_DELAY_LEASES * conf.terms.lease_ms
     };
-    conf.missing_ms + rank * conf.rank_step_ms + last
+    conf.missing_threshold_ms + rank * conf.rank_step_ms + long_wait_delay_ms
 }
 
-/// A member that owns nothing can be removed without a wait: whatever it had under way to take
-/// over fails, because the row has another version. Left in the row, it would be asked for
-/// promises during an outage and never answer.
+/// Removes missing members without slots.
+///
+/// This needs no wait: a take-over that such a member had under way fails, because the row has
+/// another version. If it stayed in the row, owners would ask it for promises during an outage and
+/// never get an answer.
 fn remove_missing_without_slots(next: &mut SlotMap, input: &PlanInput<'_>) {
     let is_over = |victim: &u64, since: TimeMs| {
         next.slots_of(*victim).is_empty()
-            && input.now.since(since) >= patience_ms(next, input, *victim)
+            && input.now.since(since) >= announce_delay_ms(next, input, *victim)
     };
     let gone: Vec<u64> = input
         .missing
@@ -281,7 +290,7 @@
     let owners = candidates(next, present).len().max(input.alive);
     let owned = next.slots_of(me).len();
     let mut unowned = next.unowned();
-    if !input.claims_all {
+    if !input.claim_all_unowned {
         unowned.truncate(fair_share(owners).saturating_sub(owned));
     }
     for slot in unowned {
--- a/src/claims/shared_ledger.rs
+++ b/src/claims/shared_ledger.rs
@@ -1,5 +1,5 @@
-//! The ledger as traffic threads use it: behind a short mutex, with those who wait for a call that
-//! another request with the same key began.
+//! The ledger as shared by the traffic threads. It is protected by a mutex that is held briefly,
+//! and it tracks the requests that wait for a call that another request with the same key began.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -19,30 +19,32 @@
 use crate::core::RefusalReason;
 use crate::core::TimeMs;
 
-/// How many requests may wait for the same call; a caller that resends hard is bounded by it.
+/// The largest number of requests that may wait for the same call. It bounds the memory that a
+/// caller with many resends takes.
 const MAX_JOINED: usize = 64;
-/// When to come back for those beyond.
+/// Retry delay for requests beyond that number.
 const JOIN_RETRY_MS: u64 = 1_000;
 
-/// How a call ended, for the requests that joined it.
+/// The end of a call, for the requests that joined it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// It ran; the answer is `None` when it is too large to keep.
+    /// The call ran. The answer is `None` if it is too large to keep.
     Ran(Option<Arc<KeptAnswer>>),
-    /// It may have run.
+    /// The call may have run.
     MayHaveRun,
-    /// It was refused before it started.
+    /// The call was refused before it started.
     NotStarted(Refusal),
 }
 
-/// What a guard does with a keyed call.
+/// The guard's decision on a keyed call.
 #[derive(Debug)]
 pub enum KeyedAdmission {
-    /// Run it and settle the ticket.
+    /// Run the call and settle the ticket.
     Run(RunTicket),
-    /// Wait for the call that runs already. The sender is never dropped without a word.
+    /// Wait for the call that already runs. The sender always sends an outcome before it is
+    /// dropped.
     Join(oneshot::Receiver<CallOutcome>),
-    /// Repeat the answer.
+    /// Send the kept answer again.
     Answer(Arc<KeptAnswer>),
     Refuse(Refusal),
 }
@@ -50,7 +52,7 @@
 #[derive(Debug)]
 struct Inner {
     ledger: Ledger,
-    /// Bounded by the running keys of the ledger and [`MAX_JOINED`] each.
+    /// Bounded by the number of running keys, with up to [`MAX_JOINED`] waiters each.
     joined: FastMap<Name, Vec<oneshot::Sender<CallOutcome>>>,
 }
 
@@ -62,7 +64,7 @@
 }
 
 impl SharedLedger {
-    /// Shares a ledger whose times are those of `clock`.
+    /// Shares a ledger that takes its times from `clock`.
     pub fn new(clock: Clock, ledger: Ledger) -> Arc<Self> {
         let joined = FastMap::default();
         Arc::new(Self {
@@ -73,8 +75,8 @@
 
     /// Decides on a keyed call that has just arrived.
     ///
-    /// The time is read before the ledger is asked, never after: a pause in between then makes
-    /// the call look older than it is, which the grace period covers.
+    /// The time is read before the lock is taken. A pause in between then makes the call seem to
+    /// have arrived earlier than it did, which the grace period covers.
     pub fn begin(self: &Arc<Self>, call: &KeyedCall<'_>) -> KeyedAdmission {
         let now = self.clock.now();
         let mut inner = self.lock();
@@ -90,7 +92,7 @@
         }
     }
 
-    /// Works on the ledger itself; `now` is the time at which the lock was held.
+    /// Runs `work` on the ledger. `now` is read while the lock is held.
     pub fn with<T>(&self, work: impl FnOnce(&mut Ledger, TimeMs) -> T) -> T {
         let mut inner = self.lock();
         let now = self.clock.now();
@@ -111,13 +113,13 @@
         let joined = inner.joined.remove(key);
         drop(inner);
         for waiter in joined.into_iter().flatten() {
-            // A waiter that has gone away needs no answer.
+            // A closed receiver means that the waiting request has gone.
             let _ = waiter.send(settled.clone());
         }
     }
 
-    /// A panic elsewhere leaves the ledger usable: its methods change one entry at a time, and a
-    /// lost entry would be worse than one that says too little.
+    /// Ignores poisoning. After a panic elsewhere the ledger stays usable, because its methods
+    /// change one entry at a time. Losing an entry would be worse than keeping an incomplete one.
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner
             .lock()
@@ -137,10 +139,10 @@
     KeyedAdmission::Join(receiver)
 }
 
-/// The right and the duty to run one keyed call.
+/// Obliges its holder to run one keyed call and report its end.
 ///
-/// Guards against a key that stays running for good because its task was dropped: every resend
-/// would wait. It holds because dropping the ticket reports that the call may have run.
+/// Guards against a key that stays in the running state for good because its task was dropped:
+/// every resend would wait. Dropping an unsettled ticket reports that the call may have run.
 #[derive(Debug)]
 pub struct RunTicket {
     ledger: Arc<SharedLedger>,
--- a/src/claims/slot.rs
+++ b/src/claims/slot.rs
@@ -1,14 +1,14 @@
-//! The slot of a key.
+//! Maps keys to slots.
 
 use crate::core::stable_hash;
 
-/// How many slots the keys of a service are spread over. It is part of the protocol.
+/// Number of slots over which the keys of a service are spread. It is part of the protocol.
 pub const SLOT_COUNT: usize = 32;
 
-/// The longest key that is accepted, in bytes: the ledger's memory is bounded by it.
+/// The longest accepted key in bytes. It bounds the ledger's memory.
 pub const MAX_IDEMPOTENCY_KEY_BYTES: usize = 200;
 
-/// The slot to which a key of a service belongs.
+/// The slot of a service's key.
 pub fn slot_of(service: &str, key: &str) -> usize {
     let hash = stable_hash(service.bytes().chain([0]).chain(key.bytes()));
     ((hash ^ (hash >> 32)) % SLOT_COUNT as u64) as usize
--- a/src/claims/slot_lease.rs
+++ b/src/claims/slot_lease.rs
@@ -1,4 +1,4 @@
-//! What a node holds at present: the part of its claims that the ledger checks calls against.
+//! The lease and the slots of this process, against which the ledger checks calls.
 
 use crate::claims::SLOT_COUNT;
 use crate::core::Name;
@@ -8,9 +8,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeldSlot {
     pub epoch: u64,
-    /// Keys that were not seen are refused until then, because a predecessor may have run them.
+    /// Until then unseen keys are refused, because a previous owner may have run them.
     pub grace_until: TimeMs,
-    /// The ledger of the slot is being handed over: no further key may start here.
+    /// The ledger of the slot is being handed over, and no further key may start here.
     pub handing_over: bool,
 }
 
@@ -21,17 +21,17 @@
     pub epoch: u64,
 }
 
-/// The lease and the slots of this process, and whom else it knows to own slots.
+/// The lease, the slots held under it, and the known owners of the other slots.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SlotLease {
-    /// Unseen keys may start only before this moment.
+    /// Unseen keys may start only before this time.
     pub lease_until: TimeMs,
     pub held: [Option<HeldSlot>; SLOT_COUNT],
     pub others: [Option<OtherOwner>; SLOT_COUNT],
 }
 
 impl SlotLease {
-    /// Nothing held and nothing known.
+    /// No slot held and no other owner known.
     pub fn none_held() -> Self {
         Self {
             lease_until: TimeMs(0),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// How many slots are held.
+    /// The number of held slots.
     pub fn count(&self) -> usize {
         self.held.iter().flatten().count()
     }
--- a/src/claims/slot_map.rs
+++ b/src/claims/slot_map.rs
@@ -1,4 +1,5 @@
-//! The row `slots/<service>` of the platform's table: who owns which slot of a service.
+//! The row `slots/<service>` of the platform's table, which records the owner of each slot of a
+//! service.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -8,19 +9,19 @@
 use crate::core::Name;
 use crate::errors::ClaimsError;
 
-/// One slot as recorded.
+/// One slot in the row.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct SlotEntry {
-    /// The process instance that owns it; always that of a listed member.
+    /// Process instance of the owner. It is always a listed member.
     pub owner: Option<u64>,
-    /// Rises by one with every change of the owner; 0 means that the slot was never owned.
+    /// Increases by one with every change of the owner. 0 means that the slot was never owned.
     pub epoch: u64,
-    /// The transfer that carried the ledger to this owner, 0 if none did.
+    /// The transfer that carried the ledger to this owner, or 0 if there was none.
     pub transfer: u64,
 }
 
-/// A process that may own slots and take them over.
+/// A process that may own slots and take over those of others.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Member {
@@ -28,22 +29,23 @@
     /// Random for each process, so that a restarted node is another member.
     pub instance: u64,
     pub region: Name,
-    /// Names the run of the VM and the addresses that the process has bound: another process with
-    /// the same value can only exist after this one is gone.
+    /// Identifies the boot of the VM and the addresses that the process has bound. Another process
+    /// with the same value can exist only after this one has ended.
     pub boot: u64,
-    /// The durations it relies on as an owner; whoever takes over from it waits by these and not
-    /// by settings of its own.
+    /// The durations that the process relies on as an owner. A member that takes over from it waits
+    /// by these and not by its own settings.
     pub terms: LeaseTerms,
-    /// Its backend server takes work, so it may be given slots.
+    /// Its backend server accepts work, so the member may receive slots.
     pub serving: bool,
-    /// The count of joins at which it was added.
+    /// The value of `joins` at which it was added.
     pub added: u64,
-    /// As an owner: the count of joins up to which it knows the members, and so asks them all for
-    /// promises. Members added later must not take its slots over by the short way.
+    /// As an owner: the value of `joins` up to which it knows the members, and so asks all of them
+    /// for promises. Members that joined later have to take the long wait before they take its
+    /// slots over.
     pub knows: u64,
 }
 
-/// The intention to take over the slots of a member that seems to be gone.
+/// Announces that one member will take over the slots of another that seems to be gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Intent {
@@ -52,13 +54,13 @@
     pub victim: u64,
 }
 
-/// The whole row.
+/// The value of the row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct SlotMap {
-    /// Named by whoever wrote the row last, to recognise a write whose answer was lost.
+    /// Chosen by the last writer, to recognise a write whose answer was lost.
     pub change: u64,
-    /// How many members ever joined.
+    /// How many members have ever joined.
     pub joins: u64,
     pub slots: Vec<SlotEntry>,
     pub members: Vec<Member>,
@@ -66,7 +68,7 @@
 }
 
 impl SlotMap {
-    /// The map of a service of which no row exists yet.
+    /// The map of a service that has no row yet.
     pub fn empty() -> Self {
         Self {
             change: 0,
@@ -77,20 +79,20 @@
         }
     }
 
-    /// The name of the row.
+    /// The key of the row in the table.
     pub fn row_name(service: &str) -> String {
         format!("slots/{service}")
     }
 
-    /// The row's value.
+    /// Encodes the value of the row.
     pub fn encode(&self) -> String {
         serde_json::to_string(self).expect("plain structs always encode")
     }
 
-    /// Reads the row's value.
+    /// Decodes the value of the row.
     ///
     /// # Errors
-    /// When the value is not a slot map or contradicts itself.
+    /// When the value is not a slot map or is inconsistent.
     pub fn decode(value: &[u8]) -> Result<Self, ClaimsError> {
         let map: Self =
             serde_json::from_slice(value).map_err(|source| ClaimsError::Row { source })?;
@@ -113,14 +115,14 @@
             .find(|member| member.instance == instance)
     }
 
-    /// The member of a process instance, to change it.
+    /// The member of a process instance, for changes.
     pub fn member_mut(&mut self, instance: u64) -> Option<&mut Member> {
         self.members
             .iter_mut()
             .find(|member| member.instance == instance)
     }
 
-    /// Adds a member; its `added` and `knows` are set here.
+    /// Adds a member and sets its `added` and `knows`.
     pub fn join(&mut self, member: Member) {
         self.joins += 1;
         self.members.push(Member {
@@ -130,27 +132,27 @@
         });
     }
 
-    /// Removes a member that owns nothing any more, and every intent by it or against it.
+    /// Removes a member that owns no slots any more, and every intent by it or against it.
     pub fn remove(&mut self, instance: u64) {
         self.members.retain(|member| member.instance != instance);
         self.intents
             .retain(|intent| intent.by != instance && intent.victim != instance);
     }
 
-    /// The slots of an owner, in order.
+    /// The slots of an owner, in ascending order.
     pub fn slots_of(&self, instance: u64) -> Vec<usize> {
         let is_owner = |slot: &usize| self.slots[*slot].owner == Some(instance);
         (0..self.slots.len()).filter(is_owner).collect()
     }
 
-    /// The slots without an owner, in order.
+    /// The slots without an owner, in ascending order.
     pub fn unowned(&self) -> Vec<usize> {
         (0..self.slots.len())
             .filter(|slot| self.slots[*slot].owner.is_none())
             .collect()
     }
 
-    /// Gives a slot to an owner under the next epoch.
+    /// Assigns a slot to an owner and increases its epoch.
     pub fn assign(&mut self, slot: usize, owner: Option<u64>, transfer: u64) {
         let entry = &mut self.slots[slot];
         entry.owner = owner;
@@ -158,8 +160,8 @@
         entry.transfer = transfer;
     }
 
-    /// Whether somebody intends to take over the slots of `instance`.
-    pub fn is_threatened(&self, instance: u64) -> bool {
+    /// Whether a member has announced that it will take over the slots of `instance`.
+    pub fn has_intent_against(&self, instance: u64) -> bool {
         self.intents.iter().any(|intent| intent.victim == instance)
     }
 }
--- a/src/claims/slot_router.rs
+++ b/src/claims/slot_router.rs
@@ -1,4 +1,4 @@
-//! Where an entry sends a keyed call: what it has learnt of the owners of slots.
+//! Chooses where an entry sends a keyed call, from what it has learned about the owners of slots.
 
 use crate::claims::SLOT_COUNT;
 use crate::claims::slot_of;
@@ -8,22 +8,23 @@
 use crate::core::RunState;
 use crate::wire::OwnerHint;
 
-/// How many services are remembered; beyond it all are forgotten and learnt again.
+/// The largest number of services whose owners are cached. Beyond it, the whole cache is cleared
+/// and learned again.
 const MAX_SERVICES: usize = 1_024;
 
-/// The owners of slots as answers named them, and their latest stamps.
+/// A cache of slot owners and of their latest stamps, learned from answers.
 ///
-/// It may be wrong at any time: the owner's ledger decides. An entry that knows no owner sends to
-/// any target of the service, whose guard refuses and names the owner.
+/// It may be out of date at any time, since the owner's ledger decides. If an entry knows no owner,
+/// it sends to any target of the service. The guard there refuses the call and names the owner.
 #[derive(Debug, Default)]
 pub struct SlotRouter {
     services: FastMap<Name, Vec<Option<OwnerHint>>>,
-    /// The latest stamp of each owner: one stamp serves all its slots.
+    /// The latest stamp of each owner. One stamp covers all slots of an owner.
     stamps: FastMap<Name, u64>,
 }
 
 impl SlotRouter {
-    /// The owner of the key's slot and its stamp, as far as is known.
+    /// The owner of the key's slot and its latest stamp, if known.
     pub fn route(&self, service: &str, key: &str) -> Option<OwnerHint> {
         let hints = self.services.get(service)?;
         let hint = hints[slot_of(service, key)].as_ref()?;
@@ -33,7 +34,7 @@
         })
     }
 
-    /// Takes in the hint of an answer to a call with `key`.
+    /// Learns from the owner hint in an answer to a call with `key`.
     pub fn learn(&mut self, service: &Name, key: &str, hint: OwnerHint) {
         if self.services.len() >= MAX_SERVICES {
             self.services.clear();
@@ -52,8 +53,8 @@
         }
     }
 
-    /// Forgets the owner of the key's slot, after it could not be reached: another target of the
-    /// service knows of a take-over.
+    /// Forgets the owner of the key's slot after it could not be reached. Another target of the
+    /// service will know if the slot was taken over.
     pub fn forget(&mut self, service: &str, key: &str) {
         if let Some(hints) = self.services.get_mut(service) {
             hints[slot_of(service, key)] = None;
@@ -61,10 +62,11 @@
     }
 }
 
-/// What an entry may say of a call that it refuses itself, before any guard was asked.
+/// The run state that an entry may report for a call that it refuses itself, before it asked any
+/// guard.
 ///
-/// For a call without a key, this sending is all there is. A key may have been sent before, and
-/// only its owner's ledger knows what became of it (docs/AT_MOST_ONCE.md, "What refusals say").
+/// A call without a key is known from this request alone. A key may have been sent before, and only
+/// its owner's ledger knows what became of it (docs/AT_MOST_ONCE.md, "What refusals say").
 pub fn run_state_at_entry(has_key: bool) -> RunState {
     if has_key {
         RunState::Unknown
@@ -73,9 +75,9 @@
     }
 }
 
-/// Whether an entry may send a keyed call again at once after this refusal of a guard. The ledger
-/// makes every resend safe; these are the refusals after which one helps.
-pub fn helps_to_resend(reason: RefusalReason) -> bool {
+/// Whether an entry should resend a keyed call at once after a guard refused it for this reason.
+/// The ledger makes every resend safe; after these reasons a resend can also succeed.
+pub fn allows_immediate_resend(reason: RefusalReason) -> bool {
     matches!(
         reason,
         RefusalReason::NotOwner | RefusalReason::StaleAttempt
--- a/src/claims/slot_table.rs
+++ b/src/claims/slot_table.rs
@@ -1,4 +1,4 @@
-//! The row of a service's slots in the platform's table.
+//! Reads and writes the row of a service's slots in the platform's table.
 
 use crate::claims::ReadResult;
 use crate::claims::SlotMap;
@@ -7,25 +7,25 @@
 use crate::table_service::PlatformClient;
 use crate::table_service::Transaction;
 
-/// Reads the row.
 pub(super) async fn read_row(platform: &PlatformClient, row: &str) -> ReadResult {
     match platform.get(row).await {
         Ok(None) => ReadResult::Row(None),
         Ok(Some(found)) => match SlotMap::decode(found.value.as_bytes()) {
             Ok(map) => ReadResult::Row(Some((found.version, map))),
             Err(error) => {
-                log::error!("claims: row {row} cannot be used error={error}");
+                log::error!("claims: row cannot be decoded row={row} error={error}");
                 ReadResult::Failed
             }
         },
         Err(error) => {
-            log::debug!("claims: row {row} not read error={error}");
+            log::debug!("claims: row read failed row={row} error={error}");
             ReadResult::Failed
         }
     }
 }
 
-/// Writes the row if it has the expected version. Only what is certainly not written is called so.
+/// Writes the row if it has the expected version. Returns [`WriteResult::NotWritten`] or
+/// [`WriteResult::Conflict`] only if the row was certainly not written.
 pub(super) async fn write_row(
     platform: &PlatformClient,
     row: &str,
--- a/src/claims/window_tracker.rs
+++ b/src/claims/window_tracker.rs
@@ -1,19 +1,19 @@
-//! Which resend window is in use while presets are switched.
+//! Tracks which resend window to use when presets change.
 
 use crate::claims::ResendLimits;
 use crate::core::TimeMs;
 
-/// Follows the preset's resend window. A longer one is used at once; a shorter one only after
-/// keys that were sent under the longer one cannot come back any more.
+/// Follows the resend window of the preset in force. A longer window applies at once. A shorter one
+/// applies only once keys that were sent under the longer one can no longer be sent again.
 #[derive(Clone, Copy, Debug)]
 pub struct WindowTracker {
     limits: ResendLimits,
-    /// When the window in use was last asked for.
+    /// When the window in use was last the requested one.
     requested_at: TimeMs,
 }
 
 impl WindowTracker {
-    /// Begins with a window.
+    /// Starts with the given window.
     pub fn new(now: TimeMs, window_ms: u64) -> Self {
         Self {
             limits: ResendLimits::new(window_ms),
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Takes in the window of the preset in force and returns the limits to use.
+    /// Processes the window of the preset in force and returns the limits to use.
     pub fn update(&mut self, now: TimeMs, window_ms: u64) -> ResendLimits {
         let requested = ResendLimits::new(window_ms);
         let is_over = now.since(self.requested_at) >= self.limits.retention_ms();
--- a/src/mesh/ready.rs
+++ b/src/mesh/ready.rs
@@ -91,7 +91,12 @@
     let lacking = open_slots
         .into_iter()
         .find(|(_, open)| !without_preset && *open < SLOT_COUNT);
-    lacking.map(|(service, open)| (service, format!("{open} of {SLOT_COUNT} slots have an owner")))
+    lacking.map(|(service, open)| {
+        (
+            service,
+            format!("{open} of {SLOT_COUNT} slots have an owner"),
+        )
+    })
 }
 
 async fn node_status(mesh: &Mesh, target: &MeshTarget) -> Result<NodeStatus, MeshError> {
--- a/src/node/keyed_guard.rs
+++ b/src/node/keyed_guard.rs
@@ -8,10 +8,10 @@
 
 use tokio::sync::oneshot;
 
+use crate::claims::CallOutcome;
 use crate::claims::KeyedAdmission;
 use crate::claims::KeyedCall;
 use crate::claims::RunTicket;
-use crate::claims::CallOutcome;
 use crate::claims::SharedLedger;
 use crate::control::KeptAnswer;
 use crate::core::Name;
--- a/tests/claims_failover.rs
+++ b/tests/claims_failover.rs
@@ -1,252 +1,273 @@
-//! Failures of owners, of the table and of networks, one story each. The world asserts all along
-//! that no key runs twice and that no refusal says `not_run` of a key that ran.
+//! Failures of owners, of the table and of networks, one scenario per test. At every step the
+//! simulation asserts that no key runs twice and that no refusal says `not_run` about a key that
+//! ran.
 
-mod claims_world;
+mod claims_simulation;
 
-use claims_world::Fault;
-use claims_world::LEASE_MS;
-use claims_world::Noise;
-use claims_world::WINDOW_MS;
-use claims_world::World;
+use claims_simulation::Fault;
+use claims_simulation::LEASE_MS;
+use claims_simulation::Noise;
+use claims_simulation::Simulation;
+use claims_simulation::WINDOW_MS;
 use sassafrasgap::claims::ResendLimits;
 use sassafrasgap::claims::SLOT_COUNT;
 
 const KEY_EVERY_MS: u64 = 20;
-/// By then every slot has an owner and the owners have about the same number.
+/// By this time every slot has an owner and all owners have about the same number of slots.
 const SETTLED_MS: u64 = 10_000;
-/// A take-over is done: noticed, announced, waited for, written.
-const TAKEN_OVER_MS: u64 = 5 * LEASE_MS;
+/// Enough time for a complete take-over: detection, announcement, wait and write.
+const TAKE_OVER_MS: u64 = 5 * LEASE_MS;
 
 fn grace_ms() -> u64 {
     ResendLimits::new(WINDOW_MS).grace_ms()
 }
 
-/// Four nodes in three domains whose slots are shared out, without noise.
-fn settled() -> World {
-    let mut world = World::new(2, 4, 3, Noise::NONE);
-    world.run_until(SETTLED_MS);
-    assert_eq!(world.open_slots(), SLOT_COUNT);
-    world
+/// Four nodes in three domains, with the slots balanced between them and no message faults.
+fn settled() -> Simulation {
+    let mut simulation = Simulation::new(2, 4, 3, Noise::NONE);
+    simulation.run_until(SETTLED_MS);
+    assert_eq!(simulation.open_slots(), SLOT_COUNT);
+    simulation
 }
 
-/// Callers send new keys all along, and each again within the window.
-fn load_until(world: &mut World, end: u64) {
-    while world.now < end {
-        world.new_key(1);
-        world.run_until(world.now + KEY_EVERY_MS);
+/// Sends new keys until `end`, and each of them once more within the resend window.
+fn load_until(simulation: &mut Simulation, end: u64) {
+    while simulation.now < end {
+        simulation.new_key(1);
+        simulation.run_until(simulation.now + KEY_EVERY_MS);
     }
 }
 
-fn slots_of(world: &World, process: usize) -> usize {
-    let map = world.store.map().expect("a row");
-    map.slots_of(world.processes[process].instance).len()
+fn slots_of(simulation: &Simulation, process: usize) -> usize {
+    let map = simulation.store.map().expect("a row");
+    map.slots_of(simulation.processes[process].instance).len()
 }
 
 #[test]
 fn slots_are_shared_out_and_follow_members_that_join() {
-    let mut world = settled();
+    let mut simulation = settled();
     for process in 0..4 {
-        assert_eq!(slots_of(&world, process), SLOT_COUNT / 4);
+        assert_eq!(slots_of(&simulation, process), SLOT_COUNT / 4);
     }
-    world.apply(Fault::Stop { process: 0 });
-    world.run_until(world.now + 3_000);
-    assert!(world.processes[0].is_dead, "it left");
+    simulation.apply(Fault::Stop { process: 0 });
+    simulation.run_until(simulation.now + 3_000);
+    assert!(simulation.processes[0].is_dead, "it left");
     let process = 0;
     let same_vm = false;
-    world.apply(Fault::Restart { process, same_vm });
-    world.run_until(world.now + 10_000);
-    assert_eq!(slots_of(&world, 4), SLOT_COUNT / 4);
+    simulation.apply(Fault::Restart { process, same_vm });
+    simulation.run_until(simulation.now + 10_000);
+    assert_eq!(slots_of(&simulation, 4), SLOT_COUNT / 4);
     assert_eq!(
-        world.open_slots(),
+        simulation.open_slots(),
         SLOT_COUNT,
         "no grace period after hand-overs"
     );
 }
 
 /// An owner checks a key and is paused before it dispatches the call. Its lease lapses, another
-/// node takes over, the caller sends the key again there; then the first owner goes on and
-/// dispatches. Refused as `unknown` in the grace period, the resend cannot run beside it.
+/// node takes over, and the caller sends the key again there. Then the first owner resumes and
+/// dispatches. The new owner has to refuse the resend as `unknown` during the grace period, or the
+/// call would run twice.
 #[test]
 fn a_pause_between_check_and_dispatch_runs_nothing_twice() {
-    let mut world = settled();
-    load_until(&mut world, 20_000);
+    let mut simulation = settled();
+    load_until(&mut simulation, 20_000);
     for process in 0..3 {
-        let for_ms = TAKEN_OVER_MS + WINDOW_MS / 2;
-        world.apply(Fault::Pause { process, for_ms });
-        let end = world.now + 2 * TAKEN_OVER_MS + grace_ms();
-        load_until(&mut world, end);
+        let for_ms = TAKE_OVER_MS + WINDOW_MS / 2;
+        simulation.apply(Fault::Pause { process, for_ms });
+        let end = simulation.now + 2 * TAKE_OVER_MS + grace_ms();
+        load_until(&mut simulation, end);
     }
-    assert!(world.truth.refusals["grace_period"] > 0);
-    assert_eq!(world.open_slots(), SLOT_COUNT);
+    assert!(simulation.truth.refusals["grace_period"] > 0);
+    assert_eq!(simulation.open_slots(), SLOT_COUNT);
 }
 
-/// A whole failover: the owner dies, its slots are refused as `unknown` for the grace period, and
-/// then everything runs again.
+/// An owner crashes. Keys of its slots are refused as `unknown` for the grace period, and all slots
+/// are open again after it.
 #[test]
 fn slots_of_a_dead_owner_are_taken_over() {
-    let mut world = settled();
-    world.apply(Fault::Crash { process: 1 });
-    world.run_until(world.now + TAKEN_OVER_MS);
-    let owners: usize = [0, 2, 3].iter().map(|it| slots_of(&world, *it)).sum();
+    let mut simulation = settled();
+    simulation.apply(Fault::Crash { process: 1 });
+    simulation.run_until(simulation.now + TAKE_OVER_MS);
+    let owners: usize = [0, 2, 3].iter().map(|it| slots_of(&simulation, *it)).sum();
     assert_eq!(owners, SLOT_COUNT);
     assert_eq!(
-        world.open_slots(),
+        simulation.open_slots(),
         SLOT_COUNT - SLOT_COUNT / 4,
-        "the rest is in grace"
+        "the other slots are in their grace period"
     );
-    world.run_until(world.now + grace_ms());
-    assert_eq!(world.open_slots(), SLOT_COUNT);
+    simulation.run_until(simulation.now + grace_ms());
+    assert_eq!(simulation.open_slots(), SLOT_COUNT);
 }
 
-/// A process is killed and started again at once on the same VM. It has forgotten everything it
-/// ran; a key sent again must not run a second time there.
+/// A process is killed and restarted at once on the same VM, with an empty ledger. A key that the
+/// old process ran must not run again in the new one.
 #[test]
-fn a_restart_that_forgets_everything_runs_nothing_twice() {
-    let mut world = settled();
+fn a_restart_with_an_empty_ledger_runs_nothing_twice() {
+    let mut simulation = settled();
     for restart in 0..3 {
-        let end = world.now + 10_000;
-        load_until(&mut world, end);
-        let process = world.processes.len() - 1 - restart % 2;
+        let end = simulation.now + 10_000;
+        load_until(&mut simulation, end);
+        let process = simulation.processes.len() - 1 - restart % 2;
         let same_vm = true;
-        world.apply(Fault::Crash { process });
-        world.apply(Fault::Restart { process, same_vm });
-        world.run_until(world.now + 1_000);
-        let newest = world.processes.len() - 1;
-        assert!(slots_of(&world, newest) > 0, "its slots were taken at once");
-        let end = world.now + grace_ms() + 2_000;
-        load_until(&mut world, end);
+        simulation.apply(Fault::Crash { process });
+        simulation.apply(Fault::Restart { process, same_vm });
+        simulation.run_until(simulation.now + 1_000);
+        let newest = simulation.processes.len() - 1;
+        assert!(
+            slots_of(&simulation, newest) > 0,
+            "its slots were taken at once"
+        );
+        let end = simulation.now + grace_ms() + 2_000;
+        load_until(&mut simulation, end);
     }
-    assert!(world.truth.refusals["grace_period"] > 0);
+    assert!(simulation.truth.refusals["grace_period"] > 0);
 }
 
-/// Two nodes hold a third for gone at the same moment and both take its slots over, while their
-/// clocks differ and the answers of the table get lost.
+/// Two nodes consider a third one gone at the same time and both take its slots over, while their
+/// clocks differ and answers of the table are lost.
 #[test]
-fn two_that_take_over_at_once_do_not_both_own_a_slot() {
+fn two_simultaneous_take_overs_do_not_both_own_a_slot() {
     for seed in 0..20 {
         let noise = Noise {
             lost_permille: 200,
             ..Noise::NONE
         };
-        let mut world = World::new(seed, 4, 3, noise);
-        world.conf.rank_step_ms = 0;
-        load_until(&mut world, SETTLED_MS);
-        world.apply(Fault::Crash { process: 0 });
-        world.apply(Fault::Pause {
+        let mut simulation = Simulation::new(seed, 4, 3, noise);
+        simulation.conf.rank_step_ms = 0;
+        load_until(&mut simulation, SETTLED_MS);
+        simulation.apply(Fault::Crash { process: 0 });
+        simulation.apply(Fault::Pause {
             process: 1,
             for_ms: 3 * LEASE_MS,
         });
-        let end = world.now + 6 * TAKEN_OVER_MS + grace_ms();
-        load_until(&mut world, end);
-        assert!(world.open_slots() > SLOT_COUNT / 2, "seed {seed}");
+        let end = simulation.now + 6 * TAKE_OVER_MS + grace_ms();
+        load_until(&mut simulation, end);
+        assert!(simulation.open_slots() > SLOT_COUNT / 2, "seed {seed}");
     }
 }
 
-/// The platform is down for five minutes. Owners go on by the promises of the other members.
+/// The platform is down for five minutes. Owners continue on the promises of the other members.
 #[test]
 fn keys_complete_while_the_table_is_down() {
-    let mut world = settled();
-    let began = world.now;
-    world.apply(Fault::StoreDown { is_down: true });
-    load_until(&mut world, began + 300_000);
-    let completed = world.truth.completed_percent(began, world.now - WINDOW_MS);
+    let mut simulation = settled();
+    let began = simulation.now;
+    simulation.apply(Fault::StoreDown { is_down: true });
+    load_until(&mut simulation, began + 300_000);
+    let completed = simulation
+        .truth
+        .completed_percent(began, simulation.now - WINDOW_MS);
     println!("completed while the table was down for 300 s: {completed}%");
     assert!(completed >= 99, "{completed}%");
-    world.apply(Fault::Heal);
-    world.run_until(world.now + 5_000);
-    assert_eq!(world.open_slots(), SLOT_COUNT);
+    simulation.apply(Fault::Heal);
+    simulation.run_until(simulation.now + 5_000);
+    assert_eq!(simulation.open_slots(), SLOT_COUNT);
 }
 
-/// The platform is down and an owner dies. Nobody can tell the others that it is gone for good, so
-/// no promise of it can be had: all leases run out. Nothing runs twice, and after the platform has
-/// come back everything goes on.
+/// The platform is down and an owner crashes. The others cannot learn that it is gone for good, and
+/// it answers no request for a promise, so all leases lapse. Nothing runs twice, and all slots open
+/// again after the platform has recovered.
 #[test]
-fn a_death_while_the_table_is_down_stops_keyed_work_until_it_is_back() {
-    let mut world = settled();
-    world.apply(Fault::StoreDown { is_down: true });
-    let began = world.now + 10_000;
-    load_until(&mut world, began);
-    world.apply(Fault::Crash { process: 3 });
-    load_until(&mut world, began + 60_000);
-    assert_eq!(world.open_slots(), 0);
-    world.apply(Fault::Heal);
-    world.run_until(world.now + TAKEN_OVER_MS + grace_ms());
-    assert_eq!(world.open_slots(), SLOT_COUNT);
+fn a_crash_while_the_table_is_down_stops_keyed_calls_until_it_recovers() {
+    let mut simulation = settled();
+    simulation.apply(Fault::StoreDown { is_down: true });
+    let began = simulation.now + 10_000;
+    load_until(&mut simulation, began);
+    simulation.apply(Fault::Crash { process: 3 });
+    load_until(&mut simulation, began + 60_000);
+    assert_eq!(simulation.open_slots(), 0);
+    simulation.apply(Fault::Heal);
+    simulation.run_until(simulation.now + TAKE_OVER_MS + grace_ms());
+    assert_eq!(simulation.open_slots(), SLOT_COUNT);
 }
 
 /// The platform is down and an owner is stopped as planned. It promises to take nothing over any
-/// more, so the others go on; its own slots wait until the platform is back.
+/// more, so the others continue. Its own slots stay closed until the platform has recovered.
 #[test]
 fn a_planned_stop_while_the_table_is_down_stops_its_own_slots_only() {
-    let mut world = settled();
-    world.apply(Fault::StoreDown { is_down: true });
-    world.run_until(world.now + 3 * LEASE_MS);
-    world.apply(Fault::Stop { process: 3 });
-    world.run_until(world.now + 2 * LEASE_MS);
-    world.apply(Fault::Crash { process: 3 });
-    world.run_until(world.now + 60_000);
-    assert_eq!(world.open_slots(), SLOT_COUNT - SLOT_COUNT / 4);
+    let mut simulation = settled();
+    simulation.apply(Fault::StoreDown { is_down: true });
+    simulation.run_until(simulation.now + 3 * LEASE_MS);
+    simulation.apply(Fault::Stop { process: 3 });
+    simulation.run_until(simulation.now + 2 * LEASE_MS);
+    simulation.apply(Fault::Crash { process: 3 });
+    simulation.run_until(simulation.now + 60_000);
+    assert_eq!(simulation.open_slots(), SLOT_COUNT - SLOT_COUNT / 4);
 }
 
-/// A failure domain is cut off from the others and from the platform. Its owner cannot know
-/// whether its slots are taken over, and stops when its lease is over; the others take them over.
+/// A failure domain is cut off from the others and from the platform. Its owner cannot know whether
+/// its slots have been taken over, so it has to stop when its lease lapses. The others take its
+/// slots over.
 #[test]
 fn a_domain_cut_off_stops_its_slots_and_the_others_take_them() {
-    let mut world = settled();
-    let began = world.now;
+    let mut simulation = settled();
+    let began = simulation.now;
     let cut_off = 1;
-    world.apply(Fault::Cut {
+    simulation.apply(Fault::Cut {
         domain: cut_off,
         from_store: true,
     });
-    load_until(&mut world, began + TAKEN_OVER_MS + grace_ms());
-    let process = &world.processes[cut_off];
-    let inside = process.ledger.open_slots(process.clock(world.now));
+    load_until(&mut simulation, began + TAKE_OVER_MS + grace_ms());
+    let process = &simulation.processes[cut_off];
+    let inside = process.ledger.open_slots(process.clock(simulation.now));
     assert_eq!(inside, 0);
-    assert_eq!(world.open_slots(), SLOT_COUNT);
-    world.apply(Fault::Heal);
-    let end = world.now + 20_000;
-    load_until(&mut world, end);
-    assert_eq!(world.open_slots(), SLOT_COUNT);
+    assert_eq!(simulation.open_slots(), SLOT_COUNT);
+    simulation.apply(Fault::Heal);
+    let end = simulation.now + 20_000;
+    load_until(&mut simulation, end);
+    assert_eq!(simulation.open_slots(), SLOT_COUNT);
 }
 
-/// A domain loses the others, but not the platform: reading the row is sign enough.
+/// A domain is cut off from the others but not from the platform. Its owner renews its lease by
+/// reading the row and keeps its slots.
 #[test]
-fn a_domain_that_still_reads_the_row_goes_on() {
-    let mut world = settled();
-    world.apply(Fault::Cut {
+fn a_domain_that_still_reads_the_row_keeps_its_slots() {
+    let mut simulation = settled();
+    simulation.apply(Fault::Cut {
         domain: 1,
         from_store: false,
     });
-    let end = world.now + 60_000;
-    load_until(&mut world, end);
-    let completed = world.truth.completed_percent(SETTLED_MS, end - WINDOW_MS);
+    let end = simulation.now + 60_000;
+    load_until(&mut simulation, end);
+    let completed = simulation
+        .truth
+        .completed_percent(SETTLED_MS, end - WINDOW_MS);
     println!("completed while one domain lost the others: {completed}%");
-    assert_eq!(slots_of(&world, 1), SLOT_COUNT / 4, "its slots were not taken");
+    assert_eq!(
+        slots_of(&simulation, 1),
+        SLOT_COUNT / 4,
+        "its slots were not taken"
+    );
     assert!(completed >= 99, "{completed}%");
 }
 
-/// A node that stops as planned dies half way through handing its ledger over: the receiver has
-/// the ledger, and the row still names the old owner. The receiver must not use the ledger for a
-/// later take-over, since keys may have run after the copy was made.
+/// A node that stops as planned crashes during a hand-over: the receiver has the ledger, and the
+/// row still names the old owner. The receiver must not use that ledger for a later take-over,
+/// because keys may have run after the copy was made. So the slots have to go through a grace
+/// period.
 #[test]
 fn a_hand_over_that_is_interrupted_ends_in_a_grace_period() {
     for after_ms in (0..120).step_by(3) {
-        let mut world = settled();
-        let end = world.now + 2_000;
-        load_until(&mut world, end);
-        world.apply(Fault::Stop { process: 2 });
-        let end = world.now + after_ms;
-        load_until(&mut world, end);
-        world.apply(Fault::Crash { process: 2 });
-        let end = world.now + TAKEN_OVER_MS + grace_ms();
-        load_until(&mut world, end);
-        world.run_until(world.now + LEASE_MS);
-        assert_eq!(world.open_slots(), SLOT_COUNT, "stopped for {after_ms} ms");
+        let mut simulation = settled();
+        let end = simulation.now + 2_000;
+        load_until(&mut simulation, end);
+        simulation.apply(Fault::Stop { process: 2 });
+        let end = simulation.now + after_ms;
+        load_until(&mut simulation, end);
+        simulation.apply(Fault::Crash { process: 2 });
+        let end = simulation.now + TAKE_OVER_MS + grace_ms();
+        load_until(&mut simulation, end);
+        simulation.run_until(simulation.now + LEASE_MS);
+        assert_eq!(
+            simulation.open_slots(),
+            SLOT_COUNT,
+            "stopped for {after_ms} ms"
+        );
     }
 }
 
-/// The answers of the table are lost half of the time, on the way there and back.
+/// Each message to or from the table is lost with a probability of 30%, so about half of the
+/// requests get no answer.
 #[test]
 fn lost_answers_of_the_table_lose_no_slots() {
     for seed in 0..10 {
@@ -254,27 +275,27 @@
             lost_permille: 300,
             ..Noise::NONE
         };
-        let mut world = World::new(seed, 4, 3, noise);
-        load_until(&mut world, 60_000);
-        let map = world.store.map().expect("a row");
+        let mut simulation = Simulation::new(seed, 4, 3, noise);
+        load_until(&mut simulation, 60_000);
+        let map = simulation.store.map().expect("a row");
         assert!(map.unowned().is_empty(), "seed {seed}");
         assert!(
-            world.open_slots() > SLOT_COUNT / 2,
+            simulation.open_slots() > SLOT_COUNT / 2,
             "seed {seed}: {}",
-            world.open_slots()
+            simulation.open_slots()
         );
     }
 }
 
-/// How often the table is asked, for docs/AT_MOST_ONCE.md: reads and writes of one node.
+/// Measures the load on the table for docs/AT_MOST_ONCE.md: reads and writes of four nodes.
 #[test]
 fn the_cost_at_the_table_follows_the_lease() {
-    let mut world = settled();
-    let (reads, writes) = (world.store.reads, world.store.writes);
-    world.run_until(world.now + 100 * LEASE_MS);
-    let reads = world.store.reads - reads;
-    let writes = world.store.writes - writes;
-    let row_bytes = world.store.map().expect("a row").encode().len();
+    let mut simulation = settled();
+    let (reads, writes) = (simulation.store.reads, simulation.store.writes);
+    simulation.run_until(simulation.now + 100 * LEASE_MS);
+    let reads = simulation.store.reads - reads;
+    let writes = simulation.store.writes - writes;
+    let row_bytes = simulation.store.map().expect("a row").encode().len();
     println!("4 nodes, 100 leases: {reads} reads, {writes} writes, row of {row_bytes} bytes");
     assert!((1_100..=1_400).contains(&reads), "{reads} reads");
     assert_eq!(writes, 0);
--- a/tests/claims_keeper.rs
+++ b/tests/claims_keeper.rs
@@ -1,4 +1,5 @@
-//! The lease manager alone: which rows it writes, when it relies on its slots, what it promises.
+//! The lease manager on its own: which rows it writes, when it relies on its slots, and what it
+//! promises.
 
 use sassafrasgap::claims::Action;
 use sassafrasgap::claims::Identity;
@@ -6,10 +7,10 @@
 use sassafrasgap::claims::LeaseConf;
 use sassafrasgap::claims::LeaseManager;
 use sassafrasgap::claims::Member;
+use sassafrasgap::claims::NodeConditions;
 use sassafrasgap::claims::ReadResult;
 use sassafrasgap::claims::ResendLimits;
 use sassafrasgap::claims::SLOT_COUNT;
-use sassafrasgap::claims::NodeConditions;
 use sassafrasgap::claims::SlotMap;
 use sassafrasgap::claims::WriteResult;
 use sassafrasgap::control::Promise;
@@ -92,7 +93,7 @@
     })
 }
 
-/// Lets the manager read a row at a moment, with the answer at the same moment.
+/// Lets the manager read the row at a given time. The answer arrives at the same time.
 fn read(
     manager: &mut LeaseManager,
     now: u64,
@@ -118,7 +119,7 @@
     matches!(promise, Promise::Granted { .. })
 }
 
-/// Brings a manager to the moment at which it writes that it takes over from `OTHER`.
+/// Runs a manager up to its write that takes over the slots of `OTHER`.
 fn taking_over(manager: &mut LeaseManager) -> (u64, u64, SlotMap) {
     let map = row_of(&[ME, OTHER]);
     read(manager, 1_000, &[ME], 1, &map);
@@ -131,7 +132,7 @@
             break write;
         }
     };
-    assert!(announced.is_threatened(OTHER), "announced first");
+    assert!(announced.has_intent_against(OTHER), "announced first");
     assert_eq!(announced.slots_of(OTHER).len(), SLOT_COUNT / 2);
     let mut actions = manager.on_write(TimeMs(now), op, WriteResult::Applied { version: 2 });
     let announced_at = now;
@@ -152,7 +153,7 @@
     };
     assert!(taken.slots_of(OTHER).is_empty());
     let waited_ms = now - announced_at;
-    // An owner whose clock runs 1% slow and a taker whose clock runs 1% fast.
+    // The owner's clock may run 1% slow and that of the member that takes over 1% fast.
     assert!(waited_ms * 100 >= LEASE_MS * 102, "waited {waited_ms} ms");
     (now, op, announced)
 }
@@ -168,7 +169,11 @@
     manager.on_write(TimeMs(now), op, WriteResult::Applied { version: 3 });
     let slot_lease = manager.slot_lease();
     assert_eq!(slot_lease.count(), SLOT_COUNT);
-    let taken = slot_lease.held.iter().flatten().filter(|held| held.epoch == 2);
+    let taken = slot_lease
+        .held
+        .iter()
+        .flatten()
+        .filter(|held| held.epoch == 2);
     let grace_ms = ResendLimits::new(16_000).grace_ms();
     assert!(
         taken
@@ -178,18 +183,22 @@
     assert_eq!(taken.count(), SLOT_COUNT / 2);
 }
 
-/// A member writes that it takes slots over, and the answer is lost. Their owner was only slow;
-/// the table goes down and the owner asks for promises. Were the member to promise, its write
-/// could still take effect, and both would run calls of the slots. It may promise again once the
-/// row has moved on, because then the lost write fails for good.
+/// A member writes a take-over, and the answer is lost. The owner was only slow. The table goes
+/// down and the owner asks for promises. If the member promised, its write could still take effect,
+/// and both would run calls of the slots. The member may promise again once the row has another
+/// version, because the lost write then fails for good.
 #[test]
 fn no_promise_while_a_lost_take_over_may_still_take_effect() {
     let mut manager = manager();
     let (now, op, announced) = taking_over(&mut manager);
     let now = TimeMs(now);
-    assert!(!is_granted(&manager.promise_asked(now, &ask(OTHER, ME))));
+    assert!(!is_granted(
+        &manager.on_promise_request(now, &ask(OTHER, ME))
+    ));
     manager.on_write(now, op, WriteResult::Unknown);
-    assert!(!is_granted(&manager.promise_asked(now, &ask(OTHER, ME))));
+    assert!(!is_granted(
+        &manager.on_promise_request(now, &ask(OTHER, ME))
+    ));
     let mut later = now;
     let op = loop {
         later = later + 50;
@@ -203,13 +212,15 @@
     removed.intents.clear();
     let found = Some((3, removed));
     manager.on_read(later, op, ReadResult::Row(found));
-    assert!(is_granted(&manager.promise_asked(later, &ask(OTHER, ME))));
+    assert!(is_granted(
+        &manager.on_promise_request(later, &ask(OTHER, ME))
+    ));
 }
 
-/// The row is unchanged after a write was lost: the write may be on its way still. A further
-/// write, whatever it changes, makes the lost one fail.
+/// After a lost write the row is unchanged, so the write may still be on its way. Any further write
+/// makes the lost one fail.
 #[test]
-fn a_lost_write_is_made_certain_by_a_further_one() {
+fn a_further_write_follows_a_lost_one() {
     let mut manager = manager();
     let (now, op, announced) = taking_over(&mut manager);
     manager.on_write(TimeMs(now), op, WriteResult::Unknown);
@@ -224,31 +235,36 @@
     let found = Some((2, announced));
     let actions = manager.on_read(later, read_op(&actions), ReadResult::Row(found));
     assert!(written(&actions).is_some(), "a write on the same version");
-    assert!(!is_granted(&manager.promise_asked(later, &ask(OTHER, ME))));
+    assert!(!is_granted(
+        &manager.on_promise_request(later, &ask(OTHER, ME))
+    ));
 }
 
 #[test]
-fn promises_are_refused_to_strangers_and_for_predecessors() {
+fn promises_are_refused_to_unlisted_owners_and_for_predecessors() {
     let mut manager = manager();
     let now = TimeMs(1_000);
     assert!(
-        !is_granted(&manager.promise_asked(now, &ask(OTHER, ME))),
+        !is_granted(&manager.on_promise_request(now, &ask(OTHER, ME))),
         "no row read"
     );
     read(&mut manager, 1_000, &[ME, OTHER], 1, &row_of(&[ME, OTHER]));
-    assert!(is_granted(&manager.promise_asked(now, &ask(OTHER, ME))));
+    assert!(is_granted(
+        &manager.on_promise_request(now, &ask(OTHER, ME))
+    ));
     assert!(
-        !is_granted(&manager.promise_asked(now, &ask(OTHER, 99))),
+        !is_granted(&manager.on_promise_request(now, &ask(OTHER, 99))),
         "for a predecessor"
     );
     assert!(
-        !is_granted(&manager.promise_asked(now, &ask(THIRD, ME))),
+        !is_granted(&manager.on_promise_request(now, &ask(THIRD, ME))),
         "to an unlisted owner"
     );
 }
 
-/// The table goes down. The owner goes on while every member that it knows promises not to take
-/// over; one that does not answer could be taking over, so then the lease runs out.
+/// The table goes down. The owner may continue only while every member that it knows promises not
+/// to take over. A member that does not answer could be taking over, so the lease has to lapse
+/// then.
 #[test]
 fn a_lease_without_the_table_needs_the_promise_of_every_member() {
     let mut manager = manager();
@@ -276,13 +292,13 @@
     manager.on_promise(answered_at, round, OTHER, &granted);
     assert_eq!(manager.slot_lease().lease_until, TimeMs(1_000 + LEASE_MS));
     manager.on_promise(answered_at, round, THIRD, &granted);
-    // From the moment of the question on: the promises began at some moment after it.
+    // Counted from the request, because the promises were made at some moment after it.
     assert_eq!(manager.slot_lease().lease_until, TimeMs(now + LEASE_MS));
 }
 
-/// The table stays down for longer than promises may stand in for it. A member that joined since
-/// is not asked for promises; it waits just as long before it takes over, and must not find the
-/// owner still at work.
+/// The table stays down for longer than promises may replace it. A member that joined meanwhile is
+/// not asked for promises. It waits for that same time before it takes over, and the owner must
+/// have stopped by then.
 #[test]
 fn promises_end_for_good_some_time_after_the_last_clean_read() {
     let mut manager = manager();
@@ -304,12 +320,12 @@
         }
     }
     assert_eq!(manager.slot_lease().lease_until, TimeMs(end));
-    assert!(conf().terms.outage_over_ms() * 100 >= conf().terms.outage_ms * 102);
+    assert!(conf().terms.outage_expiry_wait_ms() * 100 >= conf().terms.outage_ms * 102);
 }
 
-/// A member has announced that it takes over from an owner that was slow. The owner reads the
-/// row: to rely on this reading would be to rely on slots that are about to be taken. It removes
-/// the intent, and relies on that write.
+/// A member has announced that it takes over from a slow owner, and the owner reads the row. If the
+/// owner renewed its lease by this read, it would rely on slots that are about to be taken. It has
+/// to remove the intent and may renew its lease only by that write.
 #[test]
 fn an_owner_that_reads_an_intent_relies_on_its_removal_only() {
     let mut manager = manager();
@@ -322,19 +338,19 @@
     let actions = read(&mut manager, 1_000, &[ME, OTHER], 1, &map);
     assert_eq!(manager.slot_lease().lease_until, TimeMs(0));
     let (op, map) = written(&actions).expect("a write");
-    assert!(!map.is_threatened(ME));
+    assert!(!map.has_intent_against(ME));
     manager.on_write(TimeMs(1_800), op, WriteResult::Applied { version: 2 });
     assert_eq!(manager.slot_lease().lease_until, TimeMs(1_000 + LEASE_MS));
 }
 
-/// A promise outlasts what is built on it: whoever promised takes nothing over until the owner's
-/// lease is over, even when everything else is ready.
+/// A promise has to last longer than the lease that relies on it. A member that promised must not
+/// take over before the owner's lease has expired, even if everything else is ready.
 #[test]
-fn who_promised_does_not_take_over_before_the_promise_is_over() {
+fn a_promise_prevents_a_take_over_until_it_expires() {
     let mut manager = manager();
     let (now, op, announced) = taking_over(&mut manager);
     manager.on_write(TimeMs(now), op, WriteResult::Conflict);
-    let granted = manager.promise_asked(TimeMs(now), &ask(OTHER, ME));
+    let granted = manager.on_promise_request(TimeMs(now), &ask(OTHER, ME));
     assert!(is_granted(&granted));
     let mut later = now;
     let taken_at = loop {
@@ -355,9 +371,10 @@
     assert!((taken_at - now) * 100 >= LEASE_MS * 102);
 }
 
-/// A VM is taken for lost and replaced by one of the same name, while the old one runs on, cut
-/// off. Were the new one to take its namesake's slots at once, both would run calls of them. Only
-/// a process that bound the same addresses in the same run of the VM knows that the old one ended.
+/// A VM is considered lost and replaced by one of the same name, while the old one still runs, cut
+/// off. If the new process took the old one's slots at once, both would run calls of them. Only a
+/// process that bound the same addresses in the same boot of the VM knows that the old one has
+/// ended.
 #[test]
 fn only_a_successor_on_the_same_vm_takes_slots_at_once() {
     for (boot, at_once) in [(10 + ME, true), (77, false)] {
--- a/tests/claims_ledger.rs
+++ b/tests/claims_ledger.rs
@@ -1,19 +1,19 @@
-//! The ledger of one guard: which keyed calls may run, and what is said of the others.
+//! The ledger of one guard: which keyed calls may run, and how the others are refused.
 
 use std::sync::Arc;
 
 use rstest::rstest;
-use sassafrasgap::claims::KeyDecision;
 use sassafrasgap::claims::HeldSlot;
-use sassafrasgap::claims::SlotLease;
+use sassafrasgap::claims::KeyDecision;
 use sassafrasgap::claims::KeyOutcome;
 use sassafrasgap::claims::KeyedCall;
 use sassafrasgap::claims::Ledger;
 use sassafrasgap::claims::LedgerBounds;
 use sassafrasgap::claims::LedgerTransfer;
-use sassafrasgap::claims::TransferTarget;
 use sassafrasgap::claims::ResendLimits;
 use sassafrasgap::claims::SLOT_COUNT;
+use sassafrasgap::claims::SlotLease;
+use sassafrasgap::claims::TransferTarget;
 use sassafrasgap::claims::slot_of;
 use sassafrasgap::control::KeptAnswer;
 use sassafrasgap::core::Name;
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_resend_joins_then_gets_the_first_answer_then_an_honest_ran() {
+fn a_resend_joins_then_gets_the_first_answer_then_already_ran() {
     let mut ledger = ledger(1, 10, 1_000);
     assert_eq!(begin(&mut ledger, 0, "a", CONTENT), KeyDecision::Run);
     assert_eq!(begin(&mut ledger, 10, "a", CONTENT), KeyDecision::Join);
@@ -95,12 +95,12 @@
     let late = begin(&mut ledger, 20 + WINDOW_MS, "a", CONTENT);
     assert_eq!(refused(late), (RefusalReason::AlreadyRan, RunState::Ran));
     let other = begin(&mut ledger, 40, "a", CONTENT + 1);
-    let said = (RefusalReason::KeyMismatch, RunState::Unknown);
-    assert_eq!(refused(other), said);
+    let expected = (RefusalReason::KeyMismatch, RunState::Unknown);
+    assert_eq!(refused(other), expected);
 }
 
-/// The lease, the grace period and a slot that is not held: in each case another process may have
-/// run the key, so nothing may be said but `unknown`.
+/// The lease has lapsed, the grace period lasts, or the slot is not held. In each case another
+/// process may have run the key, so the refusal must say `unknown`.
 #[rstest]
 #[case(held(1_000, 0), RefusalReason::LeaseLapsed)]
 #[case(held(9_000, 2_000), RefusalReason::GracePeriod)]
@@ -114,15 +114,18 @@
     ledger.set_slot_lease(slot_lease);
     let unseen = begin(&mut ledger, 1_000, "unseen", CONTENT);
     assert_eq!(refused(unseen), (reason, RunState::Unknown));
-    assert_eq!(begin(&mut ledger, 1_000, "seen", CONTENT), KeyDecision::Join);
+    assert_eq!(
+        begin(&mut ledger, 1_000, "seen", CONTENT),
+        KeyDecision::Join
+    );
 }
 
-/// A caller sends an order through an entry that is paused with the attempt half sent, then again
-/// through another entry, where it runs. Much later the first entry goes on and its attempt
-/// arrives, after the key was forgotten: the order would be placed twice. Cause: the guard cannot
-/// see how old an attempt is, unless the attempt carries a stamp the guard gave out.
+/// A caller sends an order through an entry that is paused with the attempt half sent, and then
+/// through another entry, where it runs. Much later the first entry resumes and its attempt
+/// arrives, after the key was forgotten. The order would be placed twice. The guard can recognise
+/// the age of an attempt only by the stamp that it carries.
 #[test]
-fn an_attempt_that_was_under_way_for_long_is_refused() {
+fn an_attempt_with_an_old_or_missing_stamp_is_refused() {
     let mut ledger = ledger(1, 10, 1_000);
     let key = Name::from("a");
     let old_stamp = ledger.stamp(TimeMs(0));
@@ -137,14 +140,14 @@
             stamp,
             first_sending: false,
         };
-        let said = (RefusalReason::StaleAttempt, RunState::Unknown);
-        assert_eq!(refused(ledger.begin(much_later, &call)), said);
+        let expected = (RefusalReason::StaleAttempt, RunState::Unknown);
+        assert_eq!(refused(ledger.begin(much_later, &call)), expected);
     }
 }
 
-/// Callers send so many keys that the ledger is full. Were old keys dropped to make room, their
-/// resends would run a second time; so new keys are refused, certainly not run, until old ones
-/// are over.
+/// Callers send so many keys that the ledger is full. If old keys were dropped to make room,
+/// resends of them would run a second time. So new keys have to be refused as `not_run` until old
+/// ones expire.
 #[test]
 fn a_full_ledger_refuses_new_keys_and_forgets_none_early() {
     let mut ledger = ledger(1, 2, 1_000);
@@ -161,8 +164,8 @@
     assert_eq!(ledger.len(), 1);
 }
 
-/// Two nodes of different versions serve one service. Were the slot of a key to depend on the
-/// version, each would take itself for the key's owner, and both would run it.
+/// Two nodes of different versions serve one service. If the slot of a key depended on the version,
+/// both nodes would consider themselves the key's owner and run it.
 #[rstest]
 #[case("jobs", "a", 7)]
 #[case("jobs", "order-2026-12-02/17", 24)]
@@ -193,8 +196,8 @@
     assert_eq!(begin(&mut ledger, 1, "a", CONTENT), KeyDecision::Run);
     ledger.finish(TimeMs(2), &Name::from("a"), KeyOutcome::MayHaveRun);
     let again = begin(&mut ledger, 3, "a", CONTENT);
-    let said = (RefusalReason::AlreadyRan, RunState::Unknown);
-    assert_eq!(refused(again), said);
+    let expected = (RefusalReason::AlreadyRan, RunState::Unknown);
+    assert_eq!(refused(again), expected);
 }
 
 fn transfer(from: &mut Ledger, id: u64, now: u64) -> LedgerTransfer {
@@ -204,51 +207,52 @@
         instance: 2,
         transfer: id,
     };
-    from.give(TimeMs(now), &slots, &to)
+    from.export_slots(TimeMs(now), &slots, &to)
 }
 
 fn deliver_updates(from: &mut Ledger, to: &mut Ledger, now: u64) {
-    for (_, news) in from.take_key_updates() {
-        assert!(to.receive(TimeMs(now), news));
+    for (_, update) in from.take_key_updates() {
+        assert!(to.receive(TimeMs(now), update));
     }
 }
 
 #[test]
-fn a_key_running_at_the_giver_is_settled_by_its_news() {
-    let mut giver = ledger(1, 10, 1_000);
+fn a_key_running_at_the_sender_is_settled_by_its_update() {
+    let mut sender = ledger(1, 10, 1_000);
     let mut receiver = ledger(2, 10, 1_000);
     for key in ["ran", "shed"] {
-        assert_eq!(begin(&mut giver, 0, key, CONTENT), KeyDecision::Run);
+        assert_eq!(begin(&mut sender, 0, key, CONTENT), KeyDecision::Run);
     }
-    assert!(receiver.receive(TimeMs(0), transfer(&mut giver, 1, 0)));
+    assert!(receiver.receive(TimeMs(0), transfer(&mut sender, 1, 0)));
     let meanwhile = begin(&mut receiver, 1, "ran", CONTENT);
-    let said = (RefusalReason::AlreadyRan, RunState::Unknown);
-    assert_eq!(refused(meanwhile), said);
-    finish(&mut giver, 2, "ran", 10);
-    giver.not_started(&Name::from("shed"));
-    deliver_updates(&mut giver, &mut receiver, 3);
+    let expected = (RefusalReason::AlreadyRan, RunState::Unknown);
+    assert_eq!(refused(meanwhile), expected);
+    finish(&mut sender, 2, "ran", 10);
+    sender.not_started(&Name::from("shed"));
+    deliver_updates(&mut sender, &mut receiver, 3);
     let settled = begin(&mut receiver, 4, "ran", CONTENT);
     assert!(matches!(settled, KeyDecision::Answer(_)));
     assert_eq!(begin(&mut receiver, 4, "shed", CONTENT), KeyDecision::Run);
 }
 
-/// A hand-over fails half way and the giver goes on. A call it had queued is shed, sent again and
-/// runs there; then the slot is handed over for good. Only now does the old news arrive that the
-/// call was shed. Were it believed, the receiver would run the call a second time.
+/// A hand-over fails half way and the sender keeps the slot. A call that it had queued is shed,
+/// sent again and run there. Then the slot is handed over for good. Only now the old update
+/// arrives, which says that the call was shed. If the receiver applied it, it would run the call a
+/// second time.
 #[test]
-fn old_news_of_a_shed_call_does_not_override_a_later_transfer() {
-    let mut giver = ledger(1, 10, 1_000);
+fn an_old_update_of_a_shed_call_does_not_override_a_later_transfer() {
+    let mut sender = ledger(1, 10, 1_000);
     let mut receiver = ledger(2, 10, 1_000);
-    assert_eq!(begin(&mut giver, 0, "a", CONTENT), KeyDecision::Run);
-    assert!(receiver.receive(TimeMs(0), transfer(&mut giver, 1, 0)));
-    giver.not_started(&Name::from("a"));
-    let old_news = giver.take_key_updates();
-    assert_eq!(begin(&mut giver, 1, "a", CONTENT), KeyDecision::Run);
-    assert!(receiver.receive(TimeMs(2), transfer(&mut giver, 2, 2)));
-    for (_, news) in old_news {
-        assert!(receiver.receive(TimeMs(3), news));
+    assert_eq!(begin(&mut sender, 0, "a", CONTENT), KeyDecision::Run);
+    assert!(receiver.receive(TimeMs(0), transfer(&mut sender, 1, 0)));
+    sender.not_started(&Name::from("a"));
+    let old_updates = sender.take_key_updates();
+    assert_eq!(begin(&mut sender, 1, "a", CONTENT), KeyDecision::Run);
+    assert!(receiver.receive(TimeMs(2), transfer(&mut sender, 2, 2)));
+    for (_, update) in old_updates {
+        assert!(receiver.receive(TimeMs(3), update));
     }
     let again = begin(&mut receiver, 4, "a", CONTENT);
-    let said = (RefusalReason::AlreadyRan, RunState::Unknown);
-    assert_eq!(refused(again), said);
+    let expected = (RefusalReason::AlreadyRan, RunState::Unknown);
+    assert_eq!(refused(again), expected);
 }
--- a/tests/claims_random.rs
+++ b/tests/claims_random.rs
@@ -1,18 +1,18 @@
-//! Long randomised runs of `claims` under every fault of the brief, alone, twice and together.
+//! Long randomised runs of `claims` with all kinds of faults, single and combined.
 //!
-//! `SASSAFRASGAP_SEEDS` says how many seeds to play and `SASSAFRASGAP_FROM` with which to begin;
-//! a failure names its seed, and the same seed plays the same run again.
+//! `SASSAFRASGAP_SEEDS` sets the number of seeds and `SASSAFRASGAP_FROM` the first seed. A failure
+//! names its seed, and the same seed repeats the same run.
 
-mod claims_world;
+mod claims_simulation;
 
 use std::panic::AssertUnwindSafe;
 use std::panic::catch_unwind;
 
-use claims_world::Fault;
-use claims_world::Noise;
-use claims_world::World;
+use claims_simulation::Fault;
+use claims_simulation::Noise;
+use claims_simulation::Simulation;
 
-/// Seeds that every run of the tests plays.
+/// Number of seeds in a default run.
 const SEEDS_IN_CI: u64 = 60;
 const RUN_MS: u64 = 240_000;
 const NODES: usize = 4;
@@ -25,52 +25,55 @@
 }
 
 #[test]
-fn no_key_runs_twice_whatever_happens() {
+fn no_key_runs_twice_under_random_faults() {
     let from = from_environment("SASSAFRASGAP_FROM", 1);
     let seeds = from_environment("SASSAFRASGAP_SEEDS", SEEDS_IN_CI);
     let mut completed = 0;
     let mut sent = 0;
     for seed in from..from + seeds {
-        let played = catch_unwind(AssertUnwindSafe(|| play(seed)));
-        let world = played.unwrap_or_else(|_| panic!("failing seed: {seed}"));
-        completed += world.truth.completed.len();
-        sent += world.truth.sent.len();
+        let result = catch_unwind(AssertUnwindSafe(|| run_seed(seed)));
+        let simulation = result.unwrap_or_else(|_| panic!("failing seed: {seed}"));
+        completed += simulation.truth.completed.len();
+        sent += simulation.truth.sent.len();
     }
     println!("{seeds} seeds, {sent} keys sent, {completed} completed");
-    assert!(completed * 4 > sent, "hardly anything completed");
+    assert!(
+        completed * 4 > sent,
+        "fewer than a quarter of the keys completed"
+    );
 }
 
-fn play(seed: u64) -> World {
-    let mut world = World::new(seed, NODES, DOMAINS, Noise::HEAVY);
+fn run_seed(seed: u64) -> Simulation {
+    let mut simulation = Simulation::new(seed, NODES, DOMAINS, Noise::HEAVY);
     let mut next_fault = 8_000;
-    while world.now < RUN_MS {
-        let resends = world.rng.u64(0..4);
-        world.new_key(resends);
-        if world.now >= next_fault {
-            let fault = random_fault(&mut world);
-            world.apply(fault);
-            next_fault = world.now + world.rng.u64(200..12_000);
+    while simulation.now < RUN_MS {
+        let resends = simulation.rng.u64(0..4);
+        simulation.new_key(resends);
+        if simulation.now >= next_fault {
+            let fault = random_fault(&mut simulation);
+            simulation.apply(fault);
+            next_fault = simulation.now + simulation.rng.u64(200..12_000);
         }
-        world.run_until(world.now + KEY_EVERY_MS);
+        simulation.run_until(simulation.now + KEY_EVERY_MS);
     }
-    world
+    simulation
 }
 
-fn random_fault(world: &mut World) -> Fault {
-    let living = world.living();
-    if living.len() < 2 {
-        let process = world.processes.len() - 1 - world.rng.usize(0..NODES);
-        let same_vm = world.rng.bool();
+fn random_fault(simulation: &mut Simulation) -> Fault {
+    let live_processes = simulation.live_processes();
+    if live_processes.len() < 2 {
+        let process = simulation.processes.len() - 1 - simulation.rng.usize(0..NODES);
+        let same_vm = simulation.rng.bool();
         return Fault::Restart { process, same_vm };
     }
-    let process = living[world.rng.usize(0..living.len())];
-    match world.rng.u32(0..16) {
+    let process = live_processes[simulation.rng.usize(0..live_processes.len())];
+    match simulation.rng.u32(0..16) {
         0..3 => Fault::Pause {
             process,
-            for_ms: world.rng.u64(500..60_000),
+            for_ms: simulation.rng.u64(500..60_000),
         },
         3 => {
-            world.apply(Fault::Crash { process });
+            simulation.apply(Fault::Crash { process });
             Fault::Restart {
                 process,
                 same_vm: true,
@@ -79,32 +82,32 @@
         4 => Fault::Crash { process },
         5 => Fault::Restart {
             process,
-            same_vm: world.rng.bool(),
+            same_vm: simulation.rng.bool(),
         },
         6 => Fault::Isolate {
             process,
-            is_isolated: !world.processes[process].is_isolated,
+            is_isolated: !simulation.processes[process].is_isolated,
         },
         7 => Fault::Serve {
             process,
-            serving: !world.processes[process].serving,
+            serving: !simulation.processes[process].serving,
         },
         8 => {
-            world.apply(Fault::Stop { process });
+            simulation.apply(Fault::Stop { process });
             Fault::Restart {
                 process,
                 same_vm: false,
             }
         }
         9 => Fault::StoreDown {
-            is_down: !world.store.is_down,
+            is_down: !simulation.store.is_down,
         },
         10 => Fault::StoreSlow {
-            slow_ms: world.rng.u64(0..4_000),
+            slow_ms: simulation.rng.u64(0..4_000),
         },
         11 | 12 => Fault::Cut {
-            domain: world.rng.usize(0..DOMAINS),
-            from_store: world.rng.bool(),
+            domain: simulation.rng.usize(0..DOMAINS),
+            from_store: simulation.rng.bool(),
         },
         _ => Fault::Heal,
     }
--- a/tests/claims_world/calls.rs
+++ b/tests/claims_simulation/calls.rs
@@ -1,23 +1,23 @@
-//! The callers' side: keys, their sendings, and what became of them.
+//! The callers' side: keys, their requests, and the outcomes.
 
 use sassafrasgap::core::FastMap;
 use sassafrasgap::core::Name;
 use sassafrasgap::core::Refusal;
 use sassafrasgap::core::RunState;
 
-/// One sending of a key on its way through an entry.
+/// One request with a key on its way through an entry.
 #[derive(Clone)]
 pub struct Sending {
     pub key: Name,
-    /// When the entry read it; the entry sends no attempt long after.
+    /// When the entry read the request. The entry sends attempts only for a limited time after it.
     pub arrived_at: u64,
     pub attempts: u32,
-    /// The process it goes to next and the stamp heard from it.
+    /// The process that receives the next attempt, and the stamp learned from it.
     pub next: Option<(usize, u64)>,
 }
 
 #[derive(Default)]
-pub struct Truth {
+pub struct GroundTruth {
     runs: FastMap<Name, u32>,
     pub ran: u64,
     pub not_run: u64,
@@ -27,9 +27,9 @@
     pub refusals: FastMap<&'static str, u64>,
 }
 
-impl Truth {
-    /// A backend server starts the call of a key.
-    pub fn run(&mut self, key: &Name) {
+impl GroundTruth {
+    /// Records that a backend server starts the call of a key.
+    pub fn record_run(&mut self, key: &Name) {
         let runs = self.runs.entry(key.clone()).or_default();
         *runs += 1;
         assert!(*runs == 1, "the key {key} ran twice");
@@ -39,28 +39,34 @@
         self.runs.len()
     }
 
-    /// A caller is told that its key ran.
-    pub fn told_ran(&mut self, key: &Name, now: u64) {
-        assert!(self.runs.contains_key(key), "{key} ran, said a guard");
+    /// Records that a caller is told that its key ran.
+    pub fn report_ran(&mut self, key: &Name, now: u64) {
+        assert!(
+            self.runs.contains_key(key),
+            "a guard said that {key} ran, but it did not"
+        );
         self.ran += 1;
         self.completed.entry(key.clone()).or_insert(now);
     }
 
-    /// A caller is told of a refusal.
-    pub fn told_refused(&mut self, key: &Name, refusal: Refusal) {
+    /// Records that a caller is told of a refusal.
+    pub fn report_refused(&mut self, key: &Name, refusal: Refusal) {
         *self.refusals.entry(refusal.reason.as_str()).or_default() += 1;
         match refusal.run_state {
             RunState::NotRun => {
                 let ran = self.runs.contains_key(key);
-                assert!(!ran, "{key} ran and was said not to have run");
+                assert!(!ran, "a guard said that {key} did not run, but it did");
                 self.not_run += 1;
             }
-            RunState::Ran => assert!(self.runs.contains_key(key), "{key} did not run"),
+            RunState::Ran => assert!(
+                self.runs.contains_key(key),
+                "a refusal said that {key} ran, but it did not"
+            ),
             RunState::Unknown => self.unknown += 1,
         }
     }
 
-    /// The share of the keys first sent in a span that completed at all, in percent.
+    /// The percentage of the keys first sent within a span that have completed.
     pub fn completed_percent(&self, from: u64, to: u64) -> u64 {
         let in_span = |at: &u64| (from..to).contains(at);
         let sent = self.sent.iter().filter(|(_, at)| in_span(at));
--- a/tests/claims_world/faults.rs
+++ b/tests/claims_simulation/faults.rs
@@ -1,8 +1,8 @@
-//! What goes wrong.
+//! Faults of the simulation.
 
-use super::World;
+use super::Simulation;
 
-/// What a script or a seed does to the world.
+/// A fault, injected by a test or chosen from a seed.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
     Pause {
@@ -12,7 +12,7 @@
     Crash {
         process: usize,
     },
-    /// Starts a process of the same node; `same_vm` says whether the old one must be gone.
+    /// Starts a new process of the same node. With `same_vm` the old process has certainly ended.
     Restart {
         process: usize,
         same_vm: bool,
@@ -34,7 +34,7 @@
     StoreSlow {
         slow_ms: u64,
     },
-    /// Cuts a domain off from the other domains and, if so said, from the store.
+    /// Cuts a domain off from the other domains and, with `from_store`, also from the store.
     Cut {
         domain: usize,
         from_store: bool,
@@ -42,7 +42,7 @@
     Heal,
 }
 
-impl World {
+impl Simulation {
     pub fn apply(&mut self, fault: Fault) {
         match fault {
             Fault::Pause { process, for_ms } => {
@@ -69,8 +69,9 @@
         }
     }
 
-    /// A process that binds the addresses of an earlier one proves that the earlier one is gone;
-    /// on another VM of the same name, the earlier one may go on.
+    /// Starts a new process of the same node. On the same VM it binds the addresses of the old
+    /// process, which has therefore ended. On another VM of the same name, the old process may go
+    /// on running.
     pub(super) fn restart(&mut self, process: usize, same_vm: bool) {
         let old = &self.processes[process];
         let (node, domain, boot) = (old.node.clone(), old.domain, old.boot);
--- a/tests/claims_world/hand_overs.rs
+++ b/tests/claims_simulation/hand_overs.rs
@@ -1,4 +1,4 @@
-//! Slots that pass from one process to another: promises and ledgers.
+//! Promises and ledger transfers between simulated processes.
 
 use sassafrasgap::claims::LedgerTransfer;
 use sassafrasgap::claims::TransferTarget;
@@ -7,9 +7,9 @@
 
 use super::Event;
 use super::PEER_TIMEOUT_MS;
-use super::World;
+use super::Simulation;
 
-impl World {
+impl Simulation {
     pub(super) fn ask(&mut self, index: usize, round: u64, node: &str, member: u64) {
         let ask = PromiseAsk {
             service: Name::from("jobs"),
@@ -25,7 +25,7 @@
 
     pub(super) fn asked(&mut self, index: usize, from: usize, round: u64, ask: &PromiseAsk) {
         let now = self.processes[index].clock(self.now);
-        let promise = self.processes[index].manager.promise_asked(now, ask);
+        let promise = self.processes[index].manager.on_promise_request(now, ask);
         let member = ask.member;
         if !self.reaches(index, from) {
             return;
@@ -57,7 +57,7 @@
             instance: member,
             transfer: id,
         };
-        let transfer = self.processes[index].ledger.give(now, slots, &to);
+        let transfer = self.processes[index].ledger.export_slots(now, slots, &to);
         self.send_transfer(index, &node, transfer);
         let confirmed = false;
         self.post(
--- a/tests/claims_world/keys.rs
+++ b/tests/claims_simulation/keys.rs
@@ -1,4 +1,4 @@
-//! Keys on their way: sent by callers, routed by entries, started and finished at processes.
+//! Keyed calls: sent by callers, routed by entries, started and finished at processes.
 
 use std::sync::Arc;
 
@@ -16,11 +16,11 @@
 use super::Event;
 use super::Process;
 use super::Sending;
+use super::Simulation;
 use super::WINDOW_MS;
-use super::World;
 
-impl World {
-    /// A caller sends a key for the first time, and again within the resend window.
+impl Simulation {
+    /// A caller sends a new key, and sends it again `resends` times within the resend window.
     pub fn new_key(&mut self, resends: u64) -> Name {
         self.keys += 1;
         let key = Name::from(format!("key-{}", self.keys));
@@ -36,7 +36,8 @@
         key
     }
 
-    /// A caller sends a key through an entry, which may be paused for a while, unnoticed.
+    /// A caller sends a key through an entry, which may be paused for a time that is too short to
+    /// be detected.
     pub fn send_key(&mut self, key: &Name, after_ms: u64) {
         let limits = ResendLimits::new(WINDOW_MS);
         let late = self.chance(self.noise.late_permille);
@@ -59,7 +60,7 @@
         let too_late = self.now - sending.arrived_at > limits.entry_sends_ms();
         if too_late || sending.attempts >= ATTEMPTS {
             let refusal = Refusal::unknown(RefusalReason::NotOwner, 0);
-            self.truth.told_refused(&sending.key, refusal);
+            self.truth.report_refused(&sending.key, refusal);
             return;
         }
         sending.attempts += 1;
@@ -67,7 +68,7 @@
             .next
             .take()
             .unwrap_or_else(|| (self.route(&sending.key), 0));
-        // Attempts may lie in a buffer for very long: the stamp has to notice.
+        // An attempt may stay in a buffer for a very long time. The stamp has to reveal that.
         let stuck = self.chance(self.noise.late_permille / 2);
         let delay = if stuck {
             Some(self.rng.u64(0..4 * WINDOW_MS))
@@ -79,7 +80,8 @@
         }
     }
 
-    /// Mostly to the owner by the row; else anywhere, as an entry with old news would.
+    /// Usually the owner named by the row; sometimes any process, as from an entry with outdated
+    /// hints.
     pub(super) fn route(&mut self, key: &str) -> usize {
         let owner = self
             .store
@@ -112,7 +114,7 @@
                 self.post(index, wait_ms, Event::Dispatch { key });
             }
             KeyDecision::Join => {}
-            KeyDecision::Answer(_) => self.truth.told_ran(&sending.key, self.now),
+            KeyDecision::Answer(_) => self.truth.report_ran(&sending.key, self.now),
             KeyDecision::Refuse(refusal) if refusal.reason == RefusalReason::StaleAttempt => {
                 sending.next = Some((index, process.ledger.stamp(now)));
                 let delay = self.rng.u64(1..20);
@@ -121,7 +123,7 @@
             KeyDecision::Refuse(refusal) if refusal.reason == RefusalReason::NotOwner => {
                 self.push(50, None, Event::Send { sending });
             }
-            KeyDecision::Refuse(refusal) => self.truth.told_refused(&sending.key, refusal),
+            KeyDecision::Refuse(refusal) => self.truth.report_refused(&sending.key, refusal),
         }
     }
 
@@ -129,10 +131,10 @@
         if self.chance(self.noise.shed_permille) {
             self.processes[index].ledger.not_started(&key);
             let refusal = Refusal::not_run(RefusalReason::Overloaded, 0);
-            self.truth.told_refused(&key, refusal);
+            self.truth.report_refused(&key, refusal);
             return;
         }
-        self.truth.run(&key);
+        self.truth.record_run(&key);
         let runs_ms = self.rng.u64(1..300);
         self.post(index, runs_ms, Event::Finish { key });
     }
@@ -147,6 +149,6 @@
         let now = process.clock(self.now);
         let outcome = KeyOutcome::Ran(Some(Arc::new(answer)));
         process.ledger.finish(now, key, outcome);
-        self.truth.told_ran(key, self.now);
+        self.truth.report_ran(key, self.now);
     }
 }
--- a/tests/claims_world/mod.rs
+++ b/tests/claims_simulation/mod.rs
@@ -1,9 +1,9 @@
-//! A world in virtual time for the decisions of `claims`: processes on clocks that differ, a store
-//! and networks that lose and delay, callers that resend. It asserts at every step that no key
-//! runs twice, that no refusal says `not_run` of a key that ran, that epochs rise, and that no two
-//! processes could start keys of one slot.
+//! A simulation of `claims` in virtual time: processes with clocks of different speed, a store and
+//! networks that lose and delay messages, and callers that resend. At every step it asserts that no
+//! key runs twice, that no refusal says `not_run` about a key that ran, that epochs increase, and
+//! that no two processes could start keys of the same slot.
 
-#![allow(dead_code, reason = "each test file uses a part of the world")]
+#![allow(dead_code, reason = "each test file uses a part of the simulation")]
 
 mod calls;
 mod faults;
@@ -18,18 +18,18 @@
 use sassafrasgap::claims::Action;
 use sassafrasgap::claims::LeaseConf;
 use sassafrasgap::claims::LedgerTransfer;
+use sassafrasgap::claims::NodeConditions;
 use sassafrasgap::claims::ReadResult;
 use sassafrasgap::claims::ResendLimits;
 use sassafrasgap::claims::SLOT_COUNT;
-use sassafrasgap::claims::NodeConditions;
 use sassafrasgap::claims::SlotMap;
 use sassafrasgap::claims::WriteResult;
 use sassafrasgap::control::Promise;
 use sassafrasgap::control::PromiseAsk;
 use sassafrasgap::core::Name;
 
+pub use calls::GroundTruth;
 pub use calls::Sending;
-pub use calls::Truth;
 pub use faults::Fault;
 pub use process::Process;
 pub use store::Store;
@@ -87,7 +87,7 @@
     Finish {
         key: Name,
     },
-    /// An entry sends the next attempt; not bound to a process.
+    /// An entry sends the next attempt. This event belongs to no process.
     Send {
         sending: Sending,
     },
@@ -99,7 +99,7 @@
     event: Event,
 }
 
-/// How often messages go wrong, in thousandths.
+/// Probabilities of message faults and other faults, in thousandths, and the longest delay.
 #[derive(Clone, Copy)]
 pub struct Noise {
     pub lost_permille: u64,
@@ -126,12 +126,12 @@
     };
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: u64,
     pub rng: fastrand::Rng,
     pub processes: Vec<Process>,
     pub store: Store,
-    pub truth: Truth,
+    pub truth: GroundTruth,
     pub noise: Noise,
     pub conf: LeaseConf,
     cut: Option<(usize, bool)>,
@@ -140,19 +140,19 @@
     keys: u64,
 }
 
-impl World {
-    /// `nodes` processes, the first `domains` of them in a domain each, and so on in turn.
+impl Simulation {
+    /// Starts `nodes` processes and assigns them to `domains` domains in turn.
     pub fn new(seed: u64, nodes: usize, domains: usize, noise: Noise) -> Self {
         let mut conf = LeaseConf::for_lease(LEASE_MS);
         if seed % 2 == 1 {
             conf.terms.outage_ms = 10 * LEASE_MS;
         }
-        let mut world = Self {
+        let mut simulation = Self {
             now: 0,
             rng: fastrand::Rng::with_seed(seed),
             processes: Vec::new(),
             store: Store::default(),
-            truth: Truth::default(),
+            truth: GroundTruth::default(),
             noise,
             conf,
             cut: None,
@@ -161,10 +161,10 @@
             keys: 0,
         };
         for node in 0..nodes {
-            let boot = world.rng.u64(1..);
-            world.start(Name::from(format!("node-{node}")), node % domains, boot);
+            let boot = simulation.rng.u64(1..);
+            simulation.start(Name::from(format!("node-{node}")), node % domains, boot);
         }
-        world
+        simulation
     }
 
     fn start(&mut self, node: Name, domain: usize, boot: u64) {
@@ -181,7 +181,7 @@
         self.rng.u64(0..1_000) < permille
     }
 
-    /// Lets an event happen at a process, if it still lives by then.
+    /// Schedules an event at a process. It is dropped if the process has ended by then.
     pub fn post(&mut self, process: usize, after_ms: u64, event: Event) {
         let instance = self.processes[process].instance;
         self.push(after_ms, Some((process, instance)), event);
@@ -197,7 +197,7 @@
         self.queue.push(Reverse((self.now + after_ms, index)));
     }
 
-    /// A message takes a moment, sometimes long, and may be lost.
+    /// Delay of a message: usually short, sometimes long, or `None` if the message is lost.
     fn delay(&mut self) -> Option<u64> {
         if self.chance(self.noise.lost_permille) {
             return None;
@@ -255,7 +255,7 @@
             }
             return;
         };
-        // What is under way to the store arrives whatever became of its sender.
+        // A request on its way to the store arrives even if its sender has ended.
         match queued.event {
             Event::StoreRead { op } => return self.at_store_read(process, op),
             Event::StoreWrite { op, expected, map } => {
@@ -316,23 +316,23 @@
         let actions = match event {
             Event::Tick => return self.tick(index),
             Event::ReadDone { op, result } => {
-                process.keep(|manager| manager.on_read(now, op, result))
+                process.with_manager(|manager| manager.on_read(now, op, result))
             }
             Event::WriteDone { op, result } => {
-                process.keep(|manager| manager.on_write(now, op, result))
+                process.with_manager(|manager| manager.on_write(now, op, result))
             }
             Event::Promised {
                 round,
                 member,
                 promise,
-            } => process.keep(|manager| {
+            } => process.with_manager(|manager| {
                 manager.on_promise(now, round, member, &promise);
                 Vec::new()
             }),
             Event::HandOverDone {
                 transfer,
                 confirmed,
-            } => process.keep(|manager| manager.on_handed_over(now, transfer, confirmed)),
+            } => process.with_manager(|manager| manager.on_handed_over(now, transfer, confirmed)),
             Event::Asked { from, round, ask } => return self.asked(index, from, round, &ask),
             Event::HandedOver { from, transfer } => return self.handed_over(index, from, transfer),
             Event::Attempt { sending, stamp } => return self.attempt(index, sending, stamp),
@@ -353,19 +353,20 @@
             stopping: process.stopping,
             alive: process.alive.clone(),
         };
-        let actions = process.keep(|manager| manager.tick(now, conditions));
+        let actions = process.with_manager(|manager| manager.tick(now, conditions));
         process.ledger.sweep(now);
-        let news = process.ledger.take_key_updates();
+        let updates = process.ledger.take_key_updates();
         let has_left = process.stopping && process.manager.has_left();
         process.is_dead |= has_left;
         self.act(index, actions);
-        for (node, transfer) in news {
+        for (node, transfer) in updates {
             self.send_transfer(index, &node, transfer);
         }
         self.post(index, TICK_MS, Event::Tick);
     }
 
-    /// What membership would say: those that run and can be reached, with a mistake now and then.
+    /// Updates the membership view of a process: the processes that run and are reachable,
+    /// sometimes with a false alarm.
     fn refresh_alive(&mut self, index: usize) {
         let runs = |process: &Process| !process.is_dead && process.paused_until <= self.now;
         let alive: Vec<Name> = (0..self.processes.len())
@@ -420,13 +421,13 @@
         }
     }
 
-    /// Those that have not died, by index.
-    pub fn living(&self) -> Vec<usize> {
+    /// Indices of the processes that have not ended.
+    pub fn live_processes(&self) -> Vec<usize> {
         let lives = |index: &usize| !self.processes[*index].is_dead;
         (0..self.processes.len()).filter(lives).collect()
     }
 
-    /// How many slots unseen keys can start in, at whatever process.
+    /// The number of slots in which an unseen key can start, summed over all processes.
     pub fn open_slots(&self) -> usize {
         let open = |process: &Process| match process.is_dead {
             true => 0,
--- a/tests/claims_world/process.rs
+++ b/tests/claims_simulation/process.rs
@@ -1,4 +1,4 @@
-//! One process of a node with its manager and its ledger, on a clock of its own.
+//! One process of a node, with its lease manager, its ledger and its own clock.
 
 use sassafrasgap::claims::Action;
 use sassafrasgap::claims::Identity;
@@ -22,12 +22,12 @@
     pub paused_until: u64,
     pub serving: bool,
     pub stopping: bool,
-    /// Cut off from everything but callers, though alive.
+    /// Alive, but cut off from everything except callers.
     pub is_isolated: bool,
-    /// What it takes for alive; refreshed while it runs.
+    /// The nodes that it considers alive; updated while it runs.
     pub alive: FastSet<Name>,
     started_at: u64,
-    /// The speed of its clock in thousandths of true time.
+    /// Speed of its clock in thousandths of true time.
     rate_permille: u64,
 }
 
@@ -72,19 +72,24 @@
         }
     }
 
-    /// Its own clock at a moment of true time.
+    /// The time on its own clock at a moment of true time.
     pub fn clock(&self, now: u64) -> TimeMs {
         TimeMs(1 + (now - self.started_at) * self.rate_permille / 1_000)
     }
 
-    /// Lets the manager work, and the ledger see the result before any action is carried out.
-    pub fn keep(&mut self, work: impl FnOnce(&mut LeaseManager) -> Vec<Action>) -> Vec<Action> {
+    /// Runs `work` on the manager, and passes the slot lease to the ledger before any action is
+    /// executed.
+    pub fn with_manager(
+        &mut self,
+        work: impl FnOnce(&mut LeaseManager) -> Vec<Action>,
+    ) -> Vec<Action> {
         let actions = work(&mut self.manager);
-        self.ledger.set_slot_lease(self.manager.slot_lease().clone());
+        self.ledger
+            .set_slot_lease(self.manager.slot_lease().clone());
         actions
     }
 
-    /// Whether an unseen key of the slot could start now, but for the grace period.
+    /// Whether an unseen key of the slot could start now if no grace period applied.
     pub fn could_start(&self, slot: usize, now: u64) -> bool {
         let slot_lease = self.ledger.slot_lease();
         let open = slot_lease.held[slot].is_some_and(|held| !held.handing_over);
--- a/tests/claims_world/store.rs
+++ b/tests/claims_simulation/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's table: one row, compare-and-set, and the faults of its network.
+//! A substitute for the platform's table: one row with compare-and-set writes, and faults.
 
 use sassafrasgap::claims::ReadResult;
 use sassafrasgap::claims::SlotMap;
@@ -9,7 +9,7 @@
     row: Option<(u64, SlotMap)>,
     versions: u64,
     pub is_down: bool,
-    /// Every answer and request may take as long as this.
+    /// The longest extra delay of each request and each answer.
     pub slow_ms: u64,
     pub reads: u64,
     pub writes: u64,
@@ -28,7 +28,8 @@
         ReadResult::Row(self.row.clone())
     }
 
-    /// Writes, and checks that epochs rise and that every change of an owner raises one.
+    /// Writes the row. Checks that no epoch decreases and that every change of an owner increases
+    /// it.
     pub fn write(&mut self, expected: Option<u64>, map: SlotMap) -> WriteResult {
         self.writes += 1;
         if self.is_down {
@@ -40,7 +41,10 @@
         if let Some((_, before)) = &self.row {
             for (old, new) in before.slots.iter().zip(&map.slots) {
                 let raised = u64::from(old.owner != new.owner);
-                assert!(new.epoch >= old.epoch + raised, "an epoch fell or stood");
+                assert!(
+                    new.epoch >= old.epoch + raised,
+                    "an epoch decreased, or an owner changed without a new epoch"
+                );
             }
         }
         let value = map.encode();
