--- a/src/claims/shared_ledger.rs
+++ b/src/claims/shared_ledger.rs
@@ -27,7 +27,7 @@
 
 /// The end of a call, for the requests that joined it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CallOutcome {
+pub enum KeyedCallOutcome {
     /// The call ran. The answer is `None` if it is too large to keep.
     Ran(Option<Arc<KeptAnswer>>),
     /// The call may have run.
@@ -43,7 +43,7 @@
     Run(RunTicket),
     /// Wait for the call that already runs. The sender always sends an outcome before it is
     /// dropped.
-    Join(oneshot::Receiver<CallOutcome>),
+    Join(oneshot::Receiver<KeyedCallOutcome>),
     /// Send the kept answer again.
     Answer(Arc<KeptAnswer>),
     Refuse(Refusal),
@@ -53,7 +53,7 @@
 struct Inner {
     ledger: Ledger,
     /// Bounded by the number of running keys, with up to [`MAX_JOINED`] waiters each.
-    joined: FastMap<Name, Vec<oneshot::Sender<CallOutcome>>>,
+    joined: FastMap<Name, Vec<oneshot::Sender<KeyedCallOutcome>>>,
 }
 
 /// A ledger shared by the traffic threads and the control thread.
@@ -99,16 +99,16 @@
         work(&mut inner.ledger, now)
     }
 
-    fn settle(&self, key: &Name, settled: CallOutcome) {
+    fn settle(&self, key: &Name, settled: KeyedCallOutcome) {
         let now = self.clock.now();
         let mut inner = self.lock();
         match &settled {
-            CallOutcome::Ran(answer) => {
+            KeyedCallOutcome::Ran(answer) => {
                 let outcome = KeyOutcome::Ran(answer.clone());
                 inner.ledger.finish(now, key, outcome);
             }
-            CallOutcome::MayHaveRun => inner.ledger.finish(now, key, KeyOutcome::MayHaveRun),
-            CallOutcome::NotStarted(_) => inner.ledger.not_started(key),
+            KeyedCallOutcome::MayHaveRun => inner.ledger.finish(now, key, KeyOutcome::MayHaveRun),
+            KeyedCallOutcome::NotStarted(_) => inner.ledger.not_started(key),
         }
         let joined = inner.joined.remove(key);
         drop(inner);
@@ -152,7 +152,7 @@
 
 impl RunTicket {
     /// Reports how the call ended.
-    pub fn settle(mut self, settled: CallOutcome) {
+    pub fn settle(mut self, settled: KeyedCallOutcome) {
         self.settled = true;
         self.ledger.settle(&self.key, settled);
     }
@@ -161,7 +161,7 @@
 impl Drop for RunTicket {
     fn drop(&mut self) {
         if !self.settled {
-            self.ledger.settle(&self.key, CallOutcome::MayHaveRun);
+            self.ledger.settle(&self.key, KeyedCallOutcome::MayHaveRun);
         }
     }
 }
--- a/src/node/keyed_guard.rs
+++ b/src/node/keyed_guard.rs
@@ -8,9 +8,9 @@
 
 use tokio::sync::oneshot;
 
-use crate::claims::CallOutcome;
 use crate::claims::KeyedAdmission;
 use crate::claims::KeyedCall;
+use crate::claims::KeyedCallOutcome;
 use crate::claims::RunTicket;
 use crate::claims::SharedLedger;
 use crate::control::KeptAnswer;
@@ -118,13 +118,13 @@
     told
 }
 
-fn settled(end: &Result<Answer, Refusal>) -> CallOutcome {
+fn settled(end: &Result<Answer, Refusal>) -> KeyedCallOutcome {
     match end {
-        Ok(answer) => CallOutcome::Ran(to_kept(answer).map(Arc::new)),
+        Ok(answer) => KeyedCallOutcome::Ran(to_kept(answer).map(Arc::new)),
         Err(refusal) => match refusal.run_state {
-            RunState::NotRun => CallOutcome::NotStarted(*refusal),
-            RunState::Ran => CallOutcome::Ran(None),
-            RunState::Unknown => CallOutcome::MayHaveRun,
+            RunState::NotRun => KeyedCallOutcome::NotStarted(*refusal),
+            RunState::Ran => KeyedCallOutcome::Ran(None),
+            RunState::Unknown => KeyedCallOutcome::MayHaveRun,
         },
     }
 }
@@ -137,16 +137,16 @@
     }
 }
 
-fn answer_of(settled: CallOutcome) -> Result<Answer, Refusal> {
+fn answer_of(settled: KeyedCallOutcome) -> Result<Answer, Refusal> {
     match settled {
-        CallOutcome::Ran(Some(kept)) => Ok(kept_answer::answer_of(&kept)),
-        CallOutcome::Ran(None) => Err(Refusal {
+        KeyedCallOutcome::Ran(Some(kept)) => Ok(kept_answer::answer_of(&kept)),
+        KeyedCallOutcome::Ran(None) => Err(Refusal {
             reason: RefusalReason::AlreadyRan,
             run_state: RunState::Ran,
             retry_after_ms: 0,
         }),
-        CallOutcome::MayHaveRun => Err(Refusal::unknown(RefusalReason::AlreadyRan, 0)),
-        CallOutcome::NotStarted(refusal) => Err(refusal),
+        KeyedCallOutcome::MayHaveRun => Err(Refusal::unknown(RefusalReason::AlreadyRan, 0)),
+        KeyedCallOutcome::NotStarted(refusal) => Err(refusal),
     }
 }
 
