--- a/src/claims/driver.rs
+++ b/src/claims/driver.rs
@@ -143,10 +143,10 @@
         let limits = self
             .ledger()
             .map(|ledger| ledger.with(|ledger, _| ledger.limits()));
-        let unnoticed_ms = limits.map_or(PauseDetector::DEFAULT_PAUSE_MS, |it| {
-            it.unnoticed_pause_ms()
+        let max_undetected_ms = limits.map_or(PauseDetector::DEFAULT_PAUSE_MS, |it| {
+            it.max_undetected_pause_ms()
         });
-        self.pauses.is_after_pause(now, unnoticed_ms)
+        self.pauses.is_after_pause(now, max_undetected_ms)
     }
 
     /// Registers the handlers for promise requests and ledger transfers of peers.
@@ -169,10 +169,10 @@
             ticks.tick().await;
             let now = self.clock.now();
             let limits = self.ledger().map(|it| it.with(|ledger, _| ledger.limits()));
-            let unnoticed_ms = limits.map_or(PauseDetector::DEFAULT_PAUSE_MS, |it| {
-                it.unnoticed_pause_ms()
+            let max_undetected_ms = limits.map_or(PauseDetector::DEFAULT_PAUSE_MS, |it| {
+                it.max_undetected_pause_ms()
             });
-            self.pauses.record_tick(now, unnoticed_ms);
+            self.pauses.record_tick(now, max_undetected_ms);
             self.tick(&ports);
         }
     }
--- a/src/claims/pause_detector.rs
+++ b/src/claims/pause_detector.rs
@@ -26,9 +26,9 @@
     pub const DEFAULT_PAUSE_MS: u64 = 1_000;
 
     /// Records that the process is running. Called several times a second.
-    pub fn record_tick(&self, now: TimeMs, unnoticed_pause_ms: u64) {
+    pub fn record_tick(&self, now: TimeMs, max_undetected_pause_ms: u64) {
         let last = self.last_tick_ms.swap(now.0, Ordering::SeqCst);
-        if last != 0 && now.0.saturating_sub(last) > unnoticed_pause_ms {
+        if last != 0 && now.0.saturating_sub(last) > max_undetected_pause_ms {
             self.pause_suspected_until_ms
                 .store(now.0 + SETTLE_MS, Ordering::SeqCst);
         }
@@ -36,9 +36,9 @@
 
     /// Whether a keyed request read at `now` may have arrived before a pause. Such a request is
     /// refused as `unknown`.
-    pub fn is_after_pause(&self, now: TimeMs, unnoticed_pause_ms: u64) -> bool {
+    pub fn is_after_pause(&self, now: TimeMs, max_undetected_pause_ms: u64) -> bool {
         let last = self.last_tick_ms.load(Ordering::SeqCst);
         let until = self.pause_suspected_until_ms.load(Ordering::SeqCst);
-        now.0 < until || (last != 0 && now.0.saturating_sub(last) > unnoticed_pause_ms)
+        now.0 < until || (last != 0 && now.0.saturating_sub(last) > max_undetected_pause_ms)
     }
 }
--- a/src/claims/resend_limits.rs
+++ b/src/claims/resend_limits.rs
@@ -55,7 +55,7 @@
 
     /// The longest pause of an entry that needs no detection. After a longer one, the entry treats
     /// keyed requests as possibly older than the pause.
-    pub fn unnoticed_pause_ms(self) -> u64 {
+    pub fn max_undetected_pause_ms(self) -> u64 {
         self.window_ms / 8
     }
 }
--- a/tests/claims_simulation/keys.rs
+++ b/tests/claims_simulation/keys.rs
@@ -42,7 +42,7 @@
         let limits = ResendLimits::new(WINDOW_MS);
         let late = self.chance(self.noise.late_permille);
         let pause_ms = if late {
-            self.rng.u64(0..limits.unnoticed_pause_ms())
+            self.rng.u64(0..limits.max_undetected_pause_ms())
         } else {
             0
         };
