--- a/src/claims/driver.rs
+++ b/src/claims/driver.rs
@@ -146,7 +146,7 @@
         let max_undetected_ms = limits.map_or(PauseDetector::DEFAULT_PAUSE_MS, |it| {
             it.max_undetected_pause_ms()
         });
-        self.pauses.is_after_pause(now, max_undetected_ms)
+        self.pauses.may_predate_pause(now, max_undetected_ms)
     }
 
     /// Registers the handlers for promise requests and ledger transfers of peers.
--- a/src/claims/pause_detector.rs
+++ b/src/claims/pause_detector.rs
@@ -36,7 +36,7 @@
 
     /// Whether a keyed request read at `now` may have arrived before a pause. Such a request is
     /// refused as `unknown`.
-    pub fn is_after_pause(&self, now: TimeMs, max_undetected_pause_ms: u64) -> bool {
+    pub fn may_predate_pause(&self, now: TimeMs, max_undetected_pause_ms: u64) -> bool {
         let last = self.last_tick_ms.load(Ordering::SeqCst);
         let until = self.pause_suspected_until_ms.load(Ordering::SeqCst);
         now.0 < until || (last != 0 && now.0.saturating_sub(last) > max_undetected_pause_ms)
