--- a/src/claims/resend_limits.rs
+++ b/src/claims/resend_limits.rs
@@ -49,7 +49,7 @@
     }
 
     /// How long after the arrival of a keyed call an entry may send attempts of it.
-    pub fn entry_sends_ms(self) -> u64 {
+    pub fn attempt_window_ms(self) -> u64 {
         self.window_ms / 4
     }
 
--- a/src/node/keyed_forward.rs
+++ b/src/node/keyed_forward.rs
@@ -110,7 +110,7 @@
     let in_force = node.inputs.in_force.load();
     let known = in_force.as_ref().as_ref();
     let window_ms = known.map_or(0, |known| known.preset.resend_window_ms);
-    ResendLimits::new(window_ms).entry_sends_ms()
+    ResendLimits::new(window_ms).attempt_window_ms()
 }
 
 /// Where a call is sent again.
--- a/tests/claims_simulation/keys.rs
+++ b/tests/claims_simulation/keys.rs
@@ -57,7 +57,7 @@
 
     pub(super) fn send(&mut self, mut sending: Sending) {
         let limits = ResendLimits::new(WINDOW_MS);
-        let too_late = self.now - sending.arrived_at > limits.entry_sends_ms();
+        let too_late = self.now - sending.arrived_at > limits.attempt_window_ms();
         if too_late || sending.attempts >= ATTEMPTS {
             let refusal = Refusal::unknown(RefusalReason::NotOwner, 0);
             self.truth.report_refused(&sending.key, refusal);
