--- a/src/claims/boot.rs
+++ b/src/claims/boot.rs
@@ -7,6 +7,7 @@
 
 /// Path of the Linux boot id, which changes with every boot of the machine.
 const BOOT_ID_PATH: &str = "/proc/sys/kernel/random/boot_id";
+
 /// Hashes the boot id of the VM together with an address that this process has bound.
 ///
 /// A second process with the same value can bind the address only after the first one has ended; a
--- a/src/claims/driver.rs
+++ b/src/claims/driver.rs
@@ -1,6 +1,6 @@
-//! Runs the lease manager against the outside world. The driver runs on the control thread and
-//! connects the manager, which does no I/O, to the table, the peers and the clock. It is the only
-//! part of `claims` that does I/O.
+//! Connects the lease manager, which does no I/O, to the platform's table, the peers and the clock.
+//! The driver runs on the control thread. The I/O for leases and transfers is done only here and in
+//! the modules `slot_table` and `member_calls`.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -95,8 +95,8 @@
     instance: u64,
 }
 
-/// The claims of one node. They are created before the control thread starts, run on it, and are
-/// read by the traffic threads.
+/// The claims of one node: its slots, its lease and its ledger. They are created before the control
+/// thread starts, run on it, and are read by the traffic threads.
 pub struct Claims {
     settings: ClaimsSettings,
     clock: Clock,
--- a/src/claims/held_slots.rs
+++ b/src/claims/held_slots.rs
@@ -16,9 +16,9 @@
 
 /// The slot as held by `me`, or `None` if the row names another owner.
 ///
-/// A slot that was never owned has no history and needs no grace period. A slot that came with its
-/// ledger continues the grace period of its former owner. Any other slot begins a new grace period,
-/// because its former owner may have run any key.
+/// A slot in epoch 1 was never owned before, so no key can have run and it needs no grace period. A
+/// slot that came with its ledger continues the grace period of its former owner. Any other slot
+/// begins a new grace period, because its former owner may have run any key.
 pub fn held(
     slot: usize,
     entry: SlotEntry,
--- a/src/claims/lease_action.rs
+++ b/src/claims/lease_action.rs
@@ -1,4 +1,4 @@
-//! Actions that the lease manager requests, and the results that it is told.
+//! Actions that the lease manager requests, and the results that are reported to it.
 
 use crate::claims::SlotMap;
 use crate::core::FastSet;
@@ -17,7 +17,7 @@
         expected: Option<u64>,
         map: SlotMap,
     },
-    /// Ask a member for the promise not to take over.
+    /// Ask a member for the promise not to take over this node's slots.
     AskPromise { round: u64, node: Name, member: u64 },
     /// Send the ledger of slots to the member that receives them. The slot lease already marks
     /// these slots as being handed over.
@@ -56,7 +56,8 @@
 pub struct NodeConditions {
     /// The backend server accepts work.
     pub serving: bool,
-    /// The backend server announced that it accepts no more work. This is no temporary failure.
+    /// The backend server announced that it accepts no more work. This is not a temporary failure,
+    /// so the slots are handed over without a delay.
     pub draining: bool,
     /// The node is about to stop: it hands over all slots and leaves the row.
     pub stopping: bool,
--- a/src/claims/lease_conf.rs
+++ b/src/claims/lease_conf.rs
@@ -7,12 +7,13 @@
 const MARGIN_MS: u64 = 500;
 
 /// Durations that an owner relies on. They are recorded in the row, because a member that takes
-/// over from the owner has to wait by them.
+/// over from the owner has to derive its waits from them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct LeaseTerms {
     /// How long a lease lasts after a clean read of the row or a round of promises, counted from
-    /// the moment of the request.
+    /// the moment of the request. A read is clean if the row lists the owner and contains no intent
+    /// against it.
     pub lease_ms: u64,
     /// How long promises may replace reads of the table, counted from the last clean read.
     pub outage_ms: u64,
@@ -41,7 +42,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseConf {
     pub terms: LeaseTerms,
-    /// Interval between two reads of the row. With 5 s, 720 nodes read it 144 times a second.
+    /// Interval between two reads of the row. With 5 s, 720 nodes make 144 reads a second in all.
     pub read_interval_ms: u64,
     /// Delay before the next read after a failed one.
     pub read_retry_ms: u64,
@@ -67,7 +68,7 @@
 }
 
 impl LeaseConf {
-    /// Derives all durations from the lease, in the proportions that docs/AT_MOST_ONCE.md measures.
+    /// Derives all durations from the lease, in the proportions measured in docs/AT_MOST_ONCE.md.
     pub fn for_lease(lease_ms: u64) -> Self {
         let terms = LeaseTerms {
             lease_ms,
--- a/src/claims/lease_manager.rs
+++ b/src/claims/lease_manager.rs
@@ -2,7 +2,7 @@
 //! does no I/O.
 //!
 //! Guards against two processes that run calls of the same slot at the same time because each
-//! believes the other is gone. A charge would then be made twice, once by each. Two rules prevent
+//! considers the other gone. A charge would then be made twice, once by each. Two rules prevent
 //! this. An owner relies on its slots only for the length of a lease after evidence that no member
 //! had begun to take them over. A member that takes over first announces it and then waits longer
 //! than that lease. docs/AT_MOST_ONCE.md has the full argument, including pauses, lost answers and
@@ -30,7 +30,8 @@
 
 /// How many received transfers are remembered that have not appeared in the row yet.
 const MAX_RECEIVED: usize = 16;
-/// The longest delay before the next read after a write conflict or a write without an answer.
+/// The longest delay before the next read after a write conflict, a write without an answer, or a
+/// received transfer.
 const MAX_CONFLICT_BACKOFF_MS: u64 = 200;
 
 /// Identity of a node's process. It is fixed for the life of the process.
@@ -65,7 +66,7 @@
 
 /// A write whose answer was lost and that may still take effect.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Unresolved {
+pub(super) struct UnresolvedWrite {
     pub(super) expected: Option<u64>,
     takes_over: bool,
 }
@@ -87,7 +88,7 @@
     pub(super) conditions: NodeConditions,
     pub(super) row: Option<Row>,
     pub(super) pending: Option<(u64, TimeMs, Pending)>,
-    pub(super) unresolved: Option<Unresolved>,
+    pub(super) unresolved: Option<UnresolvedWrite>,
     pub(super) next_op: u64,
     pub(super) next_read_at: TimeMs,
     /// When the last clean read was requested. A read or write of the row is clean if the row lists
@@ -134,8 +135,8 @@
         }
     }
 
-    /// The lease and slots that the ledger may rely on. Pass it to the ledger after every call of
-    /// the manager and before executing any of the returned actions.
+    /// The lease and slots that the ledger may rely on. Pass it to the ledger after every call to
+    /// a method of the manager and before executing any of the returned actions.
     pub fn slot_lease(&self) -> &SlotLease {
         &self.slot_lease
     }
@@ -209,7 +210,7 @@
             }
             WriteResult::Unknown => {
                 let before = self.unresolved.is_some_and(|before| before.takes_over);
-                self.unresolved = Some(Unresolved {
+                self.unresolved = Some(UnresolvedWrite {
                     expected: write.expected,
                     takes_over: before || write.takes_over,
                 });
@@ -240,7 +241,7 @@
     ///
     /// Refuses while a take-over by this process may still take effect. Also refuses an asker that
     /// the row no longer lists: this process, or an earlier writer of the row, has then taken its
-    /// slots over.
+    /// slots over. A request that is meant for an earlier process of this node is refused as well.
     pub fn on_promise_request(&mut self, now: TimeMs, ask: &PromiseAsk) -> Promise {
         let asker = self
             .row
@@ -364,13 +365,16 @@
         })
     }
 
-    /// Whether slots are still unowned although the members they were left for had time to claim
-    /// them.
+    /// Whether slots have been unowned for two read intervals. The members that they were left for
+    /// would have claimed them by then.
     fn has_unclaimed_slots(&self, now: TimeMs) -> bool {
         self.unowned_since
             .is_some_and(|since| now.since(since) >= 2 * self.conf.read_interval_ms)
     }
 
+    /// Whether the node may keep its slots and receive more. A listed member whose backend server
+    /// has been down for less than `not_serving_threshold_ms` still counts as serving, unless the
+    /// backend server is draining.
     pub(super) fn is_serving(&self, now: TimeMs) -> bool {
         let since = self.not_serving_since;
         let recently =
@@ -380,6 +384,7 @@
         self.conditions.serving || (is_temporary && self.row.as_ref().is_some_and(listed))
     }
 
+    /// Starts what is due: a read of the row, a hand-over, a round of promises.
     fn advance(&mut self, now: TimeMs) -> Vec<Action> {
         let mut actions = Vec::new();
         if self.pending.is_none() && self.next_read_at <= now {
--- a/src/claims/lease_peers.rs
+++ b/src/claims/lease_peers.rs
@@ -26,8 +26,8 @@
         let stopping = self.conditions.stopping;
         let leaving = stopping || !self.is_serving(now);
         let alive = |instance: u64| !self.missing_since.contains_key(&instance);
-        let others = candidates(map, alive);
-        let assignment = next_hand_over(&others, self.me.instance, slots.len(), leaving);
+        let eligible = candidates(map, alive);
+        let assignment = next_hand_over(&eligible, self.me.instance, slots.len(), leaving);
         let slot_transfer = match assignment {
             Some((receiver, count)) => {
                 slots.drain(..slots.len() - count);
@@ -80,8 +80,8 @@
         if waiting || self.slot_lease.count() == 0 || !self.promises.is_due(now) {
             return Vec::new();
         }
-        // Members of other regions may take over only after the long wait, which is longer than
-        // promises are relied on. They need not be asked.
+        // Members of other regions need no promise. They may take over only after
+        // `outage_expiry_wait_ms`, when this owner no longer relies on promises.
         let asked = row.map.members.iter().filter(|member| {
             member.instance != self.me.instance && member.region == self.me.region
         });
@@ -90,7 +90,8 @@
             .collect();
         let next_at = now + self.conf.promise_interval_ms;
         let (round, to_ask) = self.promises.start_round(now, next_at, members);
-        // If there is no member to ask, no member could take over after the short wait.
+        // If there is no member to ask, no member could take over after the short wait. The own
+        // promise then completes the round at once. Otherwise it has no effect.
         let own_promise = Promise::Granted { hold_ms: u64::MAX };
         self.on_promise(now, round, self.me.instance, &own_promise);
         let ask = |(member, node)| Action::AskPromise {
--- a/src/claims/lease_rows.rs
+++ b/src/claims/lease_rows.rs
@@ -12,8 +12,8 @@
 use crate::core::FastMap;
 use crate::core::TimeMs;
 
-/// Number of leases before this process announces another take-over from a member that removed the
-/// previous intent.
+/// Delay, in leases, before this process announces a take-over again after the victim removed its
+/// intent.
 const REANNOUNCE_DELAY_LEASES: u64 = 4;
 
 impl LeaseManager {
@@ -150,7 +150,8 @@
     }
 
     /// Updates since when each member has been missing from the membership view. A member also
-    /// counts as missing if another process of its node joined later.
+    /// counts as missing if another process of its node joined later, or if it is another process
+    /// of this node.
     pub(super) fn update_missing(&mut self, now: TimeMs) {
         let Some(row) = &self.row else {
             return;
@@ -162,8 +163,8 @@
                 .iter()
                 .any(|other| other.node == member.node && other.added > member.added);
             let is_me = member.instance == self.me.instance;
-            let was_me = member.node == self.me.node && !is_me;
-            !is_me && (replaced || was_me || !self.conditions.alive.contains(&member.node))
+            let is_same_node = member.node == self.me.node && !is_me;
+            !is_me && (replaced || is_same_node || !self.conditions.alive.contains(&member.node))
         };
         let missing = map.members.iter().filter(missing);
         self.missing_since = missing
--- a/src/claims/ledger.rs
+++ b/src/claims/ledger.rs
@@ -1,9 +1,9 @@
 //! Records in memory the keys that this guard ran, and decides on every keyed call.
 //!
 //! Guards against a call that runs twice because its caller sent it again: the caller would see two
-//! charges for one order. A key starts only if it is not in the ledger, and only while the ledger
-//! is known to contain every key of its slot that can still be sent again. The lease, the grace
-//! period and the stamp ensure this; docs/AT_MOST_ONCE.md has the argument.
+//! charges for one order. A key starts only if it is unseen, that is, not in the ledger, and only
+//! while the ledger is known to contain every key of its slot that can still be sent again. The
+//! lease, the grace period and the stamp ensure this; docs/AT_MOST_ONCE.md has the argument.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -85,8 +85,8 @@
     pub(super) limits: ResendLimits,
     pub(super) slot_lease: SlotLease,
     pub(super) keys: FastMap<Name, LedgerEntry>,
-    /// Ended keys, in the order in which they expire.
-    pub(super) ended: VecDeque<(TimeMs, Name)>,
+    /// Keys whose calls do not run here, in the order in which they expire.
+    pub(super) expiry_queue: VecDeque<(TimeMs, Name)>,
     /// Keys with a kept answer and when each answer is dropped, the oldest first.
     answers: VecDeque<(TimeMs, Name)>,
     answer_bytes: usize,
@@ -103,7 +103,7 @@
             limits,
             slot_lease: SlotLease::none_held(),
             keys: FastMap::default(),
-            ended: VecDeque::new(),
+            expiry_queue: VecDeque::new(),
             answers: VecDeque::new(),
             answer_bytes: 0,
             pending_updates: Vec::new(),
@@ -167,7 +167,7 @@
             KeyOutcome::Ran(answer) => KeyState::Ran { answer },
             KeyOutcome::MayHaveRun => KeyState::MayHaveRun,
         };
-        self.ended.push_back((entry.expires, key.clone()));
+        self.expiry_queue.push_back((entry.expires, key.clone()));
         if let Some(to) = moved_to {
             let key = self.moved_key(now, key);
             self.pending_updates
@@ -218,7 +218,8 @@
         self.limits
     }
 
-    /// The stamp for `now`. An attempt that carries it was sent after the stamp was issued.
+    /// The stamp for `now`. An attempt that carries it was sent after the stamp was issued. The
+    /// lowest bit of the instance is set, because the stamp 0 means that there is none.
     pub fn stamp(&self, now: TimeMs) -> u64 {
         let period = now.0 / self.limits.stamp_period_ms();
         ((self.instance | 1) << 32) | (period & 0xffff_ffff)
@@ -268,21 +269,21 @@
     }
 
     /// Removes expired keys and answers. A key is never removed before it expires, even if the
-    /// ledger is full; a resend of it would run again.
+    /// ledger is full. Otherwise a resend of it would run a second time.
     pub fn sweep(&mut self, now: TimeMs) {
-        while let Some((expires, key)) = self.ended.front() {
+        while let Some((expires, key)) = self.expiry_queue.front() {
             if *expires > now {
                 break;
             }
-            let over = self
+            let expired = self
                 .keys
                 .get(key)
-                .is_some_and(|entry| entry.expires == *expires && has_ended(&entry.state));
-            if over {
+                .is_some_and(|entry| entry.expires == *expires && may_expire(&entry.state));
+            if expired {
                 self.answer_bytes -= answer_size(&self.keys[key].state);
                 self.keys.remove(key);
             }
-            self.ended.pop_front();
+            self.expiry_queue.pop_front();
         }
         while let Some((drop_at, _)) = self.answers.front() {
             if *drop_at > now && self.answer_bytes <= self.bounds.max_answer_bytes {
@@ -363,7 +364,7 @@
     KeyDecision::Refuse(Refusal::not_run(reason, retry_after_ms))
 }
 
-fn has_ended(state: &KeyState) -> bool {
+fn may_expire(state: &KeyState) -> bool {
     !matches!(state, KeyState::Running { .. })
 }
 
@@ -382,7 +383,7 @@
 }
 
 /// A delay in 0..=`up_to_ms` that depends on the key. It spreads out the callers that would
-/// otherwise all come back at the end of the grace period.
+/// otherwise all retry at the end of the grace period.
 fn retry_jitter_ms(key: &str, up_to_ms: u64) -> u64 {
     let hash = stable_hash(key.bytes());
     hash % (up_to_ms + 1)
--- a/src/claims/ledger_entry.rs
+++ b/src/claims/ledger_entry.rs
@@ -27,13 +27,15 @@
 }
 
 impl TransferSource {
-    /// Stands for several senders. No key update from any one of them settles the key.
+    /// Used when several processes handed the same key over. No key update matches it, so an update
+    /// that the call was not started cannot remove the key.
     const AMBIGUOUS: Self = Self {
         instance: 0,
         transfer: u64::MAX,
     };
 
-    /// The source whose key updates settle a key that was handed over twice.
+    /// The source to record for a key that was handed over twice: the later transfer of the same
+    /// sender, or [`Self::AMBIGUOUS`] for different senders.
     pub fn latest(self, other: Self) -> Self {
         if self.instance != other.instance {
             return Self::AMBIGUOUS;
@@ -50,7 +52,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyState {
     /// The call was accepted here and waits or runs. If its slot was handed over since, `moved_to`
-    /// names the new owner, which is told how the call ends.
+    /// names the new owner, which receives a key update when the call ends.
     Running { moved_to: Option<TransferTarget> },
     /// The slot's former owner accepted the call and has not reported its end.
     RunningElsewhere { by: TransferSource },
@@ -118,8 +120,9 @@
     pub service: Name,
     /// Links the transfer to the one change of the row that may follow it.
     pub id: u64,
-    /// The process instances of the sender (`from`) and the receiver (`to`).
+    /// Process instance of the sender.
     pub from: u64,
+    /// Process instance of the receiver.
     pub to: u64,
     pub slots: Vec<MovedSlot>,
     pub keys: Vec<MovedKey>,
--- a/src/claims/ledger_moves.rs
+++ b/src/claims/ledger_moves.rs
@@ -171,8 +171,10 @@
             expires,
         };
         self.keys.insert(moved.key.clone(), entry);
-        let at = self.ended.partition_point(|(other, _)| *other <= expires);
-        self.ended.insert(at, (expires, moved.key.clone()));
+        let at = self
+            .expiry_queue
+            .partition_point(|(other, _)| *other <= expires);
+        self.expiry_queue.insert(at, (expires, moved.key.clone()));
         self.keep_answer(now, &moved.key);
     }
 }
--- a/src/claims/mod.rs
+++ b/src/claims/mod.rs
@@ -1,6 +1,8 @@
 //! Runs non-idempotent calls with a caller's key at most once. The keys of a service are divided
-//! into slots. Each slot has one owner, whose ledger records the keys that ran. The argument is in
-//! [docs/AT_MOST_ONCE.md](../../docs/AT_MOST_ONCE.md).
+//! into slots. Each slot has one owner, whose ledger records the keys that ran. The claims of a
+//! node are the slots that it owns, the lease that lets it use them, and its ledger.
+//!
+//! The argument is in [docs/AT_MOST_ONCE.md](../../docs/AT_MOST_ONCE.md).
 
 mod boot;
 mod driver;
--- a/src/claims/promises.rs
+++ b/src/claims/promises.rs
@@ -14,11 +14,14 @@
     next_round_at: TimeMs,
     /// Members that have not answered the present round yet.
     unanswered: FastSet<u64>,
+    /// The shortest duration among the promises of the present round. [`u64::MAX`] stands for a
+    /// promise that never expires.
     hold_ms: u64,
-    /// Members that are leaving and promised to take nothing over any more.
-    resigned: FastSet<u64>,
+    /// Members that are leaving and promised to take over no more slots.
+    permanent_promises: FastSet<u64>,
     promised_until: TimeMs,
-    has_resigned: bool,
+    /// This node is leaving and promised to take over no more slots.
+    has_promised_permanently: bool,
 }
 
 impl Promises {
@@ -39,9 +42,9 @@
         self.next_round_at = next_round_at;
         self.hold_ms = u64::MAX;
         let listed = |instance: &u64| members.iter().any(|(member, _)| member == instance);
-        self.resigned.retain(listed);
+        self.permanent_promises.retain(listed);
         let mut to_ask = members;
-        to_ask.retain(|(member, _)| !self.resigned.contains(member));
+        to_ask.retain(|(member, _)| !self.permanent_promises.contains(member));
         self.unanswered = to_ask.iter().map(|(member, _)| *member).collect();
         (self.round, to_ask)
     }
@@ -58,7 +61,7 @@
             return None;
         };
         if *hold_ms == u64::MAX && self.unanswered.contains(&member) {
-            self.resigned.insert(member);
+            self.permanent_promises.insert(member);
         }
         if round != self.round {
             return None;
@@ -71,12 +74,12 @@
     }
 
     /// Promises an owner with these terms not to take over for as long as the owner relies on the
-    /// promise. A node that is leaving promises it for good.
+    /// promise. A node that is leaving makes a promise that never expires.
     pub fn promise(&mut self, now: TimeMs, terms: LeaseTerms, leaving: bool) -> Promise {
-        self.has_resigned |= leaving;
+        self.has_promised_permanently |= leaving;
         let until = now + terms.lease_expiry_wait_ms();
         self.promised_until = self.promised_until.max(until);
-        let hold_ms = if self.has_resigned {
+        let hold_ms = if self.has_promised_permanently {
             u64::MAX
         } else {
             terms.lease_ms
@@ -87,6 +90,6 @@
     /// Whether no promise prevents a take-over. A promise covers the whole service, because the
     /// asker may meanwhile own slots that this node still attributes to another member.
     pub fn may_take_over(&self, now: TimeMs) -> bool {
-        !self.has_resigned && now >= self.promised_until
+        !self.has_promised_permanently && now >= self.promised_until
     }
 }
--- a/src/claims/resend_limits.rs
+++ b/src/claims/resend_limits.rs
@@ -12,13 +12,13 @@
 }
 
 /// The shortest window. With a shorter one, the bounds on late attempts would refuse ordinary ones.
-const SHORTEST_WINDOW_MS: u64 = 2_000;
+const MIN_WINDOW_MS: u64 = 2_000;
 
 impl ResendLimits {
     /// Limits for a window. A shorter window than the minimum is raised to it.
     pub fn new(window_ms: u64) -> Self {
         Self {
-            window_ms: window_ms.max(SHORTEST_WINDOW_MS),
+            window_ms: window_ms.max(MIN_WINDOW_MS),
         }
     }
 
@@ -38,7 +38,7 @@
         self.window_ms * 2
     }
 
-    /// How long kept answers are sent again, if memory permits.
+    /// How long the ledger keeps an answer for resends, if memory permits.
     pub fn answer_ms(self) -> u64 {
         self.window_ms
     }
--- a/src/claims/row_plan.rs
+++ b/src/claims/row_plan.rs
@@ -1,4 +1,4 @@
-//! Plans the next write of a service's row: the changes that one member wants to make.
+//! Plans the changes that one member makes to a service's row with its next write.
 
 use crate::claims::Identity;
 use crate::claims::Intent;
@@ -169,7 +169,7 @@
     Some(seen_at + take_over_wait_ms(map, input, intent.victim)?)
 }
 
-/// How long an intent has to stand in the row before the slots may be taken.
+/// How long an intent has to be in the row before the slots may be taken.
 ///
 /// Without the table, an owner relies on the promises of the members that it knows. It does not ask
 /// a member that joined later, and a member of another region may be unreachable. Such members take
@@ -208,7 +208,8 @@
     !victims.is_empty()
 }
 
-/// Removes this member's intents against members that are back or have left.
+/// Removes this member's intents against members that are back or have left, and all of them if
+/// this member is stopping.
 fn drop_obsolete_intents(next: &mut SlotMap, input: &PlanInput<'_>) {
     let me = input.me.instance;
     next.intents.retain(|intent| {
@@ -216,6 +217,7 @@
     });
 }
 
+/// Adds an intent against each member that has been missing for long enough and owns slots.
 fn announce(next: &mut SlotMap, input: &PlanInput<'_>, rng: &mut fastrand::Rng) {
     if !input.serving || input.stopping {
         return;
@@ -242,11 +244,13 @@
 /// in order of rank, and those that need the long wait come last.
 fn announce_delay_ms(map: &SlotMap, input: &PlanInput<'_>, victim: u64) -> u64 {
     let conf = input.conf;
+    // The multiplier, 2^64 divided by the golden ratio, mixes the bits. Each victim gets its own
+    // order of candidates.
     let order = |instance: u64| (instance ^ victim).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let own = order(input.me.instance);
     let present = |member: &&Member| !input.missing.contains_key(&member.instance);
-    let before = map.members.iter().filter(present);
-    let rank = before
+    let present_members = map.members.iter().filter(present);
+    let rank = present_members
         .filter(|member| member.serving && order(member.instance) < own)
         .count() as u64;
     let terms = map.member(victim).map(|member| member.terms);
@@ -262,18 +266,18 @@
 
 /// Removes missing members without slots.
 ///
-/// This needs no wait: a take-over that such a member had under way fails, because the row has
-/// another version. If it stayed in the row, owners would ask it for promises during an outage and
-/// never get an answer.
+/// The delay of an announcement has to pass, but no lease has to expire: a take-over that such a
+/// member had under way fails, because the row has another version. If the member stayed in the
+/// row, owners would ask it for promises during an outage and never get an answer.
 fn remove_missing_without_slots(next: &mut SlotMap, input: &PlanInput<'_>) {
-    let is_over = |victim: &u64, since: TimeMs| {
+    let is_removable = |victim: &u64, since: TimeMs| {
         next.slots_of(*victim).is_empty()
             && input.now.since(since) >= announce_delay_ms(next, input, *victim)
     };
     let gone: Vec<u64> = input
         .missing
         .iter()
-        .filter(|(victim, since)| is_over(victim, **since))
+        .filter(|(victim, since)| is_removable(victim, **since))
         .map(|(victim, _)| *victim)
         .collect();
     for victim in gone {
@@ -281,6 +285,8 @@
     }
 }
 
+/// Claims slots without an owner, up to the fair share. Nodes that are alive but have not joined
+/// yet count as owners, so that their share is left to them.
 fn claim_unowned(next: &mut SlotMap, input: &PlanInput<'_>) {
     if !input.serving || input.stopping {
         return;
--- a/src/claims/shared_ledger.rs
+++ b/src/claims/shared_ledger.rs
@@ -25,7 +25,8 @@
 /// Retry delay for requests beyond that number.
 const JOIN_RETRY_MS: u64 = 1_000;
 
-/// The end of a call, for the requests that joined it.
+/// The end of a call, for the requests that joined it. [`KeyOutcome`] is what the ledger records of
+/// it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyedCallOutcome {
     /// The call ran. The answer is `None` if it is too large to keep.
@@ -39,7 +40,7 @@
 /// The guard's decision on a keyed call.
 #[derive(Debug)]
 pub enum KeyedAdmission {
-    /// Run the call and settle the ticket.
+    /// Run the call and report its end to [`RunTicket::settle`].
     Run(RunTicket),
     /// Wait for the call that already runs. The sender always sends an outcome before it is
     /// dropped.
@@ -99,13 +100,13 @@
         work(&mut inner.ledger, now)
     }
 
-    fn settle(&self, key: &Name, settled: KeyedCallOutcome) {
+    fn settle(&self, key: &Name, outcome: KeyedCallOutcome) {
         let now = self.clock.now();
         let mut inner = self.lock();
-        match &settled {
+        match &outcome {
             KeyedCallOutcome::Ran(answer) => {
-                let outcome = KeyOutcome::Ran(answer.clone());
-                inner.ledger.finish(now, key, outcome);
+                let key_outcome = KeyOutcome::Ran(answer.clone());
+                inner.ledger.finish(now, key, key_outcome);
             }
             KeyedCallOutcome::MayHaveRun => inner.ledger.finish(now, key, KeyOutcome::MayHaveRun),
             KeyedCallOutcome::NotStarted(_) => inner.ledger.not_started(key),
@@ -114,7 +115,7 @@
         drop(inner);
         for waiter in joined.into_iter().flatten() {
             // A closed receiver means that the waiting request has gone.
-            let _ = waiter.send(settled.clone());
+            let _ = waiter.send(outcome.clone());
         }
     }
 
@@ -152,9 +153,9 @@
 
 impl RunTicket {
     /// Reports how the call ended.
-    pub fn settle(mut self, settled: KeyedCallOutcome) {
+    pub fn settle(mut self, outcome: KeyedCallOutcome) {
         self.settled = true;
-        self.ledger.settle(&self.key, settled);
+        self.ledger.settle(&self.key, outcome);
     }
 }
 
--- a/src/claims/slot_lease.rs
+++ b/src/claims/slot_lease.rs
@@ -8,7 +8,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeldSlot {
     pub epoch: u64,
-    /// Until then unseen keys are refused, because a previous owner may have run them.
+    /// Keys that are not in the ledger are refused before this time, because a previous owner may
+    /// have run them.
     pub grace_until: TimeMs,
     /// The ledger of the slot is being handed over, and no further key may start here.
     pub handing_over: bool,
@@ -24,7 +25,7 @@
 /// The lease, the slots held under it, and the known owners of the other slots.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SlotLease {
-    /// Unseen keys may start only before this time.
+    /// Keys that are not in the ledger may start only before this time.
     pub lease_until: TimeMs,
     pub held: [Option<HeldSlot>; SLOT_COUNT],
     pub others: [Option<OtherOwner>; SLOT_COUNT],
--- a/src/claims/slot_map.rs
+++ b/src/claims/slot_map.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct SlotEntry {
-    /// Process instance of the owner. It is always a listed member.
+    /// Process instance of the owner, which is always a listed member.
     pub owner: Option<u64>,
     /// Increases by one with every change of the owner. 0 means that the slot was never owned.
     pub epoch: u64,
@@ -26,26 +26,27 @@
 #[derive(Serialize, Deserialize)]
 pub struct Member {
     pub node: Name,
-    /// Random for each process, so that a restarted node is another member.
+    /// Random number of the process. A restarted node has another one and is another member.
     pub instance: u64,
     pub region: Name,
     /// Identifies the boot of the VM and the addresses that the process has bound. Another process
     /// with the same value can exist only after this one has ended.
     pub boot: u64,
-    /// The durations that the process relies on as an owner. A member that takes over from it waits
-    /// by these and not by its own settings.
+    /// The durations that the process relies on as an owner. A member that takes over from it
+    /// derives its waits from these and not from its own settings.
     pub terms: LeaseTerms,
     /// Its backend server accepts work, so the member may receive slots.
     pub serving: bool,
     /// The value of `joins` at which it was added.
     pub added: u64,
-    /// As an owner: the value of `joins` up to which it knows the members, and so asks all of them
-    /// for promises. Members that joined later have to take the long wait before they take its
-    /// slots over.
+    /// The value of `joins` when this member last changed the row. As an owner, it asks all members
+    /// of its region that had joined by then for promises. A member that joined later has to wait
+    /// for [`LeaseTerms::outage_expiry_wait_ms`] before it takes the owner's slots over.
     pub knows: u64,
 }
 
-/// Announces that one member will take over the slots of another that seems to be gone.
+/// Announces that one member will take over the slots of another that is missing from its
+/// membership view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Intent {
@@ -58,7 +59,8 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct SlotMap {
-    /// Chosen by the last writer, to recognise a write whose answer was lost.
+    /// Random number chosen by the last writer. It shows in the row and in logs whether a write
+    /// whose answer was lost took effect. The lease manager itself compares versions.
     pub change: u64,
     /// How many members have ever joined.
     pub joins: u64,
@@ -92,7 +94,8 @@
     /// Decodes the value of the row.
     ///
     /// # Errors
-    /// When the value is not a slot map or is inconsistent.
+    /// When the value is not a slot map, has a number of slots other than [`SLOT_COUNT`], or names
+    /// an owner that is not a listed member.
     pub fn decode(value: &[u8]) -> Result<Self, ClaimsError> {
         let map: Self =
             serde_json::from_slice(value).map_err(|source| ClaimsError::Row { source })?;
--- a/src/claims/slot_router.rs
+++ b/src/claims/slot_router.rs
@@ -14,8 +14,9 @@
 
 /// A cache of slot owners and of their latest stamps, learned from answers.
 ///
-/// It may be out of date at any time, since the owner's ledger decides. If an entry knows no owner,
-/// it sends to any target of the service. The guard there refuses the call and names the owner.
+/// The cache may be out of date. This is safe, because the owner's ledger decides on each call. If
+/// no owner is cached, the entry sends to any target of the service. The guard there refuses the
+/// call and names the owner.
 #[derive(Debug, Default)]
 pub struct SlotRouter {
     services: FastMap<Name, Vec<Option<OwnerHint>>>,
@@ -53,8 +54,8 @@
         }
     }
 
-    /// Forgets the owner of the key's slot after it could not be reached. Another target of the
-    /// service will know if the slot was taken over.
+    /// Removes the cached owner of the key's slot after it could not be reached. If the slot was
+    /// taken over, another target of the service names the new owner.
     pub fn forget(&mut self, service: &str, key: &str) {
         if let Some(hints) = self.services.get_mut(service) {
             hints[slot_of(service, key)] = None;
@@ -62,11 +63,12 @@
     }
 }
 
-/// The run state that an entry may report for a call that it refuses itself, before it asked any
-/// guard.
+/// The run state that an entry may report for a call that it refuses before it sent an attempt to
+/// any guard.
 ///
-/// A call without a key is known from this request alone. A key may have been sent before, and only
-/// its owner's ledger knows what became of it (docs/AT_MOST_ONCE.md, "What refusals say").
+/// A call without a key has no earlier request, so it has certainly not run. A key may have been
+/// sent before, and only its owner's ledger records whether it ran (docs/AT_MOST_ONCE.md, "What
+/// refusals say").
 pub fn run_state_at_entry(has_key: bool) -> RunState {
     if has_key {
         RunState::Unknown
--- a/tests/claims_failover.rs
+++ b/tests/claims_failover.rs
@@ -5,14 +5,14 @@
 mod claims_simulation;
 
 use claims_simulation::Fault;
+use claims_simulation::FaultRates;
 use claims_simulation::LEASE_MS;
-use claims_simulation::Noise;
 use claims_simulation::Simulation;
 use claims_simulation::WINDOW_MS;
 use sassafrasgap::claims::ResendLimits;
 use sassafrasgap::claims::SLOT_COUNT;
 
-const KEY_EVERY_MS: u64 = 20;
+const KEY_INTERVAL_MS: u64 = 20;
 /// By this time every slot has an owner and all owners have about the same number of slots.
 const SETTLED_MS: u64 = 10_000;
 /// Enough time for a complete take-over: detection, announcement, wait and write.
@@ -24,7 +24,7 @@
 
 /// Four nodes in three domains, with the slots balanced between them and no message faults.
 fn settled() -> Simulation {
-    let mut simulation = Simulation::new(2, 4, 3, Noise::NONE);
+    let mut simulation = Simulation::new(2, 4, 3, FaultRates::NONE);
     simulation.run_until(SETTLED_MS);
     assert_eq!(simulation.open_slots(), SLOT_COUNT);
     simulation
@@ -34,7 +34,7 @@
 fn load_until(simulation: &mut Simulation, end: u64) {
     while simulation.now < end {
         simulation.new_key(1);
-        simulation.run_until(simulation.now + KEY_EVERY_MS);
+        simulation.run_until(simulation.now + KEY_INTERVAL_MS);
     }
 }
 
@@ -89,8 +89,8 @@
     let mut simulation = settled();
     simulation.apply(Fault::Crash { process: 1 });
     simulation.run_until(simulation.now + TAKE_OVER_MS);
-    let owners: usize = [0, 2, 3].iter().map(|it| slots_of(&simulation, *it)).sum();
-    assert_eq!(owners, SLOT_COUNT);
+    let owned: usize = [0, 2, 3].iter().map(|it| slots_of(&simulation, *it)).sum();
+    assert_eq!(owned, SLOT_COUNT);
     assert_eq!(
         simulation.open_slots(),
         SLOT_COUNT - SLOT_COUNT / 4,
@@ -129,11 +129,11 @@
 #[test]
 fn two_simultaneous_take_overs_do_not_both_own_a_slot() {
     for seed in 0..20 {
-        let noise = Noise {
+        let fault_rates = FaultRates {
             lost_permille: 200,
-            ..Noise::NONE
+            ..FaultRates::NONE
         };
-        let mut simulation = Simulation::new(seed, 4, 3, noise);
+        let mut simulation = Simulation::new(seed, 4, 3, fault_rates);
         simulation.conf.rank_step_ms = 0;
         load_until(&mut simulation, SETTLED_MS);
         simulation.apply(Fault::Crash { process: 0 });
@@ -164,9 +164,9 @@
     assert_eq!(simulation.open_slots(), SLOT_COUNT);
 }
 
-/// The platform is down and an owner crashes. The others cannot learn that it is gone for good, and
-/// it answers no request for a promise, so all leases lapse. Nothing runs twice, and all slots open
-/// again after the platform has recovered.
+/// The platform is down and an owner crashes. The others cannot tell a crash from a pause, and the
+/// crashed owner answers no request for a promise, so all leases lapse. Nothing runs twice, and all
+/// slots open again after the platform has recovered.
 #[test]
 fn a_crash_while_the_table_is_down_stops_keyed_calls_until_it_recovers() {
     let mut simulation = settled();
@@ -181,8 +181,8 @@
     assert_eq!(simulation.open_slots(), SLOT_COUNT);
 }
 
-/// The platform is down and an owner is stopped as planned. It promises to take nothing over any
-/// more, so the others continue. Its own slots stay closed until the platform has recovered.
+/// The platform is down and an owner is stopped as planned. It promises to take over no more
+/// slots, so the others continue. Its own slots stay closed until the platform has recovered.
 #[test]
 fn a_planned_stop_while_the_table_is_down_stops_its_own_slots_only() {
     let mut simulation = settled();
@@ -195,9 +195,9 @@
     assert_eq!(simulation.open_slots(), SLOT_COUNT - SLOT_COUNT / 4);
 }
 
-/// A failure domain is cut off from the others and from the platform. Its owner cannot know whether
-/// its slots have been taken over, so it has to stop when its lease lapses. The others take its
-/// slots over.
+/// A failure domain is cut off from the others and from the platform. The owner in it cannot find
+/// out whether its slots have been taken over, so it has to stop when its lease lapses. The others
+/// take its slots over.
 #[test]
 fn a_domain_cut_off_stops_its_slots_and_the_others_take_them() {
     let mut simulation = settled();
@@ -218,8 +218,8 @@
     assert_eq!(simulation.open_slots(), SLOT_COUNT);
 }
 
-/// A domain is cut off from the others but not from the platform. Its owner renews its lease by
-/// reading the row and keeps its slots.
+/// A domain is cut off from the others but not from the platform. The owner in it renews its lease
+/// by reading the row and keeps its slots.
 #[test]
 fn a_domain_that_still_reads_the_row_keeps_its_slots() {
     let mut simulation = settled();
@@ -232,7 +232,7 @@
     let completed = simulation
         .truth
         .completed_percent(SETTLED_MS, end - WINDOW_MS);
-    println!("completed while one domain lost the others: {completed}%");
+    println!("completed while one domain was cut off from the others: {completed}%");
     assert_eq!(
         slots_of(&simulation, 1),
         SLOT_COUNT / 4,
@@ -271,11 +271,11 @@
 #[test]
 fn lost_answers_of_the_table_lose_no_slots() {
     for seed in 0..10 {
-        let noise = Noise {
+        let fault_rates = FaultRates {
             lost_permille: 300,
-            ..Noise::NONE
+            ..FaultRates::NONE
         };
-        let mut simulation = Simulation::new(seed, 4, 3, noise);
+        let mut simulation = Simulation::new(seed, 4, 3, fault_rates);
         load_until(&mut simulation, 60_000);
         let map = simulation.store.map().expect("a row");
         assert!(map.unowned().is_empty(), "seed {seed}");
--- a/tests/claims_lease_manager.rs
+++ b/tests/claims_lease_manager.rs
@@ -297,8 +297,8 @@
 }
 
 /// The table stays down for longer than promises may replace it. A member that joined meanwhile is
-/// not asked for promises. It waits for that same time before it takes over, and the owner must
-/// have stopped by then.
+/// not asked for promises. It waits for longer than that time before it takes over, and the owner
+/// must have stopped by then.
 #[test]
 fn promises_end_for_good_some_time_after_the_last_clean_read() {
     let mut manager = manager();
@@ -373,15 +373,15 @@
 
 /// A VM is considered lost and replaced by one of the same name, while the old one still runs, cut
 /// off. If the new process took the old one's slots at once, both would run calls of them. Only a
-/// process that bound the same addresses in the same boot of the VM knows that the old one has
-/// ended.
+/// process that bound the same addresses in the same boot of the VM can be sure that the old one
+/// has ended.
 #[test]
 fn only_a_successor_on_the_same_vm_takes_slots_at_once() {
     for (boot, at_once) in [(10 + ME, true), (77, false)] {
         let mut map = row_of(&[OTHER, 9]);
-        let namesake = map.member_mut(9).expect("listed");
-        namesake.node = Name::from("node-1");
-        namesake.boot = boot;
+        let same_node = map.member_mut(9).expect("listed");
+        same_node.node = Name::from("node-1");
+        same_node.boot = boot;
         let mut manager = manager();
         let actions = read(&mut manager, 1_000, &[ME, OTHER], 1, &map);
         let (op, map) = written(&actions).expect("it joins");
--- a/tests/claims_ledger.rs
+++ b/tests/claims_ledger.rs
@@ -69,15 +69,15 @@
     ledger.finish(TimeMs(now), &Name::from(key), outcome);
 }
 
-fn refusal(begin: KeyDecision) -> Refusal {
-    match begin {
+fn refusal(decision: KeyDecision) -> Refusal {
+    match decision {
         KeyDecision::Refuse(refusal) => refusal,
         other => panic!("not refused: {other:?}"),
     }
 }
 
-fn refused(begin: KeyDecision) -> (RefusalReason, RunState) {
-    let refusal = refusal(begin);
+fn refused(decision: KeyDecision) -> (RefusalReason, RunState) {
+    let refusal = refusal(decision);
     (refusal.reason, refusal.run_state)
 }
 
--- a/tests/claims_random.rs
+++ b/tests/claims_random.rs
@@ -9,7 +9,7 @@
 use std::panic::catch_unwind;
 
 use claims_simulation::Fault;
-use claims_simulation::Noise;
+use claims_simulation::FaultRates;
 use claims_simulation::Simulation;
 
 /// Number of seeds in a default run.
@@ -17,7 +17,7 @@
 const RUN_MS: u64 = 240_000;
 const NODES: usize = 4;
 const DOMAINS: usize = 3;
-const KEY_EVERY_MS: u64 = 120;
+const KEY_INTERVAL_MS: u64 = 120;
 
 fn from_environment(name: &str, default: u64) -> u64 {
     let text = std::env::var(name).ok();
@@ -44,7 +44,7 @@
 }
 
 fn run_seed(seed: u64) -> Simulation {
-    let mut simulation = Simulation::new(seed, NODES, DOMAINS, Noise::HEAVY);
+    let mut simulation = Simulation::new(seed, NODES, DOMAINS, FaultRates::HEAVY);
     let mut next_fault = 8_000;
     while simulation.now < RUN_MS {
         let resends = simulation.rng.u64(0..4);
@@ -54,7 +54,7 @@
             simulation.apply(fault);
             next_fault = simulation.now + simulation.rng.u64(200..12_000);
         }
-        simulation.run_until(simulation.now + KEY_EVERY_MS);
+        simulation.run_until(simulation.now + KEY_INTERVAL_MS);
     }
     simulation
 }
--- a/tests/claims_simulation/hand_overs.rs
+++ b/tests/claims_simulation/hand_overs.rs
@@ -10,7 +10,13 @@
 use super::Simulation;
 
 impl Simulation {
-    pub(super) fn ask(&mut self, index: usize, round: u64, node: &str, member: u64) {
+    pub(super) fn send_promise_request(
+        &mut self,
+        index: usize,
+        round: u64,
+        node: &str,
+        member: u64,
+    ) {
         let ask = PromiseAsk {
             service: Name::from("jobs"),
             owner: self.processes[index].instance,
@@ -19,11 +25,17 @@
         let to = self.process_of(node).filter(|to| self.reaches(index, *to));
         if let (Some(to), Some(delay)) = (to, self.delay()) {
             let from = index;
-            self.post(to, delay, Event::Asked { from, round, ask });
+            self.post(to, delay, Event::PromiseRequest { from, round, ask });
         }
     }
 
-    pub(super) fn asked(&mut self, index: usize, from: usize, round: u64, ask: &PromiseAsk) {
+    pub(super) fn on_promise_request(
+        &mut self,
+        index: usize,
+        from: usize,
+        round: u64,
+        ask: &PromiseAsk,
+    ) {
         let now = self.processes[index].clock(self.now);
         let promise = self.processes[index].manager.on_promise_request(now, ask);
         let member = ask.member;
@@ -34,7 +46,7 @@
             self.post(
                 from,
                 delay,
-                Event::Promised {
+                Event::PromiseAnswer {
                     round,
                     member,
                     promise,
@@ -77,7 +89,7 @@
             self.post(
                 to,
                 delay,
-                Event::HandedOver {
+                Event::TransferArrived {
                     from: index,
                     transfer,
                 },
@@ -85,7 +97,7 @@
         }
     }
 
-    pub(super) fn handed_over(&mut self, index: usize, from: usize, transfer: LedgerTransfer) {
+    pub(super) fn on_transfer(&mut self, index: usize, from: usize, transfer: LedgerTransfer) {
         let process = &mut self.processes[index];
         if transfer.to != process.instance {
             return;
--- a/tests/claims_simulation/keys.rs
+++ b/tests/claims_simulation/keys.rs
@@ -14,8 +14,8 @@
 
 use super::ATTEMPTS;
 use super::Event;
+use super::KeyedRequest;
 use super::Process;
-use super::Sending;
 use super::Simulation;
 use super::WINDOW_MS;
 
@@ -40,43 +40,43 @@
     /// be detected.
     pub fn send_key(&mut self, key: &Name, after_ms: u64) {
         let limits = ResendLimits::new(WINDOW_MS);
-        let late = self.chance(self.noise.late_permille);
+        let late = self.chance(self.fault_rates.late_permille);
         let pause_ms = if late {
             self.rng.u64(0..limits.max_undetected_pause_ms())
         } else {
             0
         };
-        let sending = Sending {
+        let request = KeyedRequest {
             key: key.clone(),
             arrived_at: self.now + after_ms + pause_ms,
             attempts: 0,
             next: None,
         };
-        self.push(after_ms + pause_ms, None, Event::Send { sending });
+        self.push(after_ms + pause_ms, None, Event::Send { request });
     }
 
-    pub(super) fn send(&mut self, mut sending: Sending) {
+    pub(super) fn send(&mut self, mut request: KeyedRequest) {
         let limits = ResendLimits::new(WINDOW_MS);
-        let too_late = self.now - sending.arrived_at > limits.attempt_window_ms();
-        if too_late || sending.attempts >= ATTEMPTS {
+        let too_late = self.now - request.arrived_at > limits.attempt_window_ms();
+        if too_late || request.attempts >= ATTEMPTS {
             let refusal = Refusal::unknown(RefusalReason::NotOwner, 0);
-            self.truth.report_refused(&sending.key, refusal);
+            self.truth.report_refused(&request.key, refusal);
             return;
         }
-        sending.attempts += 1;
-        let (to, stamp) = sending
+        request.attempts += 1;
+        let (to, stamp) = request
             .next
             .take()
-            .unwrap_or_else(|| (self.route(&sending.key), 0));
+            .unwrap_or_else(|| (self.route(&request.key), 0));
         // An attempt may stay in a buffer for a very long time. The stamp has to reveal that.
-        let stuck = self.chance(self.noise.late_permille / 2);
+        let stuck = self.chance(self.fault_rates.late_permille / 2);
         let delay = if stuck {
             Some(self.rng.u64(0..4 * WINDOW_MS))
         } else {
             self.delay()
         };
         if let Some(delay) = delay {
-            self.post(to, delay, Event::Attempt { sending, stamp });
+            self.post(to, delay, Event::Attempt { request, stamp });
         }
     }
 
@@ -92,43 +92,43 @@
             self.processes.iter().position(is_owner)
         });
         match by_row {
-            Some(index) if !self.chance(self.noise.late_permille * 5) => index,
+            Some(index) if !self.chance(self.fault_rates.late_permille * 5) => index,
             _ => self.rng.usize(0..self.processes.len()),
         }
     }
 
-    pub(super) fn attempt(&mut self, index: usize, mut sending: Sending, stamp: u64) {
+    pub(super) fn attempt(&mut self, index: usize, mut request: KeyedRequest, stamp: u64) {
         let process = &mut self.processes[index];
         let now = process.clock(self.now);
         let call = KeyedCall {
-            key: &sending.key,
+            key: &request.key,
             fingerprint: 1,
             stamp,
             first_sending: false,
         };
         match process.ledger.begin(now, &call) {
             KeyDecision::Run => {
-                let key = sending.key;
-                let late = self.chance(self.noise.late_permille);
+                let key = request.key;
+                let late = self.chance(self.fault_rates.late_permille);
                 let wait_ms = self.rng.u64(0..if late { 5_000 } else { 200 });
                 self.post(index, wait_ms, Event::Dispatch { key });
             }
             KeyDecision::Join => {}
-            KeyDecision::Answer(_) => self.truth.report_ran(&sending.key, self.now),
+            KeyDecision::Answer(_) => self.truth.report_ran(&request.key, self.now),
             KeyDecision::Refuse(refusal) if refusal.reason == RefusalReason::StaleAttempt => {
-                sending.next = Some((index, process.ledger.stamp(now)));
+                request.next = Some((index, process.ledger.stamp(now)));
                 let delay = self.rng.u64(1..20);
-                self.push(delay, None, Event::Send { sending });
+                self.push(delay, None, Event::Send { request });
             }
             KeyDecision::Refuse(refusal) if refusal.reason == RefusalReason::NotOwner => {
-                self.push(50, None, Event::Send { sending });
+                self.push(50, None, Event::Send { request });
             }
-            KeyDecision::Refuse(refusal) => self.truth.report_refused(&sending.key, refusal),
+            KeyDecision::Refuse(refusal) => self.truth.report_refused(&request.key, refusal),
         }
     }
 
     pub(super) fn dispatch(&mut self, index: usize, key: Name) {
-        if self.chance(self.noise.shed_permille) {
+        if self.chance(self.fault_rates.shed_permille) {
             self.processes[index].ledger.not_started(&key);
             let refusal = Refusal::not_run(RefusalReason::Overloaded, 0);
             self.truth.report_refused(&key, refusal);
--- a/tests/claims_simulation/mod.rs
+++ b/tests/claims_simulation/mod.rs
@@ -29,7 +29,7 @@
 use sassafrasgap::core::Name;
 
 pub use calls::GroundTruth;
-pub use calls::Sending;
+pub use calls::KeyedRequest;
 pub use faults::Fault;
 pub use process::Process;
 pub use store::Store;
@@ -59,17 +59,17 @@
         op: u64,
         result: WriteResult,
     },
-    Asked {
+    PromiseRequest {
         from: usize,
         round: u64,
         ask: PromiseAsk,
     },
-    Promised {
+    PromiseAnswer {
         round: u64,
         member: u64,
         promise: Promise,
     },
-    HandedOver {
+    TransferArrived {
         from: usize,
         transfer: LedgerTransfer,
     },
@@ -78,7 +78,7 @@
         confirmed: bool,
     },
     Attempt {
-        sending: Sending,
+        request: KeyedRequest,
         stamp: u64,
     },
     Dispatch {
@@ -89,27 +89,34 @@
     },
     /// An entry sends the next attempt. This event belongs to no process.
     Send {
-        sending: Sending,
+        request: KeyedRequest,
     },
     Fault(Fault),
 }
 
-struct Queued {
+struct QueuedEvent {
     process: Option<(usize, u64)>,
     event: Event,
 }
 
-/// Probabilities of message faults and other faults, in thousandths, and the longest delay.
+/// Probabilities of the faults that happen throughout a run, in thousandths.
 #[derive(Clone, Copy)]
-pub struct Noise {
+pub struct FaultRates {
+    /// A message is lost.
     pub lost_permille: u64,
+    /// A message is delayed by up to `late_ms`, an entry is paused before it sends, or a dispatch
+    /// waits for up to 5 s. An attempt is held in a buffer with half of this probability, and sent
+    /// to any process instead of the owner with five times this probability.
     pub late_permille: u64,
+    /// The longest delay of a late message.
     pub late_ms: u64,
+    /// A call that was accepted is refused before it starts.
     pub shed_permille: u64,
+    /// At a tick, a process considers all other nodes gone.
     pub false_alarm_permille: u64,
 }
 
-impl Noise {
+impl FaultRates {
     pub const NONE: Self = Self {
         lost_permille: 0,
         late_permille: 0,
@@ -132,18 +139,19 @@
     pub processes: Vec<Process>,
     pub store: Store,
     pub truth: GroundTruth,
-    pub noise: Noise,
+    pub fault_rates: FaultRates,
     pub conf: LeaseConf,
     cut: Option<(usize, bool)>,
     queue: BinaryHeap<Reverse<(u64, usize)>>,
-    events: Vec<Option<Queued>>,
+    events: Vec<Option<QueuedEvent>>,
     keys: u64,
 }
 
 impl Simulation {
     /// Starts `nodes` processes and assigns them to `domains` domains in turn.
-    pub fn new(seed: u64, nodes: usize, domains: usize, noise: Noise) -> Self {
+    pub fn new(seed: u64, nodes: usize, domains: usize, fault_rates: FaultRates) -> Self {
         let mut conf = LeaseConf::for_lease(LEASE_MS);
+        // With odd seeds, the time in which promises replace the table ends within a run.
         if seed % 2 == 1 {
             conf.terms.outage_ms = 10 * LEASE_MS;
         }
@@ -153,7 +161,7 @@
             processes: Vec::new(),
             store: Store::default(),
             truth: GroundTruth::default(),
-            noise,
+            fault_rates,
             conf,
             cut: None,
             queue: BinaryHeap::new(),
@@ -192,18 +200,18 @@
     }
 
     fn push(&mut self, after_ms: u64, process: Option<(usize, u64)>, event: Event) {
-        self.events.push(Some(Queued { process, event }));
+        self.events.push(Some(QueuedEvent { process, event }));
         let index = self.events.len() - 1;
         self.queue.push(Reverse((self.now + after_ms, index)));
     }
 
     /// Delay of a message: usually short, sometimes long, or `None` if the message is lost.
     fn delay(&mut self) -> Option<u64> {
-        if self.chance(self.noise.lost_permille) {
+        if self.chance(self.fault_rates.lost_permille) {
             return None;
         }
-        if self.chance(self.noise.late_permille) {
-            return Some(self.rng.u64(0..=self.noise.late_ms));
+        if self.chance(self.fault_rates.late_permille) {
+            return Some(self.rng.u64(0..=self.fault_rates.late_ms));
         }
         Some(self.rng.u64(1..=15))
     }
@@ -245,10 +253,10 @@
         self.now = end;
     }
 
-    fn handle(&mut self, queued: Queued) {
+    fn handle(&mut self, queued: QueuedEvent) {
         let Some((process, instance)) = queued.process else {
             match queued.event {
-                Event::Send { sending } => self.send(sending),
+                Event::Send { request } => self.send(request),
                 Event::Fault(fault) => self.apply(fault),
                 Event::StoreRead { .. } | Event::StoreWrite { .. } => {}
                 _ => unreachable!("an event of a process"),
@@ -321,7 +329,7 @@
             Event::WriteDone { op, result } => {
                 process.with_manager(|manager| manager.on_write(now, op, result))
             }
-            Event::Promised {
+            Event::PromiseAnswer {
                 round,
                 member,
                 promise,
@@ -333,14 +341,18 @@
                 transfer,
                 confirmed,
             } => process.with_manager(|manager| manager.on_handed_over(now, transfer, confirmed)),
-            Event::Asked { from, round, ask } => return self.asked(index, from, round, &ask),
-            Event::HandedOver { from, transfer } => return self.handed_over(index, from, transfer),
-            Event::Attempt { sending, stamp } => return self.attempt(index, sending, stamp),
+            Event::PromiseRequest { from, round, ask } => {
+                return self.on_promise_request(index, from, round, &ask);
+            }
+            Event::TransferArrived { from, transfer } => {
+                return self.on_transfer(index, from, transfer);
+            }
+            Event::Attempt { request, stamp } => return self.attempt(index, request, stamp),
             Event::Dispatch { key } => return self.dispatch(index, key),
             Event::Finish { key } => return self.finish(index, &key),
             _ => unreachable!("not an event of a process"),
         };
-        self.act(index, actions);
+        self.execute(index, actions);
     }
 
     fn tick(&mut self, index: usize) {
@@ -358,7 +370,7 @@
         let updates = process.ledger.take_key_updates();
         let has_left = process.stopping && process.manager.has_left();
         process.is_dead |= has_left;
-        self.act(index, actions);
+        self.execute(index, actions);
         for (node, transfer) in updates {
             self.send_transfer(index, &node, transfer);
         }
@@ -375,12 +387,12 @@
             .map(|other| self.processes[other].node.clone())
             .collect();
         self.processes[index].alive = alive.into_iter().collect();
-        if self.chance(self.noise.false_alarm_permille) {
+        if self.chance(self.fault_rates.false_alarm_permille) {
             self.processes[index].alive.clear();
         }
     }
 
-    fn act(&mut self, index: usize, actions: Vec<Action>) {
+    fn execute(&mut self, index: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::ReadRow { op } => {
@@ -398,7 +410,7 @@
                     node,
                     member,
                 } => {
-                    self.ask(index, round, &node, member);
+                    self.send_promise_request(index, round, &node, member);
                 }
                 Action::HandOver {
                     transfer,
