--- a/src/claims/shared_ledger.rs
+++ b/src/claims/shared_ledger.rs
@@ -1,5 +1,5 @@
-//! The ledger as traffic threads use it: behind a short mutex, with those who wait for a call that
-//! another request with the same key began.
+//! The ledger as shared by the traffic threads. It is protected by a mutex that is held briefly,
+//! and it tracks the requests that wait for a call that another request with the same key began.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -7,7 +7,7 @@
 
 use tokio::sync::oneshot;
 
-use crate::claims::Begin;
+use crate::claims::KeyDecision;
 use crate::claims::KeyOutcome;
 use crate::claims::KeyedCall;
 use crate::claims::Ledger;
@@ -19,30 +19,33 @@
 use crate::core::RefusalReason;
 use crate::core::TimeMs;
 
-/// How many requests may wait for the same call; a caller that resends hard is bounded by it.
+/// The largest number of requests that may wait for the same call. It bounds the memory that a
+/// caller with many resends takes.
 const MAX_JOINED: usize = 64;
-/// When to come back for those beyond.
+/// Retry delay for requests beyond that number.
 const JOIN_RETRY_MS: u64 = 1_000;
 
-/// How a call ended, for the requests that joined it.
+/// The end of a call, for the requests that joined it. [`KeyOutcome`] is what the ledger records of
+/// it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Settled {
-    /// It ran; the answer is `None` when it is too large to keep.
+pub enum KeyedCallOutcome {
+    /// The call ran. The answer is `None` if it is too large to keep.
     Ran(Option<Arc<KeptAnswer>>),
-    /// It may have run.
+    /// The call may have run.
     MayHaveRun,
-    /// It was refused before it started.
+    /// The call was refused before it started.
     NotStarted(Refusal),
 }
 
-/// What a guard does with a keyed call.
+/// The guard's decision on a keyed call.
 #[derive(Debug)]
-pub enum Admitted {
-    /// Run it and settle the ticket.
+pub enum KeyedAdmission {
+    /// Run the call and report its end to [`RunTicket::settle`].
     Run(RunTicket),
-    /// Wait for the call that runs already. The sender is never dropped without a word.
-    Join(oneshot::Receiver<Settled>),
-    /// Repeat the answer.
+    /// Wait for the call that already runs. The sender always sends an outcome before it is
+    /// dropped.
+    Join(oneshot::Receiver<KeyedCallOutcome>),
+    /// Send the kept answer again.
     Answer(Arc<KeptAnswer>),
     Refuse(Refusal),
 }
@@ -50,8 +53,8 @@
 #[derive(Debug)]
 struct Inner {
     ledger: Ledger,
-    /// Bounded by the running keys of the ledger and [`MAX_JOINED`] each.
-    joined: FastMap<Name, Vec<oneshot::Sender<Settled>>>,
+    /// Bounded by the number of running keys, with up to [`MAX_JOINED`] waiters each.
+    joined: FastMap<Name, Vec<oneshot::Sender<KeyedCallOutcome>>>,
 }
 
 /// A ledger shared by the traffic threads and the control thread.
@@ -62,7 +65,7 @@
 }
 
 impl SharedLedger {
-    /// Shares a ledger whose times are those of `clock`.
+    /// Shares a ledger that takes its times from `clock`.
     pub fn new(clock: Clock, ledger: Ledger) -> Arc<Self> {
         let joined = FastMap::default();
         Arc::new(Self {
@@ -73,51 +76,51 @@
 
     /// Decides on a keyed call that has just arrived.
     ///
-    /// The time is read before the ledger is asked, never after: a pause in between then makes
-    /// the call look older than it is, which the grace period covers.
-    pub fn begin(self: &Arc<Self>, call: &KeyedCall<'_>) -> Admitted {
+    /// The time is read before the lock is taken. A pause in between then makes the call seem to
+    /// have arrived earlier than it did, which the grace period covers.
+    pub fn begin(self: &Arc<Self>, call: &KeyedCall<'_>) -> KeyedAdmission {
         let now = self.clock.now();
         let mut inner = self.lock();
         match inner.ledger.begin(now, call) {
-            Begin::Run => Admitted::Run(RunTicket {
+            KeyDecision::Run => KeyedAdmission::Run(RunTicket {
                 ledger: self.clone(),
                 key: call.key.clone(),
                 settled: false,
             }),
-            Begin::Join => join(&mut inner, call.key),
-            Begin::Answer(answer) => Admitted::Answer(answer),
-            Begin::Refuse(refusal) => Admitted::Refuse(refusal),
+            KeyDecision::Join => join(&mut inner, call.key),
+            KeyDecision::Answer(answer) => KeyedAdmission::Answer(answer),
+            KeyDecision::Refuse(refusal) => KeyedAdmission::Refuse(refusal),
         }
     }
 
-    /// Works on the ledger itself; `now` is the time at which the lock was held.
+    /// Runs `work` on the ledger. `now` is read while the lock is held.
     pub fn with<T>(&self, work: impl FnOnce(&mut Ledger, TimeMs) -> T) -> T {
         let mut inner = self.lock();
         let now = self.clock.now();
         work(&mut inner.ledger, now)
     }
 
-    fn settle(&self, key: &Name, settled: Settled) {
+    fn settle(&self, key: &Name, outcome: KeyedCallOutcome) {
         let now = self.clock.now();
         let mut inner = self.lock();
-        match &settled {
-            Settled::Ran(answer) => {
-                let outcome = KeyOutcome::Ran(answer.clone());
-                inner.ledger.finish(now, key, outcome);
+        match &outcome {
+            KeyedCallOutcome::Ran(answer) => {
+                let key_outcome = KeyOutcome::Ran(answer.clone());
+                inner.ledger.finish(now, key, key_outcome);
             }
-            Settled::MayHaveRun => inner.ledger.finish(now, key, KeyOutcome::MayHaveRun),
-            Settled::NotStarted(_) => inner.ledger.not_started(key),
+            KeyedCallOutcome::MayHaveRun => inner.ledger.finish(now, key, KeyOutcome::MayHaveRun),
+            KeyedCallOutcome::NotStarted(_) => inner.ledger.not_started(key),
         }
         let joined = inner.joined.remove(key);
         drop(inner);
         for waiter in joined.into_iter().flatten() {
-            // A waiter that has gone away needs no answer.
-            let _ = waiter.send(settled.clone());
+            // A closed receiver means that the waiting request has gone.
+            let _ = waiter.send(outcome.clone());
         }
     }
 
-    /// A panic elsewhere leaves the ledger usable: its methods change one entry at a time, and a
-    /// lost entry would be worse than one that says too little.
+    /// Ignores poisoning. After a panic elsewhere the ledger stays usable, because its methods
+    /// change one entry at a time. Losing an entry would be worse than keeping an incomplete one.
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner
             .lock()
@@ -125,22 +128,22 @@
     }
 }
 
-fn join(inner: &mut Inner, key: &Name) -> Admitted {
+fn join(inner: &mut Inner, key: &Name) -> KeyedAdmission {
     let waiters = inner.joined.entry(key.clone()).or_default();
     waiters.retain(|waiter| !waiter.is_closed());
     if waiters.len() >= MAX_JOINED {
         let reason = RefusalReason::AlreadyRan;
-        return Admitted::Refuse(Refusal::unknown(reason, JOIN_RETRY_MS));
+        return KeyedAdmission::Refuse(Refusal::unknown(reason, JOIN_RETRY_MS));
     }
     let (sender, receiver) = oneshot::channel();
     waiters.push(sender);
-    Admitted::Join(receiver)
+    KeyedAdmission::Join(receiver)
 }
 
-/// The right and the duty to run one keyed call.
+/// Obliges its holder to run one keyed call and report its end.
 ///
-/// Guards against a key that stays running for good because its task was dropped: every resend
-/// would wait. It holds because dropping the ticket reports that the call may have run.
+/// Guards against a key that stays in the running state for good because its task was dropped:
+/// every resend would wait. Dropping an unsettled ticket reports that the call may have run.
 #[derive(Debug)]
 pub struct RunTicket {
     ledger: Arc<SharedLedger>,
@@ -150,16 +153,16 @@
 
 impl RunTicket {
     /// Reports how the call ended.
-    pub fn settle(mut self, settled: Settled) {
+    pub fn settle(mut self, outcome: KeyedCallOutcome) {
         self.settled = true;
-        self.ledger.settle(&self.key, settled);
+        self.ledger.settle(&self.key, outcome);
     }
 }
 
 impl Drop for RunTicket {
     fn drop(&mut self) {
         if !self.settled {
-            self.ledger.settle(&self.key, Settled::MayHaveRun);
+            self.ledger.settle(&self.key, KeyedCallOutcome::MayHaveRun);
         }
     }
 }
--- a/tests/claims_ledger.rs
+++ b/tests/claims_ledger.rs
@@ -1,19 +1,19 @@
-//! The ledger of one guard: which keyed calls may run, and what is said of the others.
+//! The ledger of one guard: which keyed calls may run, and how the others are refused.
 
 use std::sync::Arc;
 
 use rstest::rstest;
-use sassafrasgap::claims::Begin;
 use sassafrasgap::claims::HeldSlot;
-use sassafrasgap::claims::Holding;
+use sassafrasgap::claims::KeyDecision;
 use sassafrasgap::claims::KeyOutcome;
 use sassafrasgap::claims::KeyedCall;
 use sassafrasgap::claims::Ledger;
 use sassafrasgap::claims::LedgerBounds;
 use sassafrasgap::claims::LedgerTransfer;
-use sassafrasgap::claims::MovedTo;
 use sassafrasgap::claims::ResendLimits;
-use sassafrasgap::claims::SLOTS;
+use sassafrasgap::claims::SLOT_COUNT;
+use sassafrasgap::claims::SlotLease;
+use sassafrasgap::claims::TransferTarget;
 use sassafrasgap::claims::slot_of;
 use sassafrasgap::control::KeptAnswer;
 use sassafrasgap::core::Name;
@@ -25,15 +25,15 @@
 const WINDOW_MS: u64 = 16_000;
 const CONTENT: u64 = 7;
 
-fn held(lease_until: u64, grace_until: u64) -> Holding {
-    let mut holding = Holding::nothing();
-    holding.lease_until = TimeMs(lease_until);
-    holding.held = [Some(HeldSlot {
+fn held(lease_until: u64, grace_until: u64) -> SlotLease {
+    let mut slot_lease = SlotLease::none_held();
+    slot_lease.lease_until = TimeMs(lease_until);
+    slot_lease.held = [Some(HeldSlot {
         epoch: 1,
         grace_until: TimeMs(grace_until),
-        giving: false,
-    }); SLOTS];
-    holding
+        handing_over: false,
+    }); SLOT_COUNT];
+    slot_lease
 }
 
 fn ledger(instance: u64, max_keys: usize, max_answer_bytes: usize) -> Ledger {
@@ -43,11 +43,11 @@
     };
     let limits = ResendLimits::new(WINDOW_MS);
     let mut ledger = Ledger::new(Name::from("jobs"), instance, bounds, limits);
-    ledger.set_holding(held(u64::MAX, 0));
+    ledger.set_slot_lease(held(u64::MAX, 0));
     ledger
 }
 
-fn begin(ledger: &mut Ledger, now: u64, key: &str, fingerprint: u64) -> Begin {
+fn begin(ledger: &mut Ledger, now: u64, key: &str, fingerprint: u64) -> KeyDecision {
     let stamp = ledger.stamp(TimeMs(now));
     let key = Name::from(key);
     let call = KeyedCall {
@@ -69,64 +69,67 @@
     ledger.finish(TimeMs(now), &Name::from(key), outcome);
 }
 
-fn refusal(begin: Begin) -> Refusal {
-    match begin {
-        Begin::Refuse(refusal) => refusal,
+fn refusal(decision: KeyDecision) -> Refusal {
+    match decision {
+        KeyDecision::Refuse(refusal) => refusal,
         other => panic!("not refused: {other:?}"),
     }
 }
 
-fn refused(begin: Begin) -> (RefusalReason, RunState) {
-    let refusal = refusal(begin);
+fn refused(decision: KeyDecision) -> (RefusalReason, RunState) {
+    let refusal = refusal(decision);
     (refusal.reason, refusal.run_state)
 }
 
 #[test]
-fn a_resend_joins_then_gets_the_first_answer_then_an_honest_ran() {
+fn a_resend_joins_then_gets_the_first_answer_then_already_ran() {
     let mut ledger = ledger(1, 10, 1_000);
-    assert_eq!(begin(&mut ledger, 0, "a", CONTENT), Begin::Run);
-    assert_eq!(begin(&mut ledger, 10, "a", CONTENT), Begin::Join);
+    assert_eq!(begin(&mut ledger, 0, "a", CONTENT), KeyDecision::Run);
+    assert_eq!(begin(&mut ledger, 10, "a", CONTENT), KeyDecision::Join);
     finish(&mut ledger, 20, "a", 100);
     assert!(matches!(
         begin(&mut ledger, 30, "a", CONTENT),
-        Begin::Answer(_)
+        KeyDecision::Answer(_)
     ));
     ledger.sweep(TimeMs(20 + WINDOW_MS));
     let late = begin(&mut ledger, 20 + WINDOW_MS, "a", CONTENT);
     assert_eq!(refused(late), (RefusalReason::AlreadyRan, RunState::Ran));
     let other = begin(&mut ledger, 40, "a", CONTENT + 1);
-    let said = (RefusalReason::KeyMismatch, RunState::Unknown);
-    assert_eq!(refused(other), said);
+    let expected = (RefusalReason::KeyMismatch, RunState::Unknown);
+    assert_eq!(refused(other), expected);
 }
 
-/// The lease, the grace period and a slot that is not held: in each case another process may have
-/// run the key, so nothing may be said but `unknown`.
+/// The lease has lapsed, the grace period lasts, or the slot is not held. In each case another
+/// process may have run the key, so the refusal must say `unknown`.
 #[rstest]
 #[case(held(1_000, 0), RefusalReason::LeaseLapsed)]
 #[case(held(9_000, 2_000), RefusalReason::GracePeriod)]
-#[case(Holding::nothing(), RefusalReason::NotOwner)]
+#[case(SlotLease::none_held(), RefusalReason::NotOwner)]
 fn an_unseen_key_is_unknown_where_it_may_have_run_elsewhere(
-    #[case] holding: Holding,
+    #[case] slot_lease: SlotLease,
     #[case] reason: RefusalReason,
 ) {
     let mut ledger = ledger(1, 10, 1_000);
-    assert_eq!(begin(&mut ledger, 1, "seen", CONTENT), Begin::Run);
-    ledger.set_holding(holding);
+    assert_eq!(begin(&mut ledger, 1, "seen", CONTENT), KeyDecision::Run);
+    ledger.set_slot_lease(slot_lease);
     let unseen = begin(&mut ledger, 1_000, "unseen", CONTENT);
     assert_eq!(refused(unseen), (reason, RunState::Unknown));
-    assert_eq!(begin(&mut ledger, 1_000, "seen", CONTENT), Begin::Join);
+    assert_eq!(
+        begin(&mut ledger, 1_000, "seen", CONTENT),
+        KeyDecision::Join
+    );
 }
 
-/// A caller sends an order through an entry that is paused with the attempt half sent, then again
-/// through another entry, where it runs. Much later the first entry goes on and its attempt
-/// arrives, after the key was forgotten: the order would be placed twice. Cause: the guard cannot
-/// see how old an attempt is, unless the attempt carries a stamp the guard gave out.
+/// A caller sends an order through an entry that is paused with the attempt half sent, and then
+/// through another entry, where it runs. Much later the first entry resumes and its attempt
+/// arrives, after the key was forgotten. The order would be placed twice. The guard can recognise
+/// the age of an attempt only by the stamp that it carries.
 #[test]
-fn an_attempt_that_was_under_way_for_long_is_refused() {
+fn an_attempt_with_an_old_or_missing_stamp_is_refused() {
     let mut ledger = ledger(1, 10, 1_000);
     let key = Name::from("a");
     let old_stamp = ledger.stamp(TimeMs(0));
-    assert_eq!(begin(&mut ledger, 10, "a", CONTENT), Begin::Run);
+    assert_eq!(begin(&mut ledger, 10, "a", CONTENT), KeyDecision::Run);
     finish(&mut ledger, 20, "a", 10);
     let much_later = TimeMs(10 * WINDOW_MS);
     ledger.sweep(much_later);
@@ -137,32 +140,32 @@
             stamp,
             first_sending: false,
         };
-        let said = (RefusalReason::StaleAttempt, RunState::Unknown);
-        assert_eq!(refused(ledger.begin(much_later, &call)), said);
+        let expected = (RefusalReason::StaleAttempt, RunState::Unknown);
+        assert_eq!(refused(ledger.begin(much_later, &call)), expected);
     }
 }
 
-/// Callers send so many keys that the ledger is full. Were old keys dropped to make room, their
-/// resends would run a second time; so new keys are refused, certainly not run, until old ones
-/// are over.
+/// Callers send so many keys that the ledger is full. If old keys were dropped to make room,
+/// resends of them would run a second time. So new keys have to be refused as `not_run` until old
+/// ones expire.
 #[test]
 fn a_full_ledger_refuses_new_keys_and_forgets_none_early() {
     let mut ledger = ledger(1, 2, 1_000);
     for key in ["a", "b"] {
-        assert_eq!(begin(&mut ledger, 0, key, CONTENT), Begin::Run);
+        assert_eq!(begin(&mut ledger, 0, key, CONTENT), KeyDecision::Run);
         finish(&mut ledger, 1, key, 10);
     }
     let full = begin(&mut ledger, 2 * WINDOW_MS, "c", CONTENT);
     assert_eq!(refused(full), (RefusalReason::LedgerFull, RunState::NotRun));
     assert_eq!(
         begin(&mut ledger, 1 + 2 * WINDOW_MS, "c", CONTENT),
-        Begin::Run
+        KeyDecision::Run
     );
     assert_eq!(ledger.len(), 1);
 }
 
-/// Two nodes of different versions serve one service. Were the slot of a key to depend on the
-/// version, each would take itself for the key's owner, and both would run it.
+/// Two nodes of different versions serve one service. If the slot of a key depended on the version,
+/// both nodes would consider themselves the key's owner and run it.
 #[rstest]
 #[case("jobs", "a", 7)]
 #[case("jobs", "order-2026-12-02/17", 24)]
@@ -176,7 +179,7 @@
     let mut ledger = ledger(1, 100, 1_000);
     for index in 0..20 {
         let key = format!("key-{index}");
-        assert_eq!(begin(&mut ledger, 0, &key, CONTENT), Begin::Run);
+        assert_eq!(begin(&mut ledger, 0, &key, CONTENT), KeyDecision::Run);
         finish(&mut ledger, 1, &key, 300);
     }
     assert!(ledger.answer_bytes() <= 1_000);
@@ -188,67 +191,68 @@
 #[test]
 fn a_key_that_was_not_started_may_run_again() {
     let mut ledger = ledger(1, 10, 1_000);
-    assert_eq!(begin(&mut ledger, 0, "a", CONTENT), Begin::Run);
+    assert_eq!(begin(&mut ledger, 0, "a", CONTENT), KeyDecision::Run);
     ledger.not_started(&Name::from("a"));
-    assert_eq!(begin(&mut ledger, 1, "a", CONTENT), Begin::Run);
+    assert_eq!(begin(&mut ledger, 1, "a", CONTENT), KeyDecision::Run);
     ledger.finish(TimeMs(2), &Name::from("a"), KeyOutcome::MayHaveRun);
     let again = begin(&mut ledger, 3, "a", CONTENT);
-    let said = (RefusalReason::AlreadyRan, RunState::Unknown);
-    assert_eq!(refused(again), said);
+    let expected = (RefusalReason::AlreadyRan, RunState::Unknown);
+    assert_eq!(refused(again), expected);
 }
 
 fn transfer(from: &mut Ledger, id: u64, now: u64) -> LedgerTransfer {
-    let slots: Vec<usize> = (0..SLOTS).collect();
-    let to = MovedTo {
+    let slots: Vec<usize> = (0..SLOT_COUNT).collect();
+    let to = TransferTarget {
         node: Name::from("receiver"),
         instance: 2,
         transfer: id,
     };
-    from.give(TimeMs(now), &slots, &to)
+    from.export_slots(TimeMs(now), &slots, &to)
 }
 
-fn receive_news(from: &mut Ledger, to: &mut Ledger, now: u64) {
-    for (_, news) in from.take_late_news() {
-        assert!(to.receive(TimeMs(now), news));
+fn deliver_updates(from: &mut Ledger, to: &mut Ledger, now: u64) {
+    for (_, update) in from.take_key_updates() {
+        assert!(to.receive(TimeMs(now), update));
     }
 }
 
 #[test]
-fn a_key_running_at_the_giver_is_settled_by_its_news() {
-    let mut giver = ledger(1, 10, 1_000);
+fn a_key_running_at_the_sender_is_settled_by_its_update() {
+    let mut sender = ledger(1, 10, 1_000);
     let mut receiver = ledger(2, 10, 1_000);
     for key in ["ran", "shed"] {
-        assert_eq!(begin(&mut giver, 0, key, CONTENT), Begin::Run);
+        assert_eq!(begin(&mut sender, 0, key, CONTENT), KeyDecision::Run);
     }
-    assert!(receiver.receive(TimeMs(0), transfer(&mut giver, 1, 0)));
+    assert!(receiver.receive(TimeMs(0), transfer(&mut sender, 1, 0)));
     let meanwhile = begin(&mut receiver, 1, "ran", CONTENT);
-    let said = (RefusalReason::AlreadyRan, RunState::Unknown);
-    assert_eq!(refused(meanwhile), said);
-    finish(&mut giver, 2, "ran", 10);
-    giver.not_started(&Name::from("shed"));
-    receive_news(&mut giver, &mut receiver, 3);
+    let expected = (RefusalReason::AlreadyRan, RunState::Unknown);
+    assert_eq!(refused(meanwhile), expected);
+    finish(&mut sender, 2, "ran", 10);
+    sender.not_started(&Name::from("shed"));
+    deliver_updates(&mut sender, &mut receiver, 3);
     let settled = begin(&mut receiver, 4, "ran", CONTENT);
-    assert!(matches!(settled, Begin::Answer(_)));
-    assert_eq!(begin(&mut receiver, 4, "shed", CONTENT), Begin::Run);
+    assert!(matches!(settled, KeyDecision::Answer(_)));
+    assert_eq!(begin(&mut receiver, 4, "shed", CONTENT), KeyDecision::Run);
 }
 
-/// A hand-over fails half way and the giver goes on. A call it had queued is shed, sent again and
-/// runs there; then the slot is handed over for good. Only now does the old news arrive that the
-/// call was shed. Were it believed, the receiver would run the call a second time.
+/// A hand-over fails half way and the sender keeps the slot. A call that it had queued is shed,
+/// sent again and run there. Then the slot is handed over for good. Only now the old update
+/// arrives, which says that the call was shed. If the receiver applied it, it would run the call a
+/// second time.
 #[test]
-fn old_news_of_a_shed_call_does_not_override_a_later_transfer() {
-    let mut giver = ledger(1, 10, 1_000);
+fn an_old_update_of_a_shed_call_does_not_override_a_later_transfer() {
+    let mut sender = ledger(1, 10, 1_000);
     let mut receiver = ledger(2, 10, 1_000);
-    assert_eq!(begin(&mut giver, 0, "a", CONTENT), Begin::Run);
-    assert!(receiver.receive(TimeMs(0), transfer(&mut giver, 1, 0)));
-    giver.not_started(&Name::from("a"));
-    let old_news = giver.take_late_news();
-    assert_eq!(begin(&mut giver, 1, "a", CONTENT), Begin::Run);
-    assert!(receiver.receive(TimeMs(2), transfer(&mut giver, 2, 2)));
-    for (_, news) in old_news {
-        assert!(receiver.receive(TimeMs(3), news));
+    assert_eq!(begin(&mut sender, 0, "a", CONTENT), KeyDecision::Run);
+    assert!(receiver.receive(TimeMs(0), transfer(&mut sender, 1, 0)));
+    sender.not_started(&Name::from("a"));
+    let old_updates = sender.take_key_updates();
+    assert_eq!(begin(&mut sender, 1, "a", CONTENT), KeyDecision::Run);
+    assert!(receiver.receive(TimeMs(2), transfer(&mut sender, 2, 2)));
+    for (_, update) in old_updates {
+        assert!(receiver.receive(TimeMs(3), update));
     }
     let again = begin(&mut receiver, 4, "a", CONTENT);
-    let said = (RefusalReason::AlreadyRan, RunState::Unknown);
-    assert_eq!(refused(again), said);
+    let expected = (RefusalReason::AlreadyRan, RunState::Unknown);
+    assert_eq!(refused(again), expected);
 }
--- a/tests/claims_world/mod.rs
+++ b/tests/claims_simulation/mod.rs
@@ -1,13 +1,13 @@
-//! A world in virtual time for the decisions of `claims`: processes on clocks that differ, a store
-//! and networks that lose and delay, callers that resend. It asserts at every step that no key
-//! runs twice, that no refusal says `not_run` of a key that ran, that epochs rise, and that no two
-//! processes could start keys of one slot.
+//! A simulation of `claims` in virtual time: processes with clocks of different speed, a store and
+//! networks that lose and delay messages, and callers that resend. At every step it asserts that no
+//! key runs twice, that no refusal says `not_run` about a key that ran, that epochs increase, and
+//! that no two processes could start keys of the same slot.
 
-#![allow(dead_code, reason = "each test file uses a part of the world")]
+#![allow(dead_code, reason = "each test file uses a part of the simulation")]
 
 mod calls;
 mod faults;
-mod handing_over;
+mod hand_overs;
 mod keys;
 mod process;
 mod store;
@@ -18,18 +18,18 @@
 use sassafrasgap::claims::Action;
 use sassafrasgap::claims::LeaseConf;
 use sassafrasgap::claims::LedgerTransfer;
+use sassafrasgap::claims::NodeConditions;
 use sassafrasgap::claims::ReadResult;
 use sassafrasgap::claims::ResendLimits;
-use sassafrasgap::claims::SLOTS;
-use sassafrasgap::claims::Situation;
+use sassafrasgap::claims::SLOT_COUNT;
 use sassafrasgap::claims::SlotMap;
 use sassafrasgap::claims::WriteResult;
 use sassafrasgap::control::Promise;
 use sassafrasgap::control::PromiseAsk;
 use sassafrasgap::core::Name;
 
-pub use calls::Sending;
-pub use calls::Truth;
+pub use calls::GroundTruth;
+pub use calls::KeyedRequest;
 pub use faults::Fault;
 pub use process::Process;
 pub use store::Store;
@@ -59,17 +59,17 @@
         op: u64,
         result: WriteResult,
     },
-    Asked {
+    PromiseRequest {
         from: usize,
         round: u64,
         ask: PromiseAsk,
     },
-    Promised {
+    PromiseAnswer {
         round: u64,
         member: u64,
         promise: Promise,
     },
-    HandedOver {
+    TransferArrived {
         from: usize,
         transfer: LedgerTransfer,
     },
@@ -78,7 +78,7 @@
         confirmed: bool,
     },
     Attempt {
-        sending: Sending,
+        request: KeyedRequest,
         stamp: u64,
     },
     Dispatch {
@@ -87,29 +87,36 @@
     Finish {
         key: Name,
     },
-    /// An entry sends the next attempt; not bound to a process.
+    /// An entry sends the next attempt. This event belongs to no process.
     Send {
-        sending: Sending,
+        request: KeyedRequest,
     },
     Fault(Fault),
 }
 
-struct Queued {
+struct QueuedEvent {
     process: Option<(usize, u64)>,
     event: Event,
 }
 
-/// How often messages go wrong, in thousandths.
+/// Probabilities of the faults that happen throughout a run, in thousandths.
 #[derive(Clone, Copy)]
-pub struct Noise {
+pub struct FaultRates {
+    /// A message is lost.
     pub lost_permille: u64,
+    /// A message is delayed by up to `late_ms`, an entry is paused before it sends, or a dispatch
+    /// waits for up to 5 s. An attempt is held in a buffer with half of this probability, and sent
+    /// to any process instead of the owner with five times this probability.
     pub late_permille: u64,
+    /// The longest delay of a late message.
     pub late_ms: u64,
+    /// A call that was accepted is refused before it starts.
     pub shed_permille: u64,
+    /// At a tick, a process considers all other nodes gone.
     pub false_alarm_permille: u64,
 }
 
-impl Noise {
+impl FaultRates {
     pub const NONE: Self = Self {
         lost_permille: 0,
         late_permille: 0,
@@ -126,34 +133,35 @@
     };
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: u64,
     pub rng: fastrand::Rng,
     pub processes: Vec<Process>,
     pub store: Store,
-    pub truth: Truth,
-    pub noise: Noise,
+    pub truth: GroundTruth,
+    pub fault_rates: FaultRates,
     pub conf: LeaseConf,
     cut: Option<(usize, bool)>,
     queue: BinaryHeap<Reverse<(u64, usize)>>,
-    events: Vec<Option<Queued>>,
+    events: Vec<Option<QueuedEvent>>,
     keys: u64,
 }
 
-impl World {
-    /// `nodes` processes, the first `domains` of them in a domain each, and so on in turn.
-    pub fn new(seed: u64, nodes: usize, domains: usize, noise: Noise) -> Self {
+impl Simulation {
+    /// Starts `nodes` processes and assigns them to `domains` domains in turn.
+    pub fn new(seed: u64, nodes: usize, domains: usize, fault_rates: FaultRates) -> Self {
         let mut conf = LeaseConf::for_lease(LEASE_MS);
+        // With odd seeds, the time in which promises replace the table ends within a run.
         if seed % 2 == 1 {
             conf.terms.outage_ms = 10 * LEASE_MS;
         }
-        let mut world = Self {
+        let mut simulation = Self {
             now: 0,
             rng: fastrand::Rng::with_seed(seed),
             processes: Vec::new(),
             store: Store::default(),
-            truth: Truth::default(),
-            noise,
+            truth: GroundTruth::default(),
+            fault_rates,
             conf,
             cut: None,
             queue: BinaryHeap::new(),
@@ -161,10 +169,10 @@
             keys: 0,
         };
         for node in 0..nodes {
-            let boot = world.rng.u64(1..);
-            world.start(Name::from(format!("node-{node}")), node % domains, boot);
+            let boot = simulation.rng.u64(1..);
+            simulation.start(Name::from(format!("node-{node}")), node % domains, boot);
         }
-        world
+        simulation
     }
 
     fn start(&mut self, node: Name, domain: usize, boot: u64) {
@@ -181,7 +189,7 @@
         self.rng.u64(0..1_000) < permille
     }
 
-    /// Lets an event happen at a process, if it still lives by then.
+    /// Schedules an event at a process. It is dropped if the process has ended by then.
     pub fn post(&mut self, process: usize, after_ms: u64, event: Event) {
         let instance = self.processes[process].instance;
         self.push(after_ms, Some((process, instance)), event);
@@ -192,18 +200,18 @@
     }
 
     fn push(&mut self, after_ms: u64, process: Option<(usize, u64)>, event: Event) {
-        self.events.push(Some(Queued { process, event }));
+        self.events.push(Some(QueuedEvent { process, event }));
         let index = self.events.len() - 1;
         self.queue.push(Reverse((self.now + after_ms, index)));
     }
 
-    /// A message takes a moment, sometimes long, and may be lost.
+    /// Delay of a message: usually short, sometimes long, or `None` if the message is lost.
     fn delay(&mut self) -> Option<u64> {
-        if self.chance(self.noise.lost_permille) {
+        if self.chance(self.fault_rates.lost_permille) {
             return None;
         }
-        if self.chance(self.noise.late_permille) {
-            return Some(self.rng.u64(0..=self.noise.late_ms));
+        if self.chance(self.fault_rates.late_permille) {
+            return Some(self.rng.u64(0..=self.fault_rates.late_ms));
         }
         Some(self.rng.u64(1..=15))
     }
@@ -245,17 +253,17 @@
         self.now = end;
     }
 
-    fn handle(&mut self, queued: Queued) {
+    fn handle(&mut self, queued: QueuedEvent) {
         let Some((process, instance)) = queued.process else {
             match queued.event {
-                Event::Send { sending } => self.send(sending),
+                Event::Send { request } => self.send(request),
                 Event::Fault(fault) => self.apply(fault),
                 Event::StoreRead { .. } | Event::StoreWrite { .. } => {}
                 _ => unreachable!("an event of a process"),
             }
             return;
         };
-        // What is under way to the store arrives whatever became of its sender.
+        // A request on its way to the store arrives even if its sender has ended.
         match queued.event {
             Event::StoreRead { op } => return self.at_store_read(process, op),
             Event::StoreWrite { op, expected, map } => {
@@ -277,7 +285,7 @@
     }
 
     fn check_owners(&self) {
-        for slot in 0..SLOTS {
+        for slot in 0..SLOT_COUNT {
             let open = |process: &&Process| process.could_start(slot, self.now);
             let owners = self.processes.iter().filter(open).count();
             assert!(
@@ -316,56 +324,61 @@
         let actions = match event {
             Event::Tick => return self.tick(index),
             Event::ReadDone { op, result } => {
-                process.keep(|keeper| keeper.on_read(now, op, result))
+                process.with_manager(|manager| manager.on_read(now, op, result))
             }
             Event::WriteDone { op, result } => {
-                process.keep(|keeper| keeper.on_write(now, op, result))
+                process.with_manager(|manager| manager.on_write(now, op, result))
             }
-            Event::Promised {
+            Event::PromiseAnswer {
                 round,
                 member,
                 promise,
-            } => process.keep(|keeper| {
-                keeper.on_promise(now, round, member, &promise);
+            } => process.with_manager(|manager| {
+                manager.on_promise(now, round, member, &promise);
                 Vec::new()
             }),
             Event::HandOverDone {
                 transfer,
                 confirmed,
-            } => process.keep(|keeper| keeper.on_handed_over(now, transfer, confirmed)),
-            Event::Asked { from, round, ask } => return self.asked(index, from, round, &ask),
-            Event::HandedOver { from, transfer } => return self.handed_over(index, from, transfer),
-            Event::Attempt { sending, stamp } => return self.attempt(index, sending, stamp),
+            } => process.with_manager(|manager| manager.on_handed_over(now, transfer, confirmed)),
+            Event::PromiseRequest { from, round, ask } => {
+                return self.on_promise_request(index, from, round, &ask);
+            }
+            Event::TransferArrived { from, transfer } => {
+                return self.on_transfer(index, from, transfer);
+            }
+            Event::Attempt { request, stamp } => return self.attempt(index, request, stamp),
             Event::Dispatch { key } => return self.dispatch(index, key),
             Event::Finish { key } => return self.finish(index, &key),
             _ => unreachable!("not an event of a process"),
         };
-        self.act(index, actions);
+        self.execute(index, actions);
     }
 
     fn tick(&mut self, index: usize) {
         self.refresh_alive(index);
         let now = self.processes[index].clock(self.now);
         let process = &mut self.processes[index];
-        let situation = Situation {
+        let conditions = NodeConditions {
             serving: process.serving,
             draining: false,
             stopping: process.stopping,
             alive: process.alive.clone(),
         };
-        let actions = process.keep(|keeper| keeper.tick(now, situation));
+        let actions = process.with_manager(|manager| manager.tick(now, conditions));
         process.ledger.sweep(now);
-        let news = process.ledger.take_late_news();
-        let has_left = process.stopping && process.keeper.has_left();
+        let updates = process.ledger.take_key_updates();
+        let has_left = process.stopping && process.manager.has_left();
         process.is_dead |= has_left;
-        self.act(index, actions);
-        for (node, transfer) in news {
+        self.execute(index, actions);
+        for (node, transfer) in updates {
             self.send_transfer(index, &node, transfer);
         }
         self.post(index, TICK_MS, Event::Tick);
     }
 
-    /// What membership would say: those that run and can be reached, with a mistake now and then.
+    /// Updates the membership view of a process: the processes that run and are reachable,
+    /// sometimes with a false alarm.
     fn refresh_alive(&mut self, index: usize) {
         let runs = |process: &Process| !process.is_dead && process.paused_until <= self.now;
         let alive: Vec<Name> = (0..self.processes.len())
@@ -374,12 +387,12 @@
             .map(|other| self.processes[other].node.clone())
             .collect();
         self.processes[index].alive = alive.into_iter().collect();
-        if self.chance(self.noise.false_alarm_permille) {
+        if self.chance(self.fault_rates.false_alarm_permille) {
             self.processes[index].alive.clear();
         }
     }
 
-    fn act(&mut self, index: usize, actions: Vec<Action>) {
+    fn execute(&mut self, index: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::ReadRow { op } => {
@@ -397,7 +410,7 @@
                     node,
                     member,
                 } => {
-                    self.ask(index, round, &node, member);
+                    self.send_promise_request(index, round, &node, member);
                 }
                 Action::HandOver {
                     transfer,
@@ -420,13 +433,13 @@
         }
     }
 
-    /// Those that have not died, by index.
-    pub fn living(&self) -> Vec<usize> {
+    /// Indices of the processes that have not ended.
+    pub fn live_processes(&self) -> Vec<usize> {
         let lives = |index: &usize| !self.processes[*index].is_dead;
         (0..self.processes.len()).filter(lives).collect()
     }
 
-    /// How many slots unseen keys can start in, at whatever process.
+    /// The number of slots in which an unseen key can start, summed over all processes.
     pub fn open_slots(&self) -> usize {
         let open = |process: &Process| match process.is_dead {
             true => 0,
