--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -33,7 +33,7 @@
 pub use levels::route_of;
 pub use named_rate::NamedRate;
 pub use named_rate::RateChange;
-pub use named_rate::RateWord;
+pub use named_rate::AdvertisedRate;
 pub use origins_by_domain::CallingServices;
 pub use origins_by_domain::HeardCall;
 pub use origins_by_domain::OriginsByDomain;
--- a/src/admission/named_rate.rs
+++ b/src/admission/named_rate.rs
@@ -9,30 +9,30 @@
 
 /// What one answer says of the rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum RateWord {
+pub enum AdvertisedRate {
     /// No rate is named.
     Absent,
     /// So many requests a second, from all nodes together; finite and not negative.
-    PerS(f64),
+    PerSecond(f64),
     /// A rate is named and cannot be told: it is no decimal number, negative, or not finite.
     Malformed,
 }
 
-impl RateWord {
+impl AdvertisedRate {
     /// The word for a number.
     pub fn of(per_s: f64) -> Self {
         if per_s.is_finite() && per_s >= 0.0 {
-            Self::PerS(per_s)
+            Self::PerSecond(per_s)
         } else {
             Self::Malformed
         }
     }
 
     /// Two words of one answer: the lower rate holds, and what cannot be told names none.
-    pub fn and(self, other: Self) -> Self {
+    pub fn combine(self, other: Self) -> Self {
         match (self, other) {
-            (Self::PerS(one), Self::PerS(other)) => Self::PerS(one.min(other)),
-            (Self::PerS(one), _) | (_, Self::PerS(one)) => Self::PerS(one),
+            (Self::PerSecond(one), Self::PerSecond(other)) => Self::PerSecond(one.min(other)),
+            (Self::PerSecond(one), _) | (_, Self::PerSecond(one)) => Self::PerSecond(one),
             (Self::Malformed, _) | (_, Self::Malformed) => Self::Malformed,
             (Self::Absent, Self::Absent) => Self::Absent,
         }
@@ -97,14 +97,14 @@
     }
 
     /// Takes in the word of an answer to a request that was sent at `sent_at`.
-    pub fn note(&mut self, now: TimeMs, sent_at: TimeMs, word: RateWord) -> RateChange {
+    pub fn note(&mut self, now: TimeMs, sent_at: TimeMs, word: AdvertisedRate) -> RateChange {
         match word {
-            RateWord::PerS(per_s) => self.name(now, per_s),
-            RateWord::Malformed => {
+            AdvertisedRate::PerSecond(per_s) => self.name(now, per_s),
+            AdvertisedRate::Malformed => {
                 self.heard(now);
                 RateChange::Unchanged
             }
-            RateWord::Absent => self.note_absent(now, sent_at),
+            AdvertisedRate::Absent => self.note_absent(now, sent_at),
         }
     }
 
--- a/src/traffic/backend_answer.rs
+++ b/src/traffic/backend_answer.rs
@@ -8,7 +8,7 @@
 
 use crate::adapters::WholeAnswer;
 use crate::admission::RateChange;
-use crate::admission::RateWord;
+use crate::admission::AdvertisedRate;
 use crate::core::Name;
 use crate::core::Refusal;
 use crate::core::RefusalReason;
@@ -91,7 +91,7 @@
     words
         .said()
         .for_each(|word| traffic.metrics.count_word(word));
-    if words.rate == RateWord::Malformed {
+    if words.rate == AdvertisedRate::Malformed {
         log::warn!("local: a rate cannot be read, incarnation={incarnation}");
     }
     let now = traffic.clock.now();
--- a/src/traffic/local_server.rs
+++ b/src/traffic/local_server.rs
@@ -4,7 +4,7 @@
 
 use crate::admission::NamedRate;
 use crate::admission::RateChange;
-use crate::admission::RateWord;
+use crate::admission::AdvertisedRate;
 use crate::core::Name;
 use crate::core::TargetState;
 use crate::core::TimeMs;
@@ -255,7 +255,7 @@
         now: TimeMs,
         incarnation: &Name,
         sent_at: TimeMs,
-        word: RateWord,
+        word: AdvertisedRate,
     ) -> RateChange {
         let present = self.present.as_mut();
         match present.filter(|present| present.incarnation == *incarnation) {
--- a/src/wire/server_words.rs
+++ b/src/wire/server_words.rs
@@ -4,7 +4,7 @@
 use http::HeaderName;
 use http::HeaderValue;
 
-use crate::admission::RateWord;
+use crate::admission::AdvertisedRate;
 
 /// The value that says that a backend server leaves.
 const LEAVES: &str = "1";
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerWords {
     /// How many requests a second it takes.
-    pub rate: RateWord,
+    pub rate: AdvertisedRate,
     /// It leaves: no new requests.
     pub is_leaving: bool,
 }
@@ -36,22 +36,22 @@
     /// What it says, by the words of the metrics.
     pub fn said(&self) -> impl Iterator<Item = &'static str> {
         let rate = match self.rate {
-            RateWord::Absent => None,
-            RateWord::PerS(_) => Some(RATE),
-            RateWord::Malformed => Some(MALFORMED_RATE),
+            AdvertisedRate::Absent => None,
+            AdvertisedRate::PerSecond(_) => Some(RATE),
+            AdvertisedRate::Malformed => Some(MALFORMED_RATE),
         };
         rate.into_iter().chain(self.is_leaving.then_some(LEAVING))
     }
 }
 
 /// What an answer says of the rate; of two values the lower one that can be told.
-pub fn rate_word(name: &HeaderName, headers: &HeaderMap) -> RateWord {
+pub fn rate_word(name: &HeaderName, headers: &HeaderMap) -> AdvertisedRate {
     let rates = headers.get_all(name).iter();
-    rates.map(rate_of).fold(RateWord::Absent, RateWord::and)
+    rates.map(rate_of).fold(AdvertisedRate::Absent, AdvertisedRate::combine)
 }
 
-fn rate_of(value: &HeaderValue) -> RateWord {
+fn rate_of(value: &HeaderValue) -> AdvertisedRate {
     let per_s = value.to_str().ok();
     let per_s = per_s.and_then(|text| text.trim().parse::<f64>().ok());
-    per_s.map_or(RateWord::Malformed, RateWord::of)
+    per_s.map_or(AdvertisedRate::Malformed, AdvertisedRate::of)
 }
--- a/tests/admission_named_rate.rs
+++ b/tests/admission_named_rate.rs
@@ -3,14 +3,14 @@
 use rstest::rstest;
 use sassafrasgap::admission::NamedRate;
 use sassafrasgap::admission::RateChange;
-use sassafrasgap::admission::RateWord;
+use sassafrasgap::admission::AdvertisedRate;
 use sassafrasgap::core::TimeMs;
 
 const NAMED_AT: TimeMs = TimeMs(10_000);
 
 fn named(per_s: f64) -> NamedRate {
     let mut rate = NamedRate::default();
-    rate.note(NAMED_AT, NAMED_AT - 50, RateWord::PerS(per_s));
+    rate.note(NAMED_AT, NAMED_AT - 50, AdvertisedRate::PerSecond(per_s));
     rate
 }
 
@@ -19,7 +19,7 @@
 fn answers_to_earlier_requests_end_nothing() {
     let mut rate = named(4.0);
     for late_ms in 1..100 {
-        let change = rate.note(NAMED_AT + late_ms, NAMED_AT - 1, RateWord::Absent);
+        let change = rate.note(NAMED_AT + late_ms, NAMED_AT - 1, AdvertisedRate::Absent);
         assert_eq!(change, RateChange::Unchanged);
     }
     assert_eq!(rate.per_s(), Some(4.0));
@@ -33,12 +33,12 @@
     for order in 1..3 {
         let (now, sent_at) = answer_ms(order);
         assert_eq!(
-            rate.note(now, sent_at, RateWord::Absent),
+            rate.note(now, sent_at, AdvertisedRate::Absent),
             RateChange::Unchanged
         );
     }
     let (now, sent_at) = answer_ms(3);
-    let change = rate.note(now, sent_at, RateWord::Absent);
+    let change = rate.note(now, sent_at, AdvertisedRate::Absent);
     assert_eq!(change, RateChange::Ends { held_ms: 300 });
     assert_eq!(rate.per_s(), None);
 }
@@ -50,9 +50,9 @@
     for order in 1..50 {
         let now = NAMED_AT + 100 * order;
         let word = if order % 3 == 0 {
-            RateWord::PerS(4.0)
+            AdvertisedRate::PerSecond(4.0)
         } else {
-            RateWord::Absent
+            AdvertisedRate::Absent
         };
         assert_eq!(rate.note(now, now - 50, word), RateChange::Unchanged);
     }
@@ -65,8 +65,8 @@
 #[case(f64::NEG_INFINITY)]
 #[case(-0.5)]
 fn a_malformed_word_changes_nothing(#[case] value: f64) {
-    let word = RateWord::of(value);
-    assert_eq!(word, RateWord::Malformed);
+    let word = AdvertisedRate::of(value);
+    assert_eq!(word, AdvertisedRate::Malformed);
     let mut rate = named(4.0);
     assert_eq!(
         rate.note(NAMED_AT + 10, NAMED_AT, word),
@@ -81,7 +81,7 @@
 #[test]
 fn another_rate_is_in_force_at_once() {
     let mut rate = named(4.0);
-    let change = rate.note(NAMED_AT + 1, NAMED_AT - 40, RateWord::PerS(2.5));
+    let change = rate.note(NAMED_AT + 1, NAMED_AT - 40, AdvertisedRate::PerSecond(2.5));
     assert_eq!(change, RateChange::Changes { per_s: 2.5 });
     assert_eq!(rate.per_s(), Some(2.5));
 }
--- a/tests/traffic_rate_fleet.rs
+++ b/tests/traffic_rate_fleet.rs
@@ -10,7 +10,7 @@
 use sassafrasgap::admission::Completion;
 use sassafrasgap::admission::Offer;
 use sassafrasgap::admission::QueuedCall;
-use sassafrasgap::admission::RateWord;
+use sassafrasgap::admission::AdvertisedRate;
 use sassafrasgap::admission::Verdict;
 use sassafrasgap::core::Name;
 use sassafrasgap::core::Priority;
@@ -231,9 +231,9 @@
             return;
         };
         let word = if self.names_rate() {
-            RateWord::PerS(self.per_s)
+            AdvertisedRate::PerSecond(self.per_s)
         } else {
-            RateWord::Absent
+            AdvertisedRate::Absent
         };
         let incarnation = Name::from("i-1");
         self.guard.local.note_rate(now, &incarnation, sent_at, word);
