--- a/src/admission/named_rate.rs
+++ b/src/admission/rate_limit_state.rs
@@ -75,13 +75,13 @@
 /// sent after the last one that named it, and only with others. A limit does not stay for ever, for a rate of
 /// 0 still lets a trial through now and then.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct NamedRate {
+pub struct RateLimitState {
     named: Option<Named>,
     /// Answers without a rate that this process has got; counted up to [`ENDING_ANSWERS`].
     answers_without: u32,
 }
 
-impl NamedRate {
+impl RateLimitState {
     /// The rate in force, if there is one.
     pub fn per_s(&self) -> Option<f64> {
         self.named.map(|named| named.per_s)
@@ -89,7 +89,7 @@
 
     /// Takes over a rate that a peer was told, perhaps before this process started. What this process has heard
     /// itself goes before it.
-    pub fn take_over(&mut self, now: TimeMs, per_s: f64) -> RateChange {
+    pub fn adopt(&mut self, now: TimeMs, per_s: f64) -> RateChange {
         if self.named.is_some() || self.answers_without >= ENDING_ANSWERS {
             return RateChange::Unchanged;
         }
--- a/src/node/backend_words.rs
+++ b/src/node/backend_words.rs
@@ -7,7 +7,7 @@
 use http::HeaderMap;
 use http::HeaderName;
 
-use crate::admission::NamedRate;
+use crate::admission::RateLimitState;
 use crate::admission::RateChange;
 use crate::core::TimeMs;
 use crate::node::gate::Gate;
@@ -19,7 +19,7 @@
 /// The rate that the backend server names, kept by the gate. On this interface a departure is announced.
 #[derive(Debug, Default)]
 pub(super) struct BackendWords {
-    rate: Mutex<NamedRate>,
+    rate: Mutex<RateLimitState>,
 }
 
 impl BackendWords {
@@ -37,11 +37,11 @@
     /// Another backend server may stand there from now on: it starts without a rate.
     pub fn forget(&self, gate: &Gate) {
         let mut rate = self.lock();
-        *rate = NamedRate::default();
+        *rate = RateLimitState::default();
         gate.set_rate(None);
     }
 
-    fn lock(&self) -> MutexGuard<'_, NamedRate> {
+    fn lock(&self) -> MutexGuard<'_, RateLimitState> {
         self.rate.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/src/traffic/local_server.rs
+++ b/src/traffic/local_server.rs
@@ -2,7 +2,7 @@
 //!
 //! Pure: reports and what is met on connections go in, with a time.
 
-use crate::admission::NamedRate;
+use crate::admission::RateLimitState;
 use crate::admission::RateChange;
 use crate::admission::AdvertisedRate;
 use crate::core::Name;
@@ -37,7 +37,7 @@
     /// It takes no connections: it crashed, or has not opened its port yet.
     is_down: bool,
     heard_at: TimeMs,
-    rate: NamedRate,
+    rate: RateLimitState,
 }
 
 /// Whether a report brought news.
@@ -96,7 +96,7 @@
             is_leaving: false,
             is_down: false,
             heard_at: now,
-            rate: NamedRate::default(),
+            rate: RateLimitState::default(),
         });
         Reported::News
     }
@@ -215,7 +215,7 @@
             is_leaving: report.state != ReportedState::Ready,
             is_down: false,
             heard_at: now,
-            rate: NamedRate::default(),
+            rate: RateLimitState::default(),
         });
     }
 
@@ -231,7 +231,7 @@
         let started_unix_ms = present.started_unix_ms.take();
         present.sequence = 0;
         present.heard_at = now;
-        present.rate = NamedRate::default();
+        present.rate = RateLimitState::default();
         present.is_leaving = self.gone.contains(actual);
         self.note_gone(&before, started_unix_ms);
         Reported::News
@@ -284,7 +284,7 @@
         let present = self.present.as_mut().filter(is_meant);
         let change = present.zip(word.rate_milli).map(|(present, rate_milli)| {
             let per_s = rate_milli as f64 / MILLI;
-            present.rate.take_over(now, per_s)
+            present.rate.adopt(now, per_s)
         });
         match change {
             None | Some(RateChange::Unchanged) => left,
--- a/tests/admission_named_rate.rs
+++ b/tests/admission_rate_limit_state.rs
@@ -1,15 +1,15 @@
 //! When a rate that a backend server names begins, changes and ends.
 
 use rstest::rstest;
-use sassafrasgap::admission::NamedRate;
+use sassafrasgap::admission::RateLimitState;
 use sassafrasgap::admission::RateChange;
 use sassafrasgap::admission::AdvertisedRate;
 use sassafrasgap::core::TimeMs;
 
 const NAMED_AT: TimeMs = TimeMs(10_000);
 
-fn named(per_s: f64) -> NamedRate {
-    let mut rate = NamedRate::default();
+fn named(per_s: f64) -> RateLimitState {
+    let mut rate = RateLimitState::default();
     rate.note(NAMED_AT, NAMED_AT - 50, AdvertisedRate::PerSecond(per_s));
     rate
 }
@@ -73,7 +73,7 @@
         RateChange::Unchanged
     );
     assert_eq!(rate.per_s(), Some(4.0));
-    let mut none = NamedRate::default();
+    let mut none = RateLimitState::default();
     assert_eq!(none.note(NAMED_AT, NAMED_AT, word), RateChange::Unchanged);
     assert_eq!(none.per_s(), None);
 }
