--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -35,7 +35,7 @@
 pub use rate_limit_state::RateChange;
 pub use rate_limit_state::AdvertisedRate;
 pub use origins_by_domain::CallingServices;
-pub use origins_by_domain::HeardCall;
+pub use origins_by_domain::ObservedCall;
 pub use origins_by_domain::OriginsByDomain;
 pub use pressure::Pressure;
 pub use pressures::Pressures;
--- a/src/admission/origins_by_domain.rs
+++ b/src/admission/origins_by_domain.rs
@@ -18,14 +18,14 @@
 
 /// A call as the guard sees it.
 #[derive(Clone, Copy, Debug)]
-pub struct HeardCall<'a> {
+pub struct ObservedCall<'a> {
     pub route: &'a Name,
     /// The service beside which it began.
     pub caller_service: &'a Name,
     /// It comes from the guard's own failure domain.
-    pub is_near: bool,
+    pub same_domain: bool,
     /// Who uses the route, as far as the sender knows.
-    pub believed: Option<RouteOrigin>,
+    pub reported_origin: Option<RouteOrigin>,
 }
 
 /// The services beside which calls may begin.
@@ -60,30 +60,30 @@
     /// Counts a call, and answers what is known of its route.
     pub fn note(
         &mut self,
-        call: HeardCall<'_>,
+        call: ObservedCall<'_>,
         services: CallingServices<'_>,
     ) -> Option<RouteOrigin> {
         let (route, service) = (call.route, call.caller_service);
-        self.all.note(route, service, call.believed, services.all);
-        if call.is_near {
-            self.near.note(route, service, call.believed, services.near);
+        self.all.note(route, service, call.reported_origin, services.all);
+        if call.same_domain {
+            self.near.note(route, service, call.reported_origin, services.near);
         }
         let origins = if self.comes_from_afar(call) {
             &self.all
         } else {
             &self.near
         };
-        origins.of(route).or(call.believed)
+        origins.of(route).or(call.reported_origin)
     }
 
     /// Counts the call, and answers whether hardly any call on its route comes from the own domain.
-    fn comes_from_afar(&mut self, call: HeardCall<'_>) -> bool {
+    fn comes_from_afar(&mut self, call: ObservedCall<'_>) -> bool {
         if self.counts.len() >= MOST_ROUTES && !self.counts.contains_key(call.route) {
             self.counts.clear();
         }
         let counts = self.counts.entry(call.route.clone()).or_default();
         counts.all += 1.0;
-        counts.near += f32::from(u8::from(call.is_near));
+        counts.near += f32::from(u8::from(call.same_domain));
         if counts.all >= MOST_COUNTED {
             counts.all /= 2.0;
             counts.near /= 2.0;
--- a/src/admission/route_origins.rs
+++ b/src/admission/route_origins.rs
@@ -28,7 +28,7 @@
     /// Its part of the nodes whose calls are counted.
     pub share: f32,
     /// All its nodes serve callers at present, so that its silence says something.
-    pub is_whole: bool,
+    pub all_serving: bool,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -60,19 +60,19 @@
     /// themselves ([`crate::admission::OriginsByDomain`]), with the services of that domain, and a service
     /// of which a node is missing is not judged by. What
     /// the sender believes already is taken over by a guard that knows nothing yet, and what is
-    /// believed takes far more to change than to find out.
+    /// reported_origin takes far more to change than to find out.
     pub fn note(
         &mut self,
         route: &Name,
         caller_service: &Name,
-        believed: Option<RouteOrigin>,
+        reported_origin: Option<RouteOrigin>,
         services: &[CallingService],
     ) -> Option<RouteOrigin> {
         if self.routes.len() >= MOST_ROUTES && !self.routes.contains_key(route) {
             self.routes.clear();
         }
         let seen = self.routes.entry(route.clone()).or_default();
-        seen.verdict = seen.verdict.or(believed);
+        seen.verdict = seen.verdict.or(reported_origin);
         seen.count(caller_service);
         seen.since_judged += 1;
         if seen.since_judged >= JUDGE_EVERY || seen.total < PROOF {
@@ -109,7 +109,7 @@
         };
         let is_missing = |each: &CallingService| {
             let heard = self.by_service.get(&each.service).copied().unwrap_or(0.0);
-            each.is_whole && self.total * each.share >= proof && heard < 0.5
+            each.all_serving && self.total * each.share >= proof && heard < 0.5
         };
         if services.iter().any(is_missing) {
             self.verdict = Some(RouteOrigin::Backends);
--- a/src/traffic/route_origins.rs
+++ b/src/traffic/route_origins.rs
@@ -7,7 +7,7 @@
 
 use crate::admission::CallingService;
 use crate::admission::CallingServices;
-use crate::admission::HeardCall;
+use crate::admission::ObservedCall;
 use crate::admission::OriginsByDomain;
 use crate::core::FastMap;
 use crate::core::Name;
@@ -61,11 +61,11 @@
         let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
         let Seen { origins, callers } = &mut *seen;
         callers.follow(view, domain);
-        let heard = HeardCall {
+        let heard = ObservedCall {
             route: &call.route,
             caller_service: &call.caller_service,
-            is_near: call.is_near && callers.near.len() > 1,
-            believed: call.origin,
+            same_domain: call.is_near && callers.near.len() > 1,
+            reported_origin: call.origin,
         };
         let services = CallingServices {
             near: &callers.near,
@@ -128,15 +128,15 @@
             continue;
         }
         nodes += 1;
-        let (count, is_whole) = services.entry(&node.service).or_insert((0, true));
+        let (count, all_serving) = services.entry(&node.service).or_insert((0, true));
         *count += 1;
-        *is_whole &= node.state == TargetState::Up;
+        *all_serving &= node.state == TargetState::Up;
     }
     let services = services.into_iter();
-    let services = services.map(|(service, (count, is_whole))| CallingService {
+    let services = services.map(|(service, (count, all_serving))| CallingService {
         service: service.clone(),
         share: count as f32 / nodes as f32,
-        is_whole,
+        all_serving,
     });
     services.collect()
 }
--- a/tests/admission_origins.rs
+++ b/tests/admission_origins.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use sassafrasgap::admission::CallingService;
 use sassafrasgap::admission::CallingServices;
-use sassafrasgap::admission::HeardCall;
+use sassafrasgap::admission::ObservedCall;
 use sassafrasgap::admission::OriginsByDomain;
 use sassafrasgap::admission::RouteOrigins;
 use sassafrasgap::core::Name;
@@ -25,7 +25,7 @@
     let whole = |(name, share): &(Name, f32)| CallingService {
         service: name.clone(),
         share: *share,
-        is_whole: true,
+        all_serving: true,
     };
     let services: Vec<CallingService> = shares.iter().map(whole).collect();
     let mut verdict = None;
@@ -59,7 +59,7 @@
     let whole = |(service, share)| CallingService {
         service,
         share,
-        is_whole: true,
+        all_serving: true,
     };
     shares().into_iter().map(whole).collect()
 }
@@ -96,7 +96,7 @@
     let route = Name::from("r");
     let services = |leaf_is_whole: bool| {
         let named = |(name, share): (Name, f32)| CallingService {
-            is_whole: leaf_is_whole || &*name != "leaf",
+            all_serving: leaf_is_whole || &*name != "leaf",
             service: name,
             share,
         };
@@ -158,14 +158,14 @@
     let route = Name::from("r");
     let mut verdict = None;
     for step in 0..2_000 {
-        let is_near = near_every > 0 && step % near_every == 0;
+        let same_domain = near_every > 0 && step % near_every == 0;
         // From afar only one service calls; near, callers beside both services do.
-        let place = if is_near { step / near_every % 2 } else { 1 };
-        let call = HeardCall {
+        let place = if same_domain { step / near_every % 2 } else { 1 };
+        let call = ObservedCall {
             route: &route,
             caller_service: &services[place].service,
-            is_near,
-            believed: None,
+            same_domain,
+            reported_origin: None,
         };
         let all = &services;
         verdict = origins.note(call, CallingServices { near, all });
