--- a/src/admission/admission.rs
+++ b/src/admission/admission.rs
@@ -250,8 +250,8 @@
 
     /// Says whether a service that the backend server calls is the bottleneck; see
     /// [`LatencyLimit`].
-    pub fn set_deep_pressed(&mut self, is_pressed: bool) {
-        self.latency_limit.set_deep_pressed(is_pressed);
+    pub fn set_downstream_overloaded(&mut self, is_overloaded: bool) {
+        self.latency_limit.set_downstream_overloaded(is_overloaded);
     }
 
     fn wait_us(&self) -> u64 {
--- a/src/admission/latency_limit.rs
+++ b/src/admission/latency_limit.rs
@@ -34,7 +34,7 @@
     run_us: u64,
     was_full: bool,
     objective_ms: u64,
-    is_deep_pressed: bool,
+    is_downstream_overloaded: bool,
 }
 
 impl LatencyLimit {
@@ -46,7 +46,7 @@
             run_us: 0,
             was_full: false,
             objective_ms: 0,
-            is_deep_pressed: false,
+            is_downstream_overloaded: false,
         }
     }
 
@@ -55,8 +55,8 @@
     }
 
     /// Says whether a service that the backend server calls is the bottleneck.
-    pub fn set_deep_pressed(&mut self, is_pressed: bool) {
-        self.is_deep_pressed = is_pressed;
+    pub fn set_downstream_overloaded(&mut self, is_overloaded: bool) {
+        self.is_downstream_overloaded = is_overloaded;
     }
 
     /// Notes a call's latency objective as it arrives.
@@ -87,7 +87,7 @@
         let mean_ms = self.run_us / self.ended.max(1) / 1_000;
         let target_ms = (self.objective_ms * RUN_PERCENT / 100).max(1);
         let in_force = self.limit.min(cap);
-        if mean_ms > target_ms && self.is_deep_pressed {
+        if mean_ms > target_ms && self.is_downstream_overloaded {
             let by_rate = self.ended * target_ms / span_ms;
             let fallen = u32::try_from(by_rate).unwrap_or(u32::MAX);
             let least = (cap / LEAST_PART).max(1);
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -44,7 +44,7 @@
 pub use queued_call::Offer;
 pub use queued_call::QueuedCall;
 pub use queued_call::Verdict;
-pub use root_control::PressedService;
+pub use root_control::OverloadedService;
 pub use root_control::RootControl;
 pub use route_origins::CallingService;
 pub use route_origins::RouteOrigins;
--- a/src/admission/pressures.rs
+++ b/src/admission/pressures.rs
@@ -81,7 +81,7 @@
     }
 
     /// The service that was last seen pressed behind calls to `service` on `route`, if one ever was.
-    pub fn pressed_service(&self, service: &str, route: &str) -> Option<&Name> {
+    pub fn overloaded_service(&self, service: &str, route: &str) -> Option<&Name> {
         let heard = self.heard.get(service)?.get(route)?;
         Some(&heard.service)
     }
--- a/src/admission/root_control.rs
+++ b/src/admission/root_control.rs
@@ -12,7 +12,7 @@
 
 /// A service for whose sake an entry refuses callers' requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PressedService {
+pub struct OverloadedService {
     pub service: Name,
     /// How hard calls press on it, as answers say.
     pub pressure_permille: u32,
@@ -47,9 +47,9 @@
     }
 
     /// The services for whose sake requests are refused at present.
-    pub fn pressed(&self) -> impl Iterator<Item = PressedService> {
+    pub fn overloaded(&self) -> impl Iterator<Item = OverloadedService> {
         let pressed = self.levels.iter().filter(|(_, level)| !level.is_open());
-        pressed.map(|(service, level)| PressedService {
+        pressed.map(|(service, level)| OverloadedService {
             service: service.clone(),
             pressure_permille: level.pressure_permille(),
             admitted_percent: level.admitted_percent(),
--- a/src/metrics/metrics.rs
+++ b/src/metrics/metrics.rs
@@ -15,7 +15,7 @@
 use prometheus::TextEncoder;
 
 use crate::accounts::AccountUse;
-use crate::admission::PressedService;
+use crate::admission::OverloadedService;
 use crate::core::RefusalReason;
 use crate::core::RetryReason;
 use crate::metrics::ByReason;
@@ -297,7 +297,7 @@
     }
 
     /// Sets for which services' sake requests are refused. At most as many as there are services.
-    pub fn set_pressed(&self, pressed: &[PressedService]) {
+    pub fn set_pressed(&self, pressed: &[OverloadedService]) {
         self.pressures.reset();
         self.admitted.reset();
         for each in pressed {
--- a/src/node/gate.rs
+++ b/src/node/gate.rs
@@ -165,8 +165,8 @@
     }
 
     /// Says whether a service that the backend server calls is the bottleneck.
-    pub(crate) fn set_deep_pressed(&self, is_pressed: bool) {
-        self.lock().admission.set_deep_pressed(is_pressed);
+    pub(crate) fn set_downstream_overloaded(&self, is_pressed: bool) {
+        self.lock().admission.set_downstream_overloaded(is_pressed);
     }
 
     /// First-hand figures.
--- a/src/traffic/root_admission.rs
+++ b/src/traffic/root_admission.rs
@@ -4,7 +4,7 @@
 use std::sync::MutexGuard;
 use std::sync::PoisonError;
 
-use crate::admission::PressedService;
+use crate::admission::OverloadedService;
 use crate::admission::Pressure;
 use crate::admission::Pressures;
 use crate::admission::RootControl;
@@ -45,7 +45,7 @@
                 learnt.control.note(now, service, permille);
             }
             None => {
-                if let Some(service) = learnt.pressures.pressed_service(service, route).cloned() {
+                if let Some(service) = learnt.pressures.overloaded_service(service, route).cloned() {
                     learnt.control.note(now, &service, 0);
                 }
             }
@@ -78,23 +78,23 @@
         priority: Priority,
     ) -> bool {
         let mut learnt = self.lock();
-        let Some(pressed) = learnt.pressures.pressed_service(service, route).cloned() else {
+        let Some(pressed) = learnt.pressures.overloaded_service(service, route).cloned() else {
             return true;
         };
         learnt.control.may_pass(now, &pressed, priority)
     }
 
     /// The service for whose sake requests on a route are refused; `None` while all are let in.
-    pub(super) fn pressed_behind(&self, service: &str, route: &str) -> Option<PressedService> {
+    pub(super) fn pressed_behind(&self, service: &str, route: &str) -> Option<OverloadedService> {
         let learnt = self.lock();
-        let behind = learnt.pressures.pressed_service(service, route)?;
-        let mut pressed = learnt.control.pressed();
+        let behind = learnt.pressures.overloaded_service(service, route)?;
+        let mut pressed = learnt.control.overloaded();
         pressed.find(|pressed| pressed.service == *behind)
     }
 
     /// All services for whose sake requests are refused.
-    pub(super) fn pressed(&self) -> Vec<PressedService> {
-        self.lock().control.pressed().collect()
+    pub(super) fn pressed(&self) -> Vec<OverloadedService> {
+        self.lock().control.overloaded().collect()
     }
 
     /// The pressure to tell with an answer on `route` of the local service.
--- a/src/traffic/upkeep.rs
+++ b/src/traffic/upkeep.rs
@@ -21,7 +21,7 @@
         .deepest_permille(traffic.clock.now(), &running);
     traffic
         .gate
-        .set_deep_pressed(deepest >= DEEP_PRESSED_PERMILLE);
+        .set_downstream_overloaded(deepest >= DEEP_PRESSED_PERMILLE);
 }
 
 /// What entries believe of pressure is said once a second while it has requests refused, and what
