--- a/src/admission/pressures.rs
+++ b/src/admission/pressures.rs
@@ -71,7 +71,7 @@
     }
 
     /// The most pressed service behind calls to `service` on `route`.
-    pub fn behind(&self, now: TimeMs, service: &str, route: &str) -> Option<Pressure> {
+    pub fn downstream(&self, now: TimeMs, service: &str, route: &str) -> Option<Pressure> {
         let heard = self.heard.get(service)?.get(route)?;
         let is_fresh = now.since(heard.at) <= FRESH_MS && heard.permille > 0;
         is_fresh.then(|| Pressure {
@@ -87,28 +87,28 @@
     }
 
     /// What to tell with an answer on `route` of the local service, whose own pressure is `own`.
-    pub fn on_answer(&self, now: TimeMs, route: &str, own: Pressure) -> Option<Pressure> {
+    pub fn for_answer(&self, now: TimeMs, route: &str, own: Pressure) -> Option<Pressure> {
         let children = self.dependencies.children(now, route);
-        let behind = children.filter_map(|(service, route)| self.behind(now, service, route));
-        behind
+        let downstream = children.filter_map(|(service, route)| self.downstream(now, service, route));
+        downstream
             .chain([own])
             .filter(|pressure| pressure.permille > 0)
             .max_by_key(|pressure| pressure.permille)
     }
 
     /// The services that work on `route` of the local service lately may have called, each once or more.
-    pub fn services_behind(&self, now: TimeMs, route: &str) -> Vec<Name> {
+    pub fn downstream_services(&self, now: TimeMs, route: &str) -> Vec<Name> {
         let children = self.dependencies.children(now, route);
         children.map(|(service, _)| service.clone()).collect()
     }
 
     /// The highest pressure behind any of the routes of the local service.
-    pub fn deepest_permille(&self, now: TimeMs, routes: &[Name]) -> u32 {
+    pub fn max_downstream_permille(&self, now: TimeMs, routes: &[Name]) -> u32 {
         let children = routes
             .iter()
             .flat_map(|route| self.dependencies.children(now, route));
-        let behind = children.filter_map(|(service, route)| self.behind(now, service, route));
-        behind.map(|pressure| pressure.permille).max().unwrap_or(0)
+        let downstream = children.filter_map(|(service, route)| self.downstream(now, service, route));
+        downstream.map(|pressure| pressure.permille).max().unwrap_or(0)
     }
 
     fn evict(&mut self, now: TimeMs) {
--- a/src/traffic/root_admission.rs
+++ b/src/traffic/root_admission.rs
@@ -99,17 +99,17 @@
 
     /// The pressure to tell with an answer on `route` of the local service.
     pub(super) fn on_answer(&self, now: TimeMs, route: &str, own: Pressure) -> Option<Pressure> {
-        self.lock().pressures.on_answer(now, route, own)
+        self.lock().pressures.for_answer(now, route, own)
     }
 
     /// The services that work on `route` of the local service may call.
     pub(super) fn services_behind(&self, now: TimeMs, route: &str) -> Vec<Name> {
-        self.lock().pressures.services_behind(now, route)
+        self.lock().pressures.downstream_services(now, route)
     }
 
     /// The highest pressure behind any of these routes of the local service.
     pub(super) fn deepest_permille(&self, now: TimeMs, routes: &[Name]) -> u32 {
-        self.lock().pressures.deepest_permille(now, routes)
+        self.lock().pressures.max_downstream_permille(now, routes)
     }
 
     /// Logs for whose sake requests are refused at present.
