--- a/src/admission/admission.rs
+++ b/src/admission/admission.rs
@@ -234,7 +234,7 @@
     }
 
     /// Calls turned away for the rate so far.
-    pub fn turned_away(&self) -> u64 {
+    pub fn rate_limited_calls(&self) -> u64 {
         self.beyond_rate
     }
 
--- a/src/node/gate.rs
+++ b/src/node/gate.rs
@@ -141,7 +141,7 @@
 
     /// Calls turned away for the rate of the backend server so far.
     pub(crate) fn turned_away(&self) -> u64 {
-        self.lock().admission.turned_away()
+        self.lock().admission.rate_limited_calls()
     }
 
     /// Takes over how many classes the preset in force has.
--- a/tests/admission_rate_limit.rs
+++ b/tests/admission_rate_limit.rs
@@ -241,7 +241,7 @@
         admission.offer(START, call(1, 1, START)),
         Offer::Refuse(_)
     ));
-    assert_eq!(admission.turned_away(), 1);
+    assert_eq!(admission.rate_limited_calls(), 1);
     admission.set_rate(START, None);
     for ticket in 2..50 {
         assert_eq!(admission.offer(START, call(ticket, 1, START)), Offer::Run);
@@ -283,5 +283,5 @@
         ..call(3, 2, START + 1)
     };
     assert_eq!(admission.offer(START, hurried), Offer::Wait);
-    assert_eq!(admission.turned_away(), 0);
+    assert_eq!(admission.rate_limited_calls(), 0);
 }
