--- a/src/admission/admission.rs
+++ b/src/admission/admission.rs
@@ -222,7 +222,7 @@
 
     /// Caps the limit by the slots that the backend server announces. It may only lower the limit.
     pub fn set_slots(&mut self, slots: u32) {
-        self.limit.set_cap(slots.min(self.conf.most_limit));
+        self.limit.set_cap(slots.min(self.conf.max_limit));
     }
 
     /// Takes over how many calls a second the backend server says it takes; `None` for as many as come.
@@ -304,7 +304,7 @@
 
     fn queue_bound(&self) -> usize {
         let by_limit = self.limit.get() * self.conf.queue_percent / 100;
-        let by_slots = self.conf.queue_least.max(by_limit as usize);
+        let by_slots = self.conf.min_queue.max(by_limit as usize);
         let Some(rate) = &self.rate else {
             return by_slots;
         };
--- a/src/admission/limit.rs
+++ b/src/admission/limit.rs
@@ -96,7 +96,7 @@
     limit: u32,
     cap: u32,
     least: u32,
-    learns_from_time: bool,
+    adapts_limit: bool,
     window_ms: u64,
     window: Stretch,
     trial: Stretch,
@@ -112,10 +112,10 @@
 impl Limit {
     pub fn new(conf: &AdmissionConf) -> Self {
         Self {
-            limit: conf.first_limit,
-            cap: conf.most_limit,
-            least: conf.least_limit,
-            learns_from_time: conf.learns_from_time,
+            limit: conf.initial_limit,
+            cap: conf.max_limit,
+            least: conf.min_limit,
+            adapts_limit: conf.adapts_limit,
             window_ms: conf.window_ms,
             window: Stretch::new(TimeMs(0)),
             trial: Stretch::new(TimeMs(0)),
@@ -136,7 +136,7 @@
     /// Caps the limit by what the backend server announces. It cannot raise the limit: that takes
     /// calls that were answered in time.
     pub fn set_cap(&mut self, cap: u32) {
-        if !self.learns_from_time {
+        if !self.adapts_limit {
             self.limit = cap.max(1);
         }
         if self.ordinary_us == 0 {
@@ -189,7 +189,7 @@
     }
 
     fn adjust(&mut self, now: TimeMs) {
-        if !self.learns_from_time {
+        if !self.adapts_limit {
             self.limit = self.cap;
         } else if self.sheds > 0 {
             self.back_off(now);
--- a/src/traffic/traffic.rs
+++ b/src/traffic/traffic.rs
@@ -73,9 +73,9 @@
 
 fn admission_conf() -> AdmissionConf {
     AdmissionConf {
-        learns_from_time: false,
+        adapts_limit: false,
         queue_percent: QUEUE_PERCENT,
-        queue_least: 128,
+        min_queue: 128,
         wait_target_ms: WAIT_TARGET_MS,
         ..AdmissionConf::default()
     }
--- a/tests/admission_guard.rs
+++ b/tests/admission_guard.rs
@@ -26,10 +26,10 @@
 /// A guard whose one slot runs ticket 0 and whose queue of two holds tickets 1 and 2 of class 2.
 fn full_guard() -> Admission {
     let conf = AdmissionConf {
-        first_limit: 1,
-        least_limit: 1,
+        initial_limit: 1,
+        min_limit: 1,
         queue_percent: 0,
-        queue_least: 2,
+        min_queue: 2,
         ..AdmissionConf::default()
     };
     let mut guard = Admission::new(conf, 7);
@@ -83,7 +83,7 @@
 #[test]
 fn a_call_that_arrives_does_not_overtake_more_important_ones_that_wait() {
     let conf = AdmissionConf {
-        first_limit: 4,
+        initial_limit: 4,
         ..AdmissionConf::default()
     };
     let mut guard = Admission::new(conf, 7);
--- a/tests/admission_rate_limit.rs
+++ b/tests/admission_rate_limit.rs
@@ -27,9 +27,9 @@
 
 fn admission() -> Admission {
     let conf = AdmissionConf {
-        learns_from_time: false,
+        adapts_limit: false,
         queue_percent: 1_000,
-        queue_least: 128,
+        min_queue: 128,
         ..AdmissionConf::default()
     };
     let mut admission = Admission::new(conf, 7);
--- a/tests/traffic_rate_fleet.rs
+++ b/tests/traffic_rate_fleet.rs
@@ -55,7 +55,7 @@
 impl Guard {
     fn started(now: TimeMs, seed: u64) -> Self {
         let conf = AdmissionConf {
-            learns_from_time: false,
+            adapts_limit: false,
             ..AdmissionConf::default()
         };
         let mut admission = Admission::new(conf, seed);
