--- a/src/admission/admission.rs
+++ b/src/admission/admission.rs
@@ -8,7 +8,7 @@
 use crate::admission::Offer;
 use crate::admission::QueuedCall;
 use crate::admission::TokenBucket;
-use crate::admission::Verdict;
+use crate::admission::CallOutcome;
 use crate::admission::call_queue::CallQueue;
 use crate::admission::call_queue::Waiting;
 use crate::admission::drain_rate::DrainRate;
@@ -137,7 +137,7 @@
         self.drain_rate.note(now);
         self.flow.end(now);
         self.limit.note(&completion, now);
-        if completion.verdict == Verdict::Ok {
+        if completion.outcome == CallOutcome::Ok {
             let cap = self.limit.get();
             self.latency_limit.note_end(now, completion.service_us, cap);
             self.run_us = (self.run_us * (RUN_WEIGHT - 1) + completion.service_us) / RUN_WEIGHT;
--- a/src/admission/limit.rs
+++ b/src/admission/limit.rs
@@ -2,7 +2,7 @@
 
 use crate::admission::AdmissionConf;
 use crate::admission::Completion;
-use crate::admission::Verdict;
+use crate::admission::CallOutcome;
 use crate::core::TimeMs;
 
 /// Own service time in percent of the ordinary one from which a trial is due.
@@ -166,16 +166,16 @@
     }
 
     pub fn note(&mut self, completion: &Completion, now: TimeMs) {
-        match completion.verdict {
-            Verdict::Ok => {
+        match completion.outcome {
+            CallOutcome::Ok => {
                 let own_us = completion.service_us.saturating_sub(completion.child_us);
                 for stretch in [&mut self.window, &mut self.trial] {
                     stretch.samples += 1;
                     stretch.sum_us += own_us;
                 }
             }
-            Verdict::Shed => self.sheds += 1,
-            Verdict::Failed | Verdict::Cancelled => {}
+            CallOutcome::Shed => self.sheds += 1,
+            CallOutcome::Failed | CallOutcome::Cancelled => {}
         }
         let least = if self.starting {
             STARTING_SAMPLES
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -43,7 +43,7 @@
 pub use queued_call::Completion;
 pub use queued_call::Offer;
 pub use queued_call::QueuedCall;
-pub use queued_call::Verdict;
+pub use queued_call::CallOutcome;
 pub use root_control::OverloadedService;
 pub use root_control::RootControl;
 pub use route_origins::CallingService;
--- a/src/admission/queued_call.rs
+++ b/src/admission/queued_call.rs
@@ -43,7 +43,7 @@
 
 /// How a call that ran came to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum CallOutcome {
     /// The backend server answered.
     Ok,
     /// It broke off or answered with an error of its own.
@@ -62,5 +62,5 @@
     /// The part of it in which calls made on its behalf were outstanding, in microseconds. It says
     /// nothing of the local backend server, so it must not lower what it is given to run.
     pub child_us: u64,
-    pub verdict: Verdict,
+    pub outcome: CallOutcome,
 }
--- a/src/node/backend_call.rs
+++ b/src/node/backend_call.rs
@@ -18,7 +18,7 @@
 
 use crate::adapters::Body;
 use crate::admission::Completion;
-use crate::admission::Verdict;
+use crate::admission::CallOutcome;
 use crate::core::Refusal;
 use crate::core::RefusalReason;
 use crate::core::RequestId;
@@ -121,19 +121,19 @@
     }
 
     fn failed(&mut self, refusal: Refusal) {
-        let verdict = match refusal.reason {
-            RefusalReason::BackendShed => Verdict::Shed,
-            _ => Verdict::Failed,
+        let outcome = match refusal.reason {
+            RefusalReason::BackendShed => CallOutcome::Shed,
+            _ => CallOutcome::Failed,
         };
-        self.note(verdict);
+        self.note(outcome);
     }
 
     fn succeeded(&mut self) {
         self.node.inputs.poison.note_success(&self.live);
-        self.note(Verdict::Ok);
+        self.note(CallOutcome::Ok);
     }
 
-    fn note(&mut self, verdict: Verdict) {
+    fn note(&mut self, outcome: CallOutcome) {
         let now_us = self.node.inputs.clock.now_us();
         let service_us = now_us.saturating_sub(self.permit.since_us);
         let seconds = service_us as f64 / 1e6;
@@ -141,7 +141,7 @@
         self.permit.note(Completion {
             service_us,
             child_us: self.live.child_us(now_us),
-            verdict,
+            outcome,
         });
     }
 
@@ -150,7 +150,7 @@
             BodyEnd::Whole => self.succeeded(),
             BodyEnd::Broken => {
                 self.node.metrics.broken_answers.inc();
-                self.note(Verdict::Failed);
+                self.note(CallOutcome::Failed);
             }
             BodyEnd::Dropped => {}
         }
--- a/src/node/permit.rs
+++ b/src/node/permit.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use crate::admission::Completion;
-use crate::admission::Verdict;
+use crate::admission::CallOutcome;
 use crate::node::gate::Gate;
 
 /// Counts as in flight until it is dropped, however the call ends.
@@ -24,7 +24,7 @@
             completion: Completion {
                 service_us: 0,
                 child_us: 0,
-                verdict: Verdict::Cancelled,
+                outcome: CallOutcome::Cancelled,
             },
         }
     }
--- a/src/traffic/backend.rs
+++ b/src/traffic/backend.rs
@@ -11,7 +11,7 @@
 
 use crate::adapters::WholeAnswer;
 use crate::admission::Completion;
-use crate::admission::Verdict;
+use crate::admission::CallOutcome;
 use crate::core::Name;
 use crate::core::Refusal;
 use crate::core::RefusalReason;
@@ -71,15 +71,15 @@
         Ok(end) => end,
         Err(_) => BackendEnd::sent(Err(unknown(RefusalReason::DeadlineExceeded))),
     };
-    let verdict = match &end.result {
-        Ok(answer) if answer.status.is_server_error() => Verdict::Failed,
-        Ok(_) => Verdict::Ok,
-        Err(refusal) if refusal.reason == RefusalReason::BackendShed => Verdict::Shed,
-        Err(refusal) if refusal.reason == RefusalReason::DeadlineExceeded => Verdict::Cancelled,
-        Err(_) => Verdict::Failed,
+    let outcome = match &end.result {
+        Ok(answer) if answer.status.is_server_error() => CallOutcome::Failed,
+        Ok(_) => CallOutcome::Ok,
+        Err(refusal) if refusal.reason == RefusalReason::BackendShed => CallOutcome::Shed,
+        Err(refusal) if refusal.reason == RefusalReason::DeadlineExceeded => CallOutcome::Cancelled,
+        Err(_) => CallOutcome::Failed,
     };
-    traffic.note_end(verdict != Verdict::Ok);
-    if verdict == Verdict::Ok {
+    traffic.note_end(outcome != CallOutcome::Ok);
+    if outcome == CallOutcome::Ok {
         traffic.poison.note_success(&suspect);
     }
     let service_us = traffic.clock.now_us().saturating_sub(permit.since_us);
@@ -88,7 +88,7 @@
     permit.note(Completion {
         service_us,
         child_us: 0,
-        verdict,
+        outcome,
     });
     end
 }
--- a/tests/admission_classes.rs
+++ b/tests/admission_classes.rs
@@ -8,7 +8,7 @@
 use sassafrasgap::admission::Completion;
 use sassafrasgap::admission::Offer;
 use sassafrasgap::admission::QueuedCall;
-use sassafrasgap::admission::Verdict;
+use sassafrasgap::admission::CallOutcome;
 use sassafrasgap::core::Priority;
 use sassafrasgap::core::TimeMs;
 
@@ -53,7 +53,7 @@
             let completion = Completion {
                 service_us: service_ms * 1_000,
                 child_us: 0,
-                verdict: Verdict::Ok,
+                outcome: CallOutcome::Ok,
             };
             self.admission.complete(TimeMs(now), ticket, completion);
             self.poll(now);
--- a/tests/admission_invariants.rs
+++ b/tests/admission_invariants.rs
@@ -11,7 +11,7 @@
 use sassafrasgap::admission::Completion;
 use sassafrasgap::admission::Offer;
 use sassafrasgap::admission::QueuedCall;
-use sassafrasgap::admission::Verdict;
+use sassafrasgap::admission::CallOutcome;
 use sassafrasgap::core::Priority;
 use sassafrasgap::core::TimeMs;
 
@@ -27,7 +27,7 @@
     Complete {
         which: usize,
         service_us: u64,
-        verdict: Verdict,
+        outcome: CallOutcome,
     },
     Cancel {
         which: usize,
@@ -37,11 +37,11 @@
 }
 
 fn event() -> impl Strategy<Value = Event> {
-    let verdict = prop_oneof![
-        6 => Just(Verdict::Ok),
-        1 => Just(Verdict::Failed),
-        1 => Just(Verdict::Shed),
-        1 => Just(Verdict::Cancelled),
+    let outcome = prop_oneof![
+        6 => Just(CallOutcome::Ok),
+        1 => Just(CallOutcome::Failed),
+        1 => Just(CallOutcome::Shed),
+        1 => Just(CallOutcome::Cancelled),
     ];
     prop_oneof![
         6 => (0u8..4, any::<u16>(), 0u8..8, 0u32..200, 0u64..400).prop_map(
@@ -49,8 +49,8 @@
                 class, rank, depth, wait_ms, deadline_ms
             }
         ),
-        4 => (any::<usize>(), 100u64..200_000, verdict).prop_map(
-            |(which, service_us, verdict)| Event::Complete { which, service_us, verdict }
+        4 => (any::<usize>(), 100u64..200_000, outcome).prop_map(
+            |(which, service_us, outcome)| Event::Complete { which, service_us, outcome }
         ),
         1 => any::<usize>().prop_map(|which| Event::Cancel { which }),
         1 => (0u32..40).prop_map(Event::Slots),
@@ -174,9 +174,9 @@
                     };
                     model.states.insert(ticket, state);
                 }
-                Event::Complete { which, service_us, verdict } => {
+                Event::Complete { which, service_us, outcome } => {
                     if let Some(ticket) = model.pick(which, |state| *state == State::Running) {
-                        let completion = Completion { service_us, child_us: 0, verdict };
+                        let completion = Completion { service_us, child_us: 0, outcome };
                         admission.complete(now, ticket, completion);
                         model.states.insert(ticket, State::Ended);
                     }
--- a/tests/admission_rate_limit.rs
+++ b/tests/admission_rate_limit.rs
@@ -11,7 +11,7 @@
 use sassafrasgap::admission::Completion;
 use sassafrasgap::admission::Offer;
 use sassafrasgap::admission::QueuedCall;
-use sassafrasgap::admission::Verdict;
+use sassafrasgap::admission::CallOutcome;
 use sassafrasgap::core::Priority;
 use sassafrasgap::core::Refusal;
 use sassafrasgap::core::RefusalReason;
@@ -51,7 +51,7 @@
 const RAN: Completion = Completion {
     service_us: 20_000,
     child_us: 0,
-    verdict: Verdict::Ok,
+    outcome: CallOutcome::Ok,
 };
 
 /// A guard whose calls take 20 ms, and when it sent each.
--- a/tests/fake_chain/chain/backend_servers.rs
+++ b/tests/fake_chain/chain/backend_servers.rs
@@ -1,7 +1,7 @@
 //! What backend servers do with calls that were admitted.
 
 use sassafrasgap::admission::Completion;
-use sassafrasgap::admission::Verdict;
+use sassafrasgap::admission::CallOutcome;
 
 use super::super::story::Control;
 use super::Chain;
@@ -19,7 +19,7 @@
             self.work(index);
         } else if deep && self.story.sheds {
             self.calls[index].shed = true;
-            self.finish(index, Verdict::Shed);
+            self.finish(index, CallOutcome::Shed);
         } else {
             node.inside.push_back(index);
         }
@@ -55,7 +55,7 @@
         let last = call.service + 1 == self.story.depth || self.roots[call.root].shallow;
         if last {
             self.calls[index].ok = true;
-            self.release(index, Verdict::Ok);
+            self.release(index, CallOutcome::Ok);
             return;
         }
         let (root, service, deadline_us) = (call.root, call.service, call.deadline_us);
@@ -69,7 +69,7 @@
         self.forward(root, Some(index), service + 1, deadline_us, 0);
     }
 
-    pub(super) fn release(&mut self, index: usize, verdict: Verdict) {
+    pub(super) fn release(&mut self, index: usize, outcome: CallOutcome) {
         let (service, target) = (self.calls[index].service, self.calls[index].target);
         let node = &mut self.services[service][target];
         node.busy -= 1;
@@ -77,17 +77,17 @@
             node.busy += 1;
             self.work(next);
         }
-        self.finish(index, verdict);
+        self.finish(index, outcome);
     }
 
-    pub(super) fn finish(&mut self, index: usize, verdict: Verdict) {
+    pub(super) fn finish(&mut self, index: usize, outcome: CallOutcome) {
         let now = self.now();
         let call = &self.calls[index];
         let (service, target) = (call.service, call.target);
         let completion = Completion {
             service_us: self.now_us - call.started_us,
             child_us: call.child_us,
-            verdict,
+            outcome,
         };
         let guard = &mut self.services[service][target].guard;
         guard.complete(now, index as u64, completion);
--- a/tests/traffic_rate_fleet.rs
+++ b/tests/traffic_rate_fleet.rs
@@ -11,7 +11,7 @@
 use sassafrasgap::admission::Offer;
 use sassafrasgap::admission::QueuedCall;
 use sassafrasgap::admission::AdvertisedRate;
-use sassafrasgap::admission::Verdict;
+use sassafrasgap::admission::CallOutcome;
 use sassafrasgap::core::Name;
 use sassafrasgap::core::Priority;
 use sassafrasgap::core::TimeMs;
@@ -242,7 +242,7 @@
         let completion = Completion {
             service_us: RUN_MS * 1_000,
             child_us: 0,
-            verdict: Verdict::Ok,
+            outcome: CallOutcome::Ok,
         };
         admission.complete(now, ticket, completion);
         let word = self.guard.local.word();
