--- a/src/routing/failing_share.rs
+++ b/src/routing/failure_rate.rs
@@ -10,13 +10,13 @@
 /// Calls and failures, both fading with time: a backend server that is left alone is forgotten to be
 /// a failing one within seconds, and is tried again.
 #[derive(Clone, Debug, Default)]
-pub struct FailingShare {
+pub struct FailureRate {
     calls: f32,
     failed: f32,
     at: TimeMs,
 }
 
-impl FailingShare {
+impl FailureRate {
     /// Notes the end of a call.
     pub fn note(&mut self, now: TimeMs, has_failed: bool) {
         let kept = self.kept(now);
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,7 +1,7 @@
 //! Which target gets a call: first-hand figures of each target and the choice among them.
 
 mod domain_reach;
-mod failing_share;
+mod failure_rate;
 mod owner_search;
 mod picker;
 mod smoothed;
@@ -9,7 +9,7 @@
 mod target_stats;
 
 pub use domain_reach::DomainReach;
-pub use failing_share::FailingShare;
+pub use failure_rate::FailureRate;
 pub use owner_search::OwnerSearch;
 pub use picker::Choice;
 pub use picker::Pick;
--- a/src/traffic/traffic.rs
+++ b/src/traffic/traffic.rs
@@ -26,7 +26,7 @@
 use crate::metrics::Metrics;
 use crate::node::gate::Gate;
 use crate::node::targets::Targets;
-use crate::routing::FailingShare;
+use crate::routing::FailureRate;
 use crate::routing::PickerConf;
 use crate::routing::Spill;
 use crate::traffic::DesiredInForce;
@@ -152,7 +152,7 @@
     live: Published<LiveSettings>,
     local: Mutex<LocalServer>,
     told_words: Mutex<ToldWords>,
-    failing: Mutex<FailingShare>,
+    failing: Mutex<FailureRate>,
     requests: AtomicUsize,
     /// The version of the desired state by which the gate is bounded.
     bounded_at: AtomicU64,
@@ -262,7 +262,7 @@
         self.failing().permille(now)
     }
 
-    fn failing(&self) -> MutexGuard<'_, FailingShare> {
+    fn failing(&self) -> MutexGuard<'_, FailureRate> {
         self.failing.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/tests/routing_failing.rs
+++ b/tests/routing_failing.rs
@@ -11,7 +11,7 @@
 use sassafrasgap::core::Name;
 use sassafrasgap::core::Target;
 use sassafrasgap::core::TimeMs;
-use sassafrasgap::routing::FailingShare;
+use sassafrasgap::routing::FailureRate;
 use sassafrasgap::routing::Pick;
 use sassafrasgap::routing::PickerConf;
 use sassafrasgap::routing::TargetStats;
@@ -91,7 +91,7 @@
 /// left alone is forgotten to be a failing one.
 #[rstest]
 fn a_share_needs_calls_and_fades() {
-    let mut share = FailingShare::default();
+    let mut share = FailureRate::default();
     for _ in 0..5 {
         share.note(TimeMs(1_000), true);
     }
