--- a/src/node/targets.rs
+++ b/src/node/targets.rs
@@ -15,7 +15,7 @@
 use crate::node::Node;
 use crate::retry::RetryBudget;
 use crate::routing::Choice;
-use crate::routing::DomainReach;
+use crate::routing::DomainReachability;
 use crate::routing::Pick;
 use crate::routing::PickerConf;
 use crate::routing::TargetPressure;
@@ -39,7 +39,7 @@
 struct Known {
     stats: FastMap<Name, TargetStats>,
     budgets: FastMap<Name, RetryBudget>,
-    reach: DomainReach,
+    reach: DomainReachability,
     /// How long runs of each route usually take, at whichever target, in microseconds.
     usual_us: FastMap<Name, u64>,
     /// The change of the view up to which targets that are gone have been evicted.
@@ -102,7 +102,7 @@
     pub(crate) async fn out_of_reach(&self, domain: &Name) {
         let mut closings = self.closings.subscribe();
         while closings.changed().await.is_ok() {
-            if self.lock().reach.is_closed(domain) {
+            if self.lock().reach.is_unreachable(domain) {
                 return;
             }
         }
--- a/src/routing/domain_reach.rs
+++ b/src/routing/domain_reachability.rs
@@ -34,11 +34,11 @@
 /// any, tell within half a second; and because one call in a while tries the domain, so that its return
 /// is seen at once. Silence alone says nothing: a domain whose backend servers are slow is silent too.
 #[derive(Clone, Debug, Default)]
-pub struct DomainReach {
+pub struct DomainReachability {
     domains: FastMap<Name, Domain>,
 }
 
-impl DomainReach {
+impl DomainReachability {
     /// Notes a call that is sent to a node of the domain.
     pub fn note_sent(&mut self, now: TimeMs, domain: &str) {
         if let Some(known) = self.domains.get_mut(domain).filter(|known| known.closed) {
@@ -78,7 +78,7 @@
     }
 
     /// Whether the domain is out of reach.
-    pub fn is_closed(&self, domain: &str) -> bool {
+    pub fn is_unreachable(&self, domain: &str) -> bool {
         self.domains.get(domain).is_some_and(|known| known.closed)
     }
 
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,6 +1,6 @@
 //! Which target gets a call: first-hand figures of each target and the choice among them.
 
-mod domain_reach;
+mod domain_reachability;
 mod failure_rate;
 mod owner_search;
 mod picker;
@@ -8,7 +8,7 @@
 mod target_pressure;
 mod target_stats;
 
-pub use domain_reach::DomainReach;
+pub use domain_reachability::DomainReachability;
 pub use failure_rate::FailureRate;
 pub use owner_search::OwnerSearch;
 pub use picker::Choice;
--- a/tests/routing_domain_reach.rs
+++ b/tests/routing_domain_reachability.rs
@@ -3,7 +3,7 @@
 use rstest::rstest;
 use sassafrasgap::core::Name;
 use sassafrasgap::core::TimeMs;
-use sassafrasgap::routing::DomainReach;
+use sassafrasgap::routing::DomainReachability;
 
 /// One call is wanted in each step.
 const STEP_MS: u64 = 20;
@@ -11,7 +11,7 @@
 const LOST_AFTER_MS: u64 = 400;
 
 struct World {
-    reach: DomainReach,
+    reach: DomainReachability,
     now: TimeMs,
     /// When calls under way turn out to be lost, in order.
     losses: Vec<(TimeMs, Name)>,
@@ -20,7 +20,7 @@
 impl World {
     fn new() -> Self {
         Self {
-            reach: DomainReach::default(),
+            reach: DomainReachability::default(),
             now: TimeMs(1_000),
             losses: Vec::new(),
         }
@@ -64,7 +64,7 @@
     world.losses.clear();
     let sent = world.pass(1_000, &["a", "b"], false);
     assert!(sent >= 28, "{sent} calls were sent after the cut");
-    assert!(!world.reach.is_closed("far"));
+    assert!(!world.reach.is_unreachable("far"));
 }
 
 /// One node of the domain ends and takes no connection any more: that says nothing about the domain.
@@ -77,7 +77,7 @@
 /// Two nodes are gone, but others of the domain answer in between.
 #[rstest]
 fn a_domain_that_answers_stays_open() {
-    let mut reach = DomainReach::default();
+    let mut reach = DomainReachability::default();
     let domain = Name::from("far");
     for step in 0..50 {
         assert!(!reach.note_lost(TimeMs(step), &domain, &Name::from("a")));
