--- a/src/node/targets.rs
+++ b/src/node/targets.rs
@@ -141,7 +141,7 @@
             .iter()
             .filter(|target| target.state.takes_work() && pressure_of(target).is_none());
         let largest = unheard.map(|target| target.slots).max();
-        let with_room = largest.map(TargetPressure::with_room);
+        let with_room = largest.map(TargetPressure::assumed_idle);
         TargetPressure::of_service(heard.chain(with_room)).unwrap_or(told.permille)
     }
 
@@ -176,7 +176,7 @@
             return;
         };
         stats.in_flight = stats.in_flight.saturating_sub(1);
-        if let Some(domain) = &stats.far_domain {
+        if let Some(domain) = &stats.remote_domain {
             if end.report.is_some() {
                 known.reach.note_answer(domain);
             }
@@ -189,7 +189,7 @@
             stats.note_failing(end.failing_permille, now);
         }
         if end.is_closed {
-            stats.note_closed(now);
+            stats.note_unavailable(now);
         } else if end.report.is_some() {
             stats.note_success(end.took_ms);
         }
@@ -239,8 +239,8 @@
         }
         self.reach.note_sent(now, &target.domain);
         let stats = self.stats_of(&target.node, now);
-        if stats.far_domain.is_none() {
-            stats.far_domain = Some(target.domain.clone());
+        if stats.remote_domain.is_none() {
+            stats.remote_domain = Some(target.domain.clone());
         }
     }
 
--- a/src/routing/target_pressure.rs
+++ b/src/routing/target_pressure.rs
@@ -10,7 +10,7 @@
 impl TargetPressure {
     /// What is believed of a target that has not told lately, where others are limited by a rate: calls that
     /// those turn away come there, and its answer tells at once if it is full as well.
-    pub fn with_room(slots: u32) -> Self {
+    pub fn assumed_idle(slots: u32) -> Self {
         Self { permille: 0, slots }
     }
 
--- a/src/routing/target_stats.rs
+++ b/src/routing/target_stats.rs
@@ -32,7 +32,7 @@
     pub in_flight: u32,
     pub first_seen: TimeMs,
     /// Its failure domain, where that is not this node's own.
-    pub far_domain: Option<Name>,
+    pub remote_domain: Option<Name>,
     latency_us: u64,
     /// How long its runs take, in thousandths of what runs of their routes usually take; 0 while unknown.
     slowness_permille: u64,
@@ -100,7 +100,7 @@
     }
 
     /// The target said itself that it takes no work: it is left out for a while at once.
-    pub fn note_closed(&mut self, now: TimeMs) {
+    pub fn note_unavailable(&mut self, now: TimeMs) {
         self.ejected_until = now + EJECT_FIRST_MS;
     }
 
