--- a/src/node/forward.rs
+++ b/src/node/forward.rs
@@ -79,7 +79,7 @@
         .take(&view, &call.service, domain, tried, false, now)
     {
         Pick::Take(target) => Some(target),
-        Pick::NoneTakesWork | Pick::Unknown => None,
+        Pick::NoneAvailable | Pick::Unknown => None,
     }
 }
 
--- a/src/node/targets.rs
+++ b/src/node/targets.rs
@@ -14,7 +14,7 @@
 use crate::core::View;
 use crate::node::Node;
 use crate::retry::RetryBudget;
-use crate::routing::Choice;
+use crate::routing::PickContext;
 use crate::routing::DomainReachability;
 use crate::routing::Pick;
 use crate::routing::PickerConf;
@@ -82,7 +82,7 @@
         known.evict_gone(view);
         let mut avoided = known.reach.avoided(now);
         avoided.extend_from_slice(&view.cut_off_domains);
-        let choice = Choice {
+        let choice = PickContext {
             targets: view.targets(service),
             stats: &known.stats,
             own_domain,
--- a/src/routing/picker.rs
+++ b/src/routing/picker.rs
@@ -23,7 +23,7 @@
 
 /// When a call goes to another failure domain though a target of its own takes work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Spill {
+pub enum SpillPolicy {
     /// From this load per slot on, in thousandths, if the other one is less loaded.
     ByLoad { permille: u64 },
     /// From this expected wait on, if it is less than half as long there: for deployments in which
@@ -34,22 +34,22 @@
 /// How targets are chosen.
 #[derive(Clone, Debug)]
 pub struct PickerConf {
-    pub spill: Spill,
+    pub spill: SpillPolicy,
     /// How long a new target counts as more loaded than it is, falling linearly to nothing.
     pub slow_start_ms: u64,
     /// The largest share of a service's targets that may be ejected at a time, in percent.
     pub eject_percent: usize,
     /// Of two targets with room the one is chosen at which the call is likely to end sooner.
-    pub by_finish: bool,
+    pub by_completion_time: bool,
 }
 
 impl Default for PickerConf {
     fn default() -> Self {
         Self {
-            spill: Spill::ByLoad { permille: 700 },
+            spill: SpillPolicy::ByLoad { permille: 700 },
             slow_start_ms: 5_000,
             eject_percent: 50,
-            by_finish: false,
+            by_completion_time: false,
         }
     }
 }
@@ -57,7 +57,7 @@
 impl PickerConf {
     /// How many targets are compared. Speeds differ by more than loads do, and of two both may be slow.
     fn draws(&self) -> usize {
-        if self.by_finish { 3 } else { 2 }
+        if self.by_completion_time { 3 } else { 2 }
     }
 }
 
@@ -66,13 +66,13 @@
 pub enum Pick {
     Take(Arc<Target>),
     /// Targets exist, but none takes work now.
-    NoneTakesWork,
+    NoneAvailable,
     /// The service has never been heard of.
     Unknown,
 }
 
 /// What the choice is made from.
-pub struct Choice<'a> {
+pub struct PickContext<'a> {
     pub targets: &'a [Arc<Target>],
     pub stats: &'a FastMap<Name, TargetStats>,
     pub own_domain: &'a str,
@@ -85,7 +85,7 @@
 
 /// Chooses a target. `random` supplies the two draws, so that tests can fix them.
 pub fn pick(
-    choice: &Choice<'_>,
+    choice: &PickContext<'_>,
     conf: &PickerConf,
     now: TimeMs,
     mut random: impl FnMut(usize) -> usize,
@@ -95,7 +95,7 @@
     }
     let open = open_targets(choice, conf, now);
     let Some(usual) = least_loaded(&open, choice, conf, now, &mut random) else {
-        return Pick::NoneTakesWork;
+        return Pick::NoneAvailable;
     };
     let sound = sound_targets(&open, choice, now);
     if sound.len() == open.len() || sound.contains(&usual) || random(TRIAL_PART) == 0 {
@@ -115,7 +115,7 @@
 /// alike, as with a service behind them, there is nowhere better to go. Others are only preferred
 /// while they have room: with none to spare, what a failing one still does is worth more than its
 /// failures cost.
-fn sound_targets(open: &[Arc<Target>], choice: &Choice<'_>, now: TimeMs) -> Vec<Arc<Target>> {
+fn sound_targets(open: &[Arc<Target>], choice: &PickContext<'_>, now: TimeMs) -> Vec<Arc<Target>> {
     let failing = |target: &Arc<Target>| {
         let stats = choice.stats.get(&target.node);
         stats.map_or(0, |stats| stats.failing_permille(now))
@@ -126,7 +126,7 @@
     sound.cloned().collect()
 }
 
-fn has_room(target: &Target, choice: &Choice<'_>, now: TimeMs) -> bool {
+fn has_room(target: &Target, choice: &PickContext<'_>, now: TimeMs) -> bool {
     let stats = choice.stats.get(&target.node);
     let load = stats.map_or(0, |stats| stats.load_permille(target.slots, now));
     load < ROOM_PERMILLE
@@ -135,7 +135,7 @@
 /// The best of a few, of the own failure domain unless the way to another one pays.
 fn least_loaded(
     open: &[Arc<Target>],
-    choice: &Choice<'_>,
+    choice: &PickContext<'_>,
     conf: &PickerConf,
     now: TimeMs,
     mut random: &mut impl FnMut(usize) -> usize,
@@ -161,18 +161,18 @@
 }
 
 fn may_spill(
-    choice: &Choice<'_>,
+    choice: &PickContext<'_>,
     conf: &PickerConf,
     now: TimeMs,
     near: &Target,
     load: u64,
 ) -> bool {
     match conf.spill {
-        Spill::ByLoad { permille } => load >= permille,
-        Spill::ByWait { large_wait_ms, .. } if choice.is_large => {
+        SpillPolicy::ByLoad { permille } => load >= permille,
+        SpillPolicy::ByWait { large_wait_ms, .. } if choice.is_large => {
             wait_ms(choice, near, now) >= large_wait_ms
         }
-        Spill::ByWait {
+        SpillPolicy::ByWait {
             wait_ms: most_ms, ..
         } => wait_ms(choice, near, now) >= most_ms,
     }
@@ -180,26 +180,26 @@
 
 /// Whether the first one, in another failure domain, is worth the way.
 fn is_better(
-    choice: &Choice<'_>,
+    choice: &PickContext<'_>,
     conf: &PickerConf,
     now: TimeMs,
     far: (&Target, u64),
     near: (&Target, u64),
 ) -> bool {
     match conf.spill {
-        Spill::ByLoad { .. } => far.1 < near.1,
-        Spill::ByWait { .. } => wait_ms(choice, far.0, now) * 2 < wait_ms(choice, near.0, now),
+        SpillPolicy::ByLoad { .. } => far.1 < near.1,
+        SpillPolicy::ByWait { .. } => wait_ms(choice, far.0, now) * 2 < wait_ms(choice, near.0, now),
     }
 }
 
-fn wait_ms(choice: &Choice<'_>, target: &Target, now: TimeMs) -> u64 {
+fn wait_ms(choice: &PickContext<'_>, target: &Target, now: TimeMs) -> u64 {
     let stats = choice.stats.get(&target.node);
     stats.map_or(0, |stats| stats.wait_ms(target.slots, now))
 }
 
 /// Targets that take work, less those ejected, unless too many are: then ejection says more about
 /// this node than about them, and it is ignored.
-fn open_targets(choice: &Choice<'_>, conf: &PickerConf, now: TimeMs) -> Vec<Arc<Target>> {
+fn open_targets(choice: &PickContext<'_>, conf: &PickerConf, now: TimeMs) -> Vec<Arc<Target>> {
     let candidates: Vec<Arc<Target>> = choice
         .targets
         .iter()
@@ -227,7 +227,7 @@
 
 fn least_of_few(
     targets: &[Arc<Target>],
-    choice: &Choice<'_>,
+    choice: &PickContext<'_>,
     conf: &PickerConf,
     now: TimeMs,
     random: &mut impl FnMut(usize) -> usize,
@@ -238,7 +238,7 @@
         let stats = choice.stats.get(&target.node);
         let slowness = stats.and_then(TargetStats::slowness_permille);
         let load = effective_load(target, choice, conf, now);
-        (target, slowness.filter(|_| conf.by_finish), load)
+        (target, slowness.filter(|_| conf.by_completion_time), load)
     });
     let best = weighed.reduce(|best, other| {
         let is_other = match (best.1, other.1) {
@@ -279,7 +279,7 @@
 
 /// The load of a target, plus a handicap while it is new: a cold backend server that gets its full
 /// share at once answers late, and its callers retry.
-fn effective_load(target: &Target, choice: &Choice<'_>, conf: &PickerConf, now: TimeMs) -> u64 {
+fn effective_load(target: &Target, choice: &PickContext<'_>, conf: &PickerConf, now: TimeMs) -> u64 {
     let Some(stats) = choice.stats.get(&target.node) else {
         return 0;
     };
--- a/src/traffic/forward.rs
+++ b/src/traffic/forward.rs
@@ -133,7 +133,7 @@
         .take(&view, &call.service, domain, tried, is_large, now)
     {
         Pick::Take(target) => Some(target),
-        Pick::NoneTakesWork | Pick::Unknown => None,
+        Pick::NoneAvailable | Pick::Unknown => None,
     }
 }
 
--- a/src/traffic/traffic.rs
+++ b/src/traffic/traffic.rs
@@ -28,7 +28,7 @@
 use crate::node::targets::Targets;
 use crate::routing::FailureRate;
 use crate::routing::PickerConf;
-use crate::routing::Spill;
+use crate::routing::SpillPolicy;
 use crate::traffic::DesiredInForce;
 use crate::traffic::KnownServer;
 use crate::traffic::LiveSettings;
@@ -83,11 +83,11 @@
 
 fn picker_conf() -> PickerConf {
     PickerConf {
-        spill: Spill::ByWait {
+        spill: SpillPolicy::ByWait {
             wait_ms: SPILL_WAIT_MS,
             large_wait_ms: SPILL_LARGE_WAIT_MS,
         },
-        by_finish: true,
+        by_completion_time: true,
         ..PickerConf::default()
     }
 }
--- a/tests/fake_targets/mod.rs
+++ b/tests/fake_targets/mod.rs
@@ -8,12 +8,12 @@
 use sassafrasgap::core::Name;
 use sassafrasgap::core::Target;
 use sassafrasgap::core::TargetState;
-use sassafrasgap::routing::Choice;
+use sassafrasgap::routing::PickContext;
 use sassafrasgap::routing::TargetStats;
 
 /// What a first attempt from failure domain `a` with a small body chooses from.
-pub fn choice<'a>(targets: &'a [Arc<Target>], stats: &'a FastMap<Name, TargetStats>) -> Choice<'a> {
-    Choice {
+pub fn choice<'a>(targets: &'a [Arc<Target>], stats: &'a FastMap<Name, TargetStats>) -> PickContext<'a> {
+    PickContext {
         targets,
         stats,
         own_domain: "a",
