--- a/src/admission/origins_by_domain.rs
+++ b/src/admission/origins_by_domain.rs
@@ -32,14 +32,14 @@
 #[derive(Clone, Copy, Debug)]
 pub struct CallingServices<'a> {
     /// Those of the own domain.
-    pub near: &'a [CallingService],
+    pub own_domain: &'a [CallingService],
     /// Those of all domains.
     pub all: &'a [CallingService],
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
-    near: f32,
+    own_domain: f32,
     all: f32,
 }
 
@@ -51,7 +51,7 @@
 /// at depth. It holds because which calls count follows from where calls come from.
 #[derive(Clone, Debug, Default)]
 pub struct OriginsByDomain {
-    near: RouteOrigins,
+    own_domain: RouteOrigins,
     all: RouteOrigins,
     counts: FastMap<Name, Counts>,
 }
@@ -66,12 +66,12 @@
         let (route, service) = (call.route, call.caller_service);
         self.all.note(route, service, call.reported_origin, services.all);
         if call.same_domain {
-            self.near.note(route, service, call.reported_origin, services.near);
+            self.own_domain.note(route, service, call.reported_origin, services.own_domain);
         }
         let origins = if self.comes_from_afar(call) {
             &self.all
         } else {
-            &self.near
+            &self.own_domain
         };
         origins.of(route).or(call.reported_origin)
     }
@@ -83,11 +83,11 @@
         }
         let counts = self.counts.entry(call.route.clone()).or_default();
         counts.all += 1.0;
-        counts.near += f32::from(u8::from(call.same_domain));
+        counts.own_domain += f32::from(u8::from(call.same_domain));
         if counts.all >= MOST_COUNTED {
             counts.all /= 2.0;
-            counts.near /= 2.0;
+            counts.own_domain /= 2.0;
         }
-        counts.all >= ENOUGH_CALLS && counts.near * NEAR_PART < counts.all
+        counts.all >= ENOUGH_CALLS && counts.own_domain * NEAR_PART < counts.all
     }
 }
--- a/src/traffic/route_origins.rs
+++ b/src/traffic/route_origins.rs
@@ -68,7 +68,7 @@
             reported_origin: call.origin,
         };
         let services = CallingServices {
-            near: &callers.near,
+            own_domain: &callers.near,
             all: &callers.all,
         };
         origins.note(heard, services)
--- a/tests/admission_origins.rs
+++ b/tests/admission_origins.rs
@@ -153,7 +153,7 @@
     #[case] expected: Option<RouteOrigin>,
 ) {
     let services = whole_services();
-    let near = &services[..2];
+    let own_domain = &services[..2];
     let mut origins = OriginsByDomain::default();
     let route = Name::from("r");
     let mut verdict = None;
@@ -168,7 +168,7 @@
             reported_origin: None,
         };
         let all = &services;
-        verdict = origins.note(call, CallingServices { near, all });
+        verdict = origins.note(call, CallingServices { own_domain, all });
     }
     assert_eq!(verdict, expected);
 }
