--- a/src/admission/admission_conf.rs
+++ b/src/admission/admission_conf.rs
@@ -1,26 +1,26 @@
-//! What can be set about admission at a guard.
+//! Configuration of admission control at a guard.
 
-/// Bounds and pace of admission. The defaults are those that were measured.
+/// Bounds and intervals of admission control. The defaults were measured.
 #[derive(Clone, Debug)]
 pub struct AdmissionConf {
-    /// Whether the limit is learnt from how long calls take and from refusals. `false` where the time
-    /// that a backend server's own calls take cannot be told from its work, and where it refuses
-    /// for other reasons than load: the limit then is what it announces.
+    /// Whether the limit adapts to service times and to refusals. It must be `false` if the time
+    /// spent in child calls is not known, or if the backend server also refuses for reasons other
+    /// than load. The limit is then the number of announced slots.
     pub adapts_limit: bool,
-    /// The limit before anything is known of a backend server that has just started.
+    /// The limit for a backend server that has just started.
     pub initial_limit: u32,
-    /// The limit never falls below this, so that there is always something to learn from.
+    /// The lower bound of the limit. Some calls have to run so that the limit can be adjusted.
     pub min_limit: u32,
-    /// The limit never rises above this, whatever is announced.
+    /// The upper bound of the limit, whatever the backend server announces.
     pub max_limit: u32,
-    /// Calls that may wait, as a percentage of the limit.
+    /// The queue bound as a percentage of the limit.
     pub queue_percent: u32,
-    /// Calls that may wait whatever the limit is.
+    /// The least queue bound, whatever the limit is.
     pub min_queue: usize,
-    /// How often the limit and the level are worked out anew.
+    /// How often the limit and the level are recomputed.
     pub window_ms: u64,
-    /// The wait in the queue that the level steers to: it falls when calls wait for twice as long
-    /// throughout a window, and rises when they wait for less.
+    /// The queueing time that the level is steered to. The level falls when calls wait for twice as
+    /// long throughout a window, and rises when they wait for less.
     pub wait_target_ms: u64,
 }
 
--- a/src/admission/flow.rs
+++ b/src/admission/arrival_ratio.rs
@@ -1,18 +1,18 @@
-//! Whether more calls arrive than come to their end.
+//! The ratio of call arrivals to completions.
 
 use crate::core::TimeMs;
 
 /// The span over which calls are counted, in milliseconds.
 const SPAN_MS: u64 = 100;
-/// The part of a span's figures that is taken over into the smoothed ones.
+/// Weight of a new span in the smoothed figures.
 const WEIGHT: f32 = 0.4;
-/// Between these the ratio is told; beyond, it says nothing more.
-const LEAST_RATIO: f32 = 0.2;
-const MOST_RATIO: f32 = 3.0;
+/// Bounds of the reported ratio. Values beyond them add no information.
+const MIN_RATIO: f32 = 0.2;
+const MAX_RATIO: f32 = 3.0;
 
-/// Arrivals and ends of calls, counted over short spans and smoothed.
+/// Arrivals and completions, counted over short spans and smoothed.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Flow {
+pub(super) struct ArrivalRatio {
     since: TimeMs,
     arrived: u32,
     ended: u32,
@@ -20,7 +20,7 @@
     ending: f32,
 }
 
-impl Flow {
+impl ArrivalRatio {
     pub fn arrive(&mut self, now: TimeMs) {
         self.roll(now);
         self.arrived += 1;
@@ -31,12 +31,13 @@
         self.ended += 1;
     }
 
-    /// Arrivals for each end. While calls always wait, it is the demand against the capacity.
+    /// Arrivals per completion. While calls are always queued, this is the ratio of demand to
+    /// capacity.
     pub fn ratio(&self) -> f32 {
         if self.ending < 1.0 {
             return 1.0;
         }
-        (self.arriving / self.ending).clamp(LEAST_RATIO, MOST_RATIO)
+        (self.arriving / self.ending).clamp(MIN_RATIO, MAX_RATIO)
     }
 
     fn roll(&mut self, now: TimeMs) {
--- a/src/admission/dependencies.rs
+++ b/src/admission/dependencies.rs
@@ -1,4 +1,4 @@
-//! Which services the local backend server calls while it works on a route.
+//! Which services the local backend server calls while it handles a route.
 
 use crate::admission::Levels;
 use crate::core::FastMap;
@@ -6,12 +6,12 @@
 use crate::core::Priority;
 use crate::core::TimeMs;
 
-/// A dependency that was not used for this long is forgotten.
+/// A dependency that has not been used for this long is ignored.
 const FORGET_AFTER_MS: u64 = 10_000;
-/// Routes remembered at most.
-const MOST_ROUTES: usize = 512;
-/// Services and routes remembered for one route at most.
-const MOST_CHILDREN: usize = 32;
+/// The most routes that are tracked.
+const MAX_ROUTES: usize = 512;
+/// The most child services and routes that are tracked per route.
+const MAX_CHILDREN: usize = 32;
 
 #[derive(Clone, Debug)]
 struct Child {
@@ -20,15 +20,17 @@
     last_used: TimeMs,
 }
 
-/// Learnt from the calls that the backend server makes on behalf of live calls, so that the level
-/// of a deep service reaches the entry with the answers of those in between.
+/// Dependencies of routes on other services, learnt from the calls that the backend server makes on
+/// behalf of running calls. They carry the level of a deep service to the entry, on the answers of
+/// the services in between.
 #[derive(Clone, Debug, Default)]
 pub struct Dependencies {
     children: FastMap<Name, Vec<Child>>,
 }
 
 impl Dependencies {
-    /// Notes that a call on `route` of the local service led to one on `child_route` of `service`.
+    /// Records that a call on `route` of the local service led to a call on `child_route` of
+    /// `service`.
     pub fn note(&mut self, now: TimeMs, route: &str, service: &Name, child_route: &str) {
         if !self.children.contains_key(route) {
             self.make_room(now);
@@ -43,7 +45,7 @@
             return;
         }
         children.retain(|child| now.since(child.last_used) <= FORGET_AFTER_MS);
-        if children.len() < MOST_CHILDREN {
+        if children.len() < MAX_CHILDREN {
             children.push(Child {
                 service: service.clone(),
                 route: Name::from(child_route),
@@ -52,8 +54,8 @@
         }
     }
 
-    /// The level to piggyback on an answer to a call on `route`: what the guard itself admits, or
-    /// less where a service behind it admits less.
+    /// The level to piggyback on an answer to a call on `route`: the guard's own level, or that of
+    /// a downstream service if it is lower.
     pub fn level(&self, now: TimeMs, route: &str, own: Priority, levels: &Levels) -> Priority {
         let children = self.children.get(route).map_or(&[][..], Vec::as_slice);
         children
@@ -63,7 +65,7 @@
             .fold(own, Priority::min)
     }
 
-    /// The service and route of every call that work on `route` has lately led to.
+    /// The service and route of every call that `route` has recently led to.
     pub fn children<'a>(
         &'a self,
         now: TimeMs,
@@ -77,7 +79,7 @@
     }
 
     fn make_room(&mut self, now: TimeMs) {
-        if self.children.len() < MOST_ROUTES {
+        if self.children.len() < MAX_ROUTES {
             return;
         }
         self.children.retain(|_, children| {
@@ -85,7 +87,7 @@
                 .iter()
                 .any(|child| now.since(child.last_used) <= FORGET_AFTER_MS)
         });
-        if self.children.len() >= MOST_ROUTES {
+        if self.children.len() >= MAX_ROUTES {
             self.children.clear();
         }
     }
--- a/src/admission/drain_rate.rs
+++ b/src/admission/drain_rate.rs
@@ -1,13 +1,13 @@
-//! How fast calls come to their end, from which a refusal says when to come back.
+//! The rate of completions, from which the Retry-After of a refusal is computed.
 
 use crate::core::TimeMs;
 
 /// The span over which completions are counted.
 const SPAN_MS: u64 = 200;
-/// The weight of a new span is one in this.
+/// Weight of a new span: one part in this.
 const WEIGHT: u64 = 2;
 
-/// Completions a second, in thousandths, smoothed over a few spans.
+/// Completions per second, in thousandths, smoothed over a few spans.
 #[derive(Clone, Debug, Default)]
 pub(super) struct DrainRate {
     milli_per_second: u64,
@@ -21,7 +21,7 @@
         self.count += 1;
     }
 
-    /// How long it takes until `calls` more have ended.
+    /// The time in which `calls` more calls complete.
     pub fn time_for_ms(&mut self, calls: u64, now: TimeMs) -> u64 {
         self.roll(now);
         calls * 1_000_000 / self.milli_per_second.max(1_000)
--- a/src/admission/latency_limit.rs
+++ b/src/admission/latency_limit.rs
@@ -1,31 +1,31 @@
-//! How many calls may be under way at a backend server while what it calls is the bottleneck.
+//! The number of calls in flight at a backend server while a service that it calls is the
+//! bottleneck.
 
 use crate::core::TimeMs;
 
-/// How often the limit is worked out anew, in milliseconds.
+/// How often the limit is recomputed, in milliseconds.
 const SPAN_MS: u64 = 250;
-/// The part of the latency objective that a run may take, in percent; the rest is for what comes
-/// before and after it.
+/// The percentage of the latency objective that a run may take. The rest is for the time before and
+/// after it.
 const RUN_PERCENT: u64 = 40;
-/// The limit rises by at most this in one span, in percent.
-const RISE_PERCENT: u64 = 150;
-/// It never falls below one part in this of the limit that holds otherwise: a stall that has other
-/// reasons must not shut the backend server.
-const LEAST_PART: u32 = 8;
-/// The weight of one call in the usual objective is one in this.
+/// The most by which the limit is multiplied in one span, in percent.
+const MAX_INCREASE_PERCENT: u64 = 150;
+/// The limit never falls below the concurrency limit divided by this. A stall with another cause
+/// must not shut off the backend server.
+const MIN_PART: u32 = 8;
+/// Weight of one call in the smoothed latency objective: one part in this.
 const WEIGHT: u64 = 32;
 
-/// A limit on calls under way that keeps the time they take within their objective.
-///
-/// Guards against a chain that fills up: when a service deep down is the bottleneck, calls wait
-/// there for each other and hold their slots in all services above, which then seem to be full as
-/// well. It shows as answers that are all late though the bottleneck works at its best, and it
-/// lasts long after the load has gone. By Little's law the time in the chain is the calls under way
-/// divided by those that end a second; so the calls under way are held to that rate times the time
-/// they may take, and what is more waits or is refused before it has cost anything.
-///
-/// A backend server that is slow itself needs all its slots, so the limit only falls while what it
-/// calls is pressed.
+/// A limit on calls in flight that keeps their run time within the latency objective.
+/// Guards against congestion that spreads up a call chain. When a deep service is the bottleneck,
+/// calls queue there and hold their slots in all services above, which then seem to be full as
+/// well. All answers are late although the bottleneck works at full speed, and this lasts long
+/// after the load has gone.
+/// By Little's law the time in the chain is the number of calls in flight divided by the
+/// completions per second. The calls in flight are therefore limited to that rate multiplied by the
+/// time they may take. Further calls wait or are refused before any work is done for them.
+/// A backend server that is itself slow needs all its slots, so the limit falls only while a
+/// downstream service is overloaded.
 #[derive(Clone, Debug)]
 pub(super) struct LatencyLimit {
     limit: u32,
@@ -54,12 +54,12 @@
         self.limit
     }
 
-    /// Says whether a service that the backend server calls is the bottleneck.
+    /// Sets whether a service that the backend server calls is the bottleneck.
     pub fn set_downstream_overloaded(&mut self, is_overloaded: bool) {
         self.is_downstream_overloaded = is_overloaded;
     }
 
-    /// Notes a call's latency objective as it arrives.
+    /// Records the latency objective of a call that arrives.
     pub fn note_objective(&mut self, objective_ms: u64) {
         self.objective_ms = if self.objective_ms == 0 {
             objective_ms
@@ -68,12 +68,12 @@
         };
     }
 
-    /// Notes that a call had to wait for room.
+    /// Records that a call had to wait for room.
     pub fn note_full(&mut self) {
         self.was_full = true;
     }
 
-    /// Notes a call that ran to its end; `cap` is the limit that holds otherwise.
+    /// Records a call that ran to its end. `cap` is the concurrency limit.
     pub fn note_end(&mut self, now: TimeMs, run_us: u64, cap: u32) {
         self.ended += 1;
         self.run_us += run_us;
@@ -89,12 +89,12 @@
         let in_force = self.limit.min(cap);
         if mean_ms > target_ms && self.is_downstream_overloaded {
             let by_rate = self.ended * target_ms / span_ms;
-            let fallen = u32::try_from(by_rate).unwrap_or(u32::MAX);
-            let least = (cap / LEAST_PART).max(1);
-            self.limit = fallen.clamp(least, in_force.max(least));
+            let lowered = u32::try_from(by_rate).unwrap_or(u32::MAX);
+            let floor = (cap / MIN_PART).max(1);
+            self.limit = lowered.clamp(floor, in_force.max(floor));
         } else if self.was_full || self.limit < cap {
-            let risen = u64::from(in_force) * RISE_PERCENT / 100 + 1;
-            self.limit = u32::try_from(risen).unwrap_or(u32::MAX);
+            let raised = u64::from(in_force) * MAX_INCREASE_PERCENT / 100 + 1;
+            self.limit = u32::try_from(raised).unwrap_or(u32::MAX);
         }
         if self.limit >= cap {
             self.limit = u32::MAX;
--- a/src/admission/level_control.rs
+++ b/src/admission/level_control.rs
@@ -1,54 +1,55 @@
-//! The lowest priority that a guard admits, worked out anew for each window.
+//! The lowest priority that a guard admits, recomputed for each window.
 
 use crate::admission::AdmissionConf;
 use crate::core::Priority;
 use crate::core::TimeMs;
 
-/// Classes that are told apart; higher ones share the last place.
+/// The number of classes that are distinguished. Higher ones share the last index.
 pub(super) const CLASSES: usize = 16;
-/// Ranks of a class are counted in this many buckets.
+/// The number of buckets in which the ranks of a class are counted.
 const BUCKETS: usize = 256;
-/// Bits of a rank below a bucket.
+/// The number of rank bits below a bucket.
 const BUCKET_BITS: u32 = 8;
-/// The weight of what earlier windows offered, against one for the present one.
-const MEMORY: f32 = 0.7;
-/// What is admitted after overload, as a share of what was run.
-const FIT: f32 = 1.0;
-/// Fewer calls than this standing in the queue are chance, however slowly they are run.
-const LOWER_QUEUED: usize = 3;
-/// The level rises whatever they wait for while fewer than this stand in the queue.
-const RAISE_QUEUED: usize = 1;
-/// By which share of what is run the level is raised in a window.
-const CAUTIOUS_STEP: f32 = 0.02;
-/// The most by which it is raised in a window.
-const LONGEST_STEP: f32 = 2.0;
-/// The share of calls that were started at once from which there is room to spare.
-const SPARE_SHARE: f32 = 0.9;
-
-/// A window that has seen fewer starts lasts longer, for it says little.
-const ENOUGH_STARTS: u32 = 12;
-/// The longest window, in ordinary ones.
-const LONGEST: u64 = 1;
-
-/// What a window has shown.
+/// The weight of earlier windows in the smoothed demand. The present window has the rest.
+const DEMAND_MEMORY: f32 = 0.7;
+/// The demand admitted after an overload, as a share of the calls that were run.
+const ADMITTED_SHARE: f32 = 1.0;
+/// The level is not lowered for fewer queued calls than this, however slowly they run: they can be
+/// a chance burst.
+const MIN_QUEUED_TO_LOWER: usize = 3;
+/// The level rises while fewer calls than this are queued, however long they wait.
+const MIN_QUEUED_TO_HOLD: usize = 1;
+/// The share of the calls run by which the level is raised in a window.
+const MIN_STEP: f32 = 0.02;
+/// The largest such share.
+const MAX_STEP: f32 = 2.0;
+/// There is spare capacity if at least this share of calls was started without waiting.
+const IDLE_START_SHARE: f32 = 0.9;
+
+/// A window with fewer starts is extended, because it holds too little data.
+const MIN_STARTS: u32 = 12;
+/// The longest window, in ordinary windows.
+const MAX_WINDOWS: u64 = 1;
+
+/// Figures of one window.
 #[derive(Clone, Copy, Debug)]
 struct Window {
-    standing: usize,
+    min_queued: usize,
     at_once: u32,
     started: u32,
 }
 
 impl Window {
     const NEW: Self = Self {
-        standing: usize::MAX,
+        min_queued: usize::MAX,
         at_once: 0,
         started: 0,
     };
 }
 
-/// Counts offered calls by priority and moves the level so that what is admitted fits what can be
-/// run. It falls at once to where the offered calls fit, and rises in steps that double only while
-/// there is room to spare.
+/// Counts offered calls by priority, and moves the level so that the admitted calls fit what can be
+/// run. The level falls at once to where the offered calls fit. It rises in steps, which double
+/// only while there is spare capacity.
 #[derive(Clone, Debug)]
 pub(super) struct LevelControl {
     window_ms: u64,
@@ -56,7 +57,7 @@
     since: TimeMs,
     /// Offered calls per window and bucket, smoothed.
     demand: Vec<f32>,
-    fresh: Vec<f32>,
+    new_demand: Vec<f32>,
     window: Window,
     run_per_window: f32,
     /// Buckets below this index are admitted.
@@ -73,12 +74,12 @@
             wait_target_ms: conf.wait_target_ms,
             since: TimeMs(0),
             demand: vec![0.0; total],
-            fresh: vec![0.0; total],
+            new_demand: vec![0.0; total],
             window: Window::NEW,
             run_per_window: 0.0,
             open: total,
             end: total,
-            step: CAUTIOUS_STEP,
+            step: MIN_STEP,
         }
     }
 
@@ -103,7 +104,7 @@
     }
 
     pub fn note_offer(&mut self, priority: Priority) {
-        self.fresh[bucket(priority)] += 1.0;
+        self.new_demand[bucket(priority)] += 1.0;
     }
 
     pub fn note_start(&mut self, at_once: bool) {
@@ -111,52 +112,53 @@
         self.window.at_once += u32::from(at_once);
     }
 
-    /// The shortest queue seen in this window.
-    pub fn standing(&self) -> usize {
-        self.window.standing
+    /// The shortest queue of this window.
+    pub fn min_queued(&self) -> usize {
+        self.window.min_queued
     }
 
-    /// Notes how many calls wait that the present level admits: those above it are left over from
-    /// before it fell and say nothing about it. At the end of a window the level moves.
+    /// Records how many calls wait that the present level admits. Calls above the level are left
+    /// over from before it fell and are not counted. The level is recomputed at the end of a
+    /// window.
     pub fn note_queue(&mut self, now: TimeMs, queued: usize) {
-        self.window.standing = self.window.standing.min(queued);
+        self.window.min_queued = self.window.min_queued.min(queued);
         let span_ms = now.since(self.since);
-        let enough = self.window.started >= ENOUGH_STARTS || span_ms >= self.window_ms * LONGEST;
+        let enough = self.window.started >= MIN_STARTS || span_ms >= self.window_ms * MAX_WINDOWS;
         if span_ms >= self.window_ms && enough {
             self.roll(now);
         }
     }
 
     fn roll(&mut self, now: TimeMs) {
-        let queued = self.window.standing;
+        let queued = self.window.min_queued;
         let span = now.since(self.since) as f32 / self.window_ms as f32;
         self.since = now;
         let started = self.window.started as f32 / span;
         self.run_per_window = if queued > 0 {
-            self.run_per_window * MEMORY + started * (1.0 - MEMORY)
+            self.run_per_window * DEMAND_MEMORY + started * (1.0 - DEMAND_MEMORY)
         } else {
             self.run_per_window.max(started)
         };
-        self.remember();
+        self.update_demand();
         let wait_ms = queued as f32 * self.window_ms as f32 / self.run_per_window.max(0.1);
         let target_ms = self.wait_target_ms as f32;
-        if wait_ms > target_ms * 2.0 && queued >= LOWER_QUEUED {
+        if wait_ms > target_ms * 2.0 && queued >= MIN_QUEUED_TO_LOWER {
             self.lower();
-        } else if wait_ms < target_ms || queued < RAISE_QUEUED {
+        } else if wait_ms < target_ms || queued < MIN_QUEUED_TO_HOLD {
             self.raise();
         }
         self.window = Window::NEW;
     }
 
-    fn remember(&mut self) {
-        for (demand, fresh) in self.demand.iter_mut().zip(&mut self.fresh) {
-            *demand = *demand * MEMORY + *fresh * (1.0 - MEMORY);
-            *fresh = 0.0;
+    fn update_demand(&mut self) {
+        for (demand, new_demand) in self.demand.iter_mut().zip(&mut self.new_demand) {
+            *demand = *demand * DEMAND_MEMORY + *new_demand * (1.0 - DEMAND_MEMORY);
+            *new_demand = 0.0;
         }
     }
 
     fn lower(&mut self) {
-        let room = self.run_per_window * FIT;
+        let room = self.run_per_window * ADMITTED_SHARE;
         let mut sum = 0.0;
         let mut open = 0;
         while open < self.open && sum + self.demand[open] <= room {
@@ -164,16 +166,16 @@
             open += 1;
         }
         self.open = open.max(1);
-        self.step = CAUTIOUS_STEP;
+        self.step = MIN_STEP;
     }
 
     fn raise(&mut self) {
         let window = &self.window;
-        let spare = window.at_once as f32 >= window.started as f32 * SPARE_SHARE;
+        let spare = window.at_once as f32 >= window.started as f32 * IDLE_START_SHARE;
         self.step = if spare {
-            (self.step * 2.0).min(LONGEST_STEP)
+            (self.step * 2.0).min(MAX_STEP)
         } else {
-            CAUTIOUS_STEP
+            MIN_STEP
         };
         let most_buckets = (self.step * BUCKETS as f32).max(1.0) as usize;
         let added = self.run_per_window * self.step;
--- a/src/admission/levels.rs
+++ b/src/admission/levels.rs
@@ -1,19 +1,19 @@
-//! What services admit, as learnt from the answers that come by.
+//! Admission levels of services, learnt from piggybacked answers.
 
 use crate::core::FastMap;
 use crate::core::Name;
 use crate::core::Priority;
 use crate::core::TimeMs;
 
-/// A level that has not been heard of for this long no longer holds.
+/// A level that has not been reported for this long is ignored.
 const FRESH_MS: u64 = 500;
-/// How often a call passes to ask for the level of a route that is shed as a whole.
-const ASK_MS: u64 = 1_000;
-/// Services and routes remembered at most; beyond it those not heard of for longest go.
-const MOST_ENTRIES: usize = 4_096;
+/// How often one call is sent to probe a route whose calls are all shed.
+const PROBE_INTERVAL_MS: u64 = 1_000;
+/// The most services and routes that are tracked. Beyond it, stale ones are evicted.
+const MAX_ENTRIES: usize = 4_096;
 
-/// The part of a path by which levels are told apart: its first segment. Calls under one first
-/// segment are taken to depend on the same services.
+/// The part of a path by which levels are kept: its first segment. Calls with the same first
+/// segment are assumed to depend on the same services.
 pub fn route_of(path: &str) -> &str {
     let rest = path.strip_prefix('/').unwrap_or(path);
     let end = rest.find(['/', '?']).unwrap_or(rest.len());
@@ -21,46 +21,45 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct KnownLevel {
     level: Priority,
     at: TimeMs,
-    asked_at: TimeMs,
+    probed_at: TimeMs,
 }
 
-/// The admission level of each service and route, held where calls are sent from: at entries for
+/// The admission level of each service and route, kept where calls are sent: at entries for
 /// callers' requests, and at guards for the calls of their backend server.
-///
-/// Guards against work that is done at every hop only to be thrown away at the last: what would be
-/// shed deeper is refused here, before anything has been done for it. A level that nobody renews
-/// lapses, so a wrong or old one does harm for half a second at most.
+/// Guards against work that is done at every hop and discarded at the last. A call that would be
+/// shed deeper is refused here before any work is done for it. A level expires unless it is
+/// renewed, so a wrong or old one does harm for half a second at most.
 #[derive(Clone, Debug, Default)]
 pub struct Levels {
-    heard: FastMap<Name, FastMap<Name, Heard>>,
+    reported: FastMap<Name, FastMap<Name, KnownLevel>>,
     entries: usize,
 }
 
 impl Levels {
-    /// Takes in the level that an answer of `service` to a call on `route` brought.
+    /// Records the level piggybacked on an answer of `service` to a call on `route`.
     pub fn note(&mut self, now: TimeMs, service: &Name, route: &str, level: Priority) {
-        let heard = Heard {
+        let reported = KnownLevel {
             level,
             at: now,
-            asked_at: now,
+            probed_at: now,
         };
-        let routes = self.heard.entry(service.clone()).or_default();
+        let routes = self.reported.entry(service.clone()).or_default();
         if let Some(known) = routes.get_mut(route) {
-            *known = heard;
+            *known = reported;
             return;
         }
-        routes.insert(Name::from(route), heard);
+        routes.insert(Name::from(route), reported);
         self.entries += 1;
-        if self.entries > MOST_ENTRIES {
+        if self.entries > MAX_ENTRIES {
             self.evict(now);
         }
     }
 
-    /// Whether a call may be sent; when not, it would be shed by the service or behind it. Where the
-    /// route has not been heard of lately, one call now and then passes all the same, to ask.
+    /// Whether a call may be sent. If not, the service or one downstream would shed it. If the
+    /// route has had no recent report, one call per interval is sent to probe it.
     pub fn may_pass(
         &mut self,
         now: TimeMs,
@@ -71,48 +70,47 @@
         if priority <= self.level(now, service, route) {
             return true;
         }
-        let heard = self
-            .heard
+        let reported = self
+            .reported
             .get_mut(service)
             .and_then(|routes| routes.get_mut(route));
-        match heard {
-            Some(heard) if now.since(heard.at.max(heard.asked_at)) > ASK_MS => {
-                heard.asked_at = now;
+        match reported {
+            Some(reported) if now.since(reported.at.max(reported.probed_at)) > PROBE_INTERVAL_MS => {
+                reported.probed_at = now;
                 true
             }
             _ => false,
         }
     }
 
-    /// The lowest priority that the service, and those behind it on this route, admit.
-    ///
-    /// Guards against a class with a route of its own being let in at once by all nodes whenever
-    /// the route's level grows old: since the class is shed, no answer renews it. What answers on
-    /// other routes say of the same service holds for it meanwhile, the most lenient of them, for
-    /// what is behind this route may be less loaded than what is behind others.
+    /// The lowest priority that the service and its downstream services on this route admit.
+    /// Guards against a class with a route of its own that all nodes admit at once whenever the
+    /// level of the route expires. While the class is shed, no answer renews that level. Recent
+    /// levels of the same service on other routes are used meanwhile. The most lenient one is
+    /// taken, because this route's downstream services may be less loaded than those of the others.
     pub fn level(&self, now: TimeMs, service: &str, route: &str) -> Priority {
-        let Some(routes) = self.heard.get(service) else {
+        let Some(routes) = self.reported.get(service) else {
             return Priority::LOWEST;
         };
-        let is_fresh = |heard: &&Heard| now.since(heard.at) <= FRESH_MS;
-        if let Some(heard) = routes.get(route).filter(is_fresh) {
-            return heard.level;
+        let is_fresh = |reported: &&KnownLevel| now.since(reported.at) <= FRESH_MS;
+        if let Some(reported) = routes.get(route).filter(is_fresh) {
+            return reported.level;
         }
         let fresh = routes.values().filter(is_fresh);
         fresh
-            .map(|heard| heard.level)
+            .map(|reported| reported.level)
             .max()
             .unwrap_or(Priority::LOWEST)
     }
 
     fn evict(&mut self, now: TimeMs) {
-        for routes in self.heard.values_mut() {
-            routes.retain(|_, heard| now.since(heard.at) <= FRESH_MS);
+        for routes in self.reported.values_mut() {
+            routes.retain(|_, reported| now.since(reported.at) <= FRESH_MS);
         }
-        self.heard.retain(|_, routes| !routes.is_empty());
-        self.entries = self.heard.values().map(FastMap::len).sum();
-        if self.entries > MOST_ENTRIES {
-            self.heard.clear();
+        self.reported.retain(|_, routes| !routes.is_empty());
+        self.entries = self.reported.values().map(FastMap::len).sum();
+        if self.entries > MAX_ENTRIES {
+            self.reported.clear();
             self.entries = 0;
         }
     }
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -1,19 +1,18 @@
-//! What runs, waits or is refused under overload, at the guard and for the whole chain.
-//!
-//! Pure decisions: each takes a state, an input and a time, and returns actions. The ways that
-//! were weighed and the figures are in [docs/ADMISSION.md](../../docs/ADMISSION.md).
+//! Admission control under overload, at the guard and for the whole call chain.
+//! The modules have no side effects: each takes a state, an input and a time, and returns actions.
+//! The alternatives considered and the figures are in [docs/ADMISSION.md](../../docs/ADMISSION.md).
 
 mod admission;
 mod admission_conf;
 mod call_queue;
 mod dependencies;
 mod drain_rate;
-mod flow;
-mod gaps;
+mod arrival_ratio;
+mod event_interval;
 mod latency_limit;
 mod level_control;
 mod levels;
-mod limit;
+mod concurrency_limit;
 mod rate_limit_state;
 mod origins_by_domain;
 mod pressure;
--- a/src/admission/origins_by_domain.rs
+++ b/src/admission/origins_by_domain.rs
@@ -1,4 +1,5 @@
-//! Who uses a route, judged by the calls of the own failure domain where those tell.
+//! Who uses a route, judged by the calls of the guard's own failure domain if there are enough of
+//! them.
 
 use crate::admission::CallingService;
 use crate::admission::RouteOrigins;
@@ -6,23 +7,24 @@
 use crate::core::Name;
 use crate::core::RouteOrigin;
 
-/// A route is judged by the calls of the own domain while these are one in so many of all: requests of
-/// callers stay in their domain, so where hardly any call comes from it nobody uses the route there.
-const NEAR_PART: f32 = 12.0;
-/// Before so many calls have come it is not said that few come from the own domain.
-const ENOUGH_CALLS: f32 = 64.0;
-/// Counts are halved when they reach this, so that old calls are forgotten.
-const MOST_COUNTED: f32 = 1_024.0;
-/// Routes remembered at most; beyond it all are forgotten and learnt anew.
-const MOST_ROUTES: usize = 4_096;
+/// A route is judged by the calls of the own domain while these are at least one in this of all
+/// calls. Requests of callers stay in their domain, so a route with hardly any call from the own
+/// domain has no callers there.
+const OWN_DOMAIN_PART: f32 = 12.0;
+/// The share of calls from the own domain is used only after this many calls.
+const MIN_CALLS: f32 = 64.0;
+/// Counts are halved when they reach this, so that old calls lose weight.
+const MAX_COUNT: f32 = 1_024.0;
+/// The most routes that are tracked. Beyond it, all are dropped and learnt anew.
+const MAX_ROUTES: usize = 4_096;
 
 /// A call as the guard sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct ObservedCall<'a> {
     pub route: &'a Name,
-    /// The service beside which it began.
+    /// The service beside which the call began.
     pub caller_service: &'a Name,
-    /// It comes from the guard's own failure domain.
+    /// The call comes from the guard's own failure domain.
     pub same_domain: bool,
     /// Who uses the route, as far as the sender knows.
     pub reported_origin: Option<RouteOrigin>,
@@ -31,9 +33,9 @@
 /// The services beside which calls may begin.
 #[derive(Clone, Copy, Debug)]
 pub struct CallingServices<'a> {
-    /// Those of the own domain.
+    /// Those of the guard's own failure domain.
     pub own_domain: &'a [CallingService],
-    /// Those of all domains.
+    /// Those of all failure domains.
     pub all: &'a [CallingService],
 }
 
@@ -43,12 +45,11 @@
     all: f32,
 }
 
-/// Two judgements of each route, by the calls of the own domain and by all.
-///
-/// Guards against a route that is never learnt to be backend servers' own: the only target of a deep
-/// service stands in a domain without a node of the service that calls it, so no call comes from the
-/// own domain. It shows as callers' requests that are not refused for the sake of that service and fail
-/// at depth. It holds because which calls count follows from where calls come from.
+/// Two classifications of each route: by the calls of the own failure domain, and by all calls.
+/// Guards against a route of backend servers that is never classified. The only target of a deep
+/// service may be in a domain without a node of the service that calls it, so no call comes from
+/// the own domain. Callers' requests are then not refused on behalf of that service, and fail deep
+/// in the chain. The calls that count are therefore chosen by where calls come from.
 #[derive(Clone, Debug, Default)]
 pub struct OriginsByDomain {
     own_domain: RouteOrigins,
@@ -57,7 +58,7 @@
 }
 
 impl OriginsByDomain {
-    /// Counts a call, and answers what is known of its route.
+    /// Counts a call, and returns what is known of its route.
     pub fn note(
         &mut self,
         call: ObservedCall<'_>,
@@ -68,7 +69,7 @@
         if call.same_domain {
             self.own_domain.note(route, service, call.reported_origin, services.own_domain);
         }
-        let origins = if self.comes_from_afar(call) {
+        let origins = if self.is_mostly_remote(call) {
             &self.all
         } else {
             &self.own_domain
@@ -76,18 +77,18 @@
         origins.of(route).or(call.reported_origin)
     }
 
-    /// Counts the call, and answers whether hardly any call on its route comes from the own domain.
-    fn comes_from_afar(&mut self, call: ObservedCall<'_>) -> bool {
-        if self.counts.len() >= MOST_ROUTES && !self.counts.contains_key(call.route) {
+    /// Counts the call, and returns whether hardly any call on its route comes from the own domain.
+    fn is_mostly_remote(&mut self, call: ObservedCall<'_>) -> bool {
+        if self.counts.len() >= MAX_ROUTES && !self.counts.contains_key(call.route) {
             self.counts.clear();
         }
         let counts = self.counts.entry(call.route.clone()).or_default();
         counts.all += 1.0;
         counts.own_domain += f32::from(u8::from(call.same_domain));
-        if counts.all >= MOST_COUNTED {
+        if counts.all >= MAX_COUNT {
             counts.all /= 2.0;
             counts.own_domain /= 2.0;
         }
-        counts.all >= ENOUGH_CALLS && counts.own_domain * NEAR_PART < counts.all
+        counts.all >= MIN_CALLS && counts.own_domain * OWN_DOMAIN_PART < counts.all
     }
 }
--- a/src/admission/pressure.rs
+++ b/src/admission/pressure.rs
@@ -1,11 +1,11 @@
-//! How hard calls press on the service that is pressed most.
+//! The pressure of the most overloaded service.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::core::Name;
 
-/// The most pressed service on a call's way, as it is piggybacked on answers.
+/// The most overloaded service on the path of a call, as piggybacked on answers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Pressure {
--- a/src/admission/pressures.rs
+++ b/src/admission/pressures.rs
@@ -1,4 +1,4 @@
-//! Which services are pressed behind each route, as learnt from the answers that come by.
+//! Which services are overloaded downstream of each route, learnt from piggybacked answers.
 
 use crate::admission::Dependencies;
 use crate::admission::Pressure;
@@ -6,87 +6,90 @@
 use crate::core::Name;
 use crate::core::TimeMs;
 
-/// Pressure that has not been heard of for this long no longer holds.
+/// Pressure that has not been reported for this long is ignored.
 const FRESH_MS: u64 = 500;
-/// The weight of a new report is one in this: single answers jump with every call that waits.
+/// Weight of a new report: one part in this. Single reports vary with every queued call.
 const WEIGHT: u64 = 8;
-/// A report replaces all before it when the last one is this old, in milliseconds, and has its part
-/// of that weight when it is younger. Guards against pressure that outlives its cause: with less
-/// let in, answers grow few, and counted by answers it would never be forgotten.
-const RENEWED_MS: u64 = 400;
-/// Routes remembered at most; beyond it those not heard of for longest go.
-const MOST_ROUTES: usize = 4_096;
+/// A report replaces the smoothed value when the last report is this old, in milliseconds. The
+/// weight of a younger report is in proportion to its age. Guards against pressure that outlives
+/// its cause: with fewer requests admitted there are fewer answers, and a weight per answer would
+/// keep the old value for too long.
+const FULL_WEIGHT_AGE_MS: u64 = 400;
+/// The most routes that are tracked. Beyond it, stale ones are evicted.
+const MAX_ROUTES: usize = 4_096;
 
 #[derive(Clone, Debug)]
-struct Heard {
+struct KnownPressure {
     service: Name,
     permille: u32,
     at: TimeMs,
 }
 
-/// The most pressed service behind each route of each service that calls are sent to, and behind
-/// the routes of the local service.
-///
-/// Backend servers pass nothing on, so a deep call cannot be tied to its root. What can be learnt
-/// is which routes lead to which calls, and so which deep service a root of a route will press on.
+/// The most overloaded service downstream of each route: of the services that calls are sent to,
+/// and of the local service.
+/// Backend servers do not forward any context, so a deep call cannot be matched to its root
+/// request. What can be learnt is which routes lead to which calls, and so which deep service a
+/// root request on a route will load.
 #[derive(Clone, Debug, Default)]
 pub struct Pressures {
-    heard: FastMap<Name, FastMap<Name, Heard>>,
+    reported: FastMap<Name, FastMap<Name, KnownPressure>>,
     routes: usize,
     dependencies: Dependencies,
 }
 
 impl Pressures {
-    /// Takes in what an answer of `service` on `route` brought.
+    /// Records the pressure piggybacked on an answer of `service` on `route`.
     pub fn note(&mut self, now: TimeMs, service: &Name, route: &str, pressure: Option<&Pressure>) {
         let known = self
-            .heard
+            .reported
             .get_mut(service)
             .and_then(|routes| routes.get_mut(route));
         match (known, pressure) {
-            (Some(known), Some(pressure)) => known.take(now, pressure),
-            (Some(known), None) => known.ease(now),
+            (Some(known), Some(pressure)) => known.update(now, pressure),
+            (Some(known), None) => known.decay(now),
             (None, Some(pressure)) => self.insert(now, service, route, pressure),
             (None, None) => {}
         }
     }
 
     fn insert(&mut self, now: TimeMs, service: &Name, route: &str, pressure: &Pressure) {
-        if self.routes >= MOST_ROUTES {
+        if self.routes >= MAX_ROUTES {
             self.evict(now);
         }
-        let heard = Heard {
+        let reported = KnownPressure {
             service: pressure.service.clone(),
             permille: pressure.permille / WEIGHT as u32,
             at: now,
         };
-        let routes = self.heard.entry(service.clone()).or_default();
-        routes.insert(Name::from(route), heard);
+        let routes = self.reported.entry(service.clone()).or_default();
+        routes.insert(Name::from(route), reported);
         self.routes += 1;
     }
 
-    /// Notes that work on `route` of the local service may have led to a call.
+    /// Records that handling `route` of the local service may have led to a call.
     pub fn note_child(&mut self, now: TimeMs, route: &str, service: &Name, child_route: &str) {
         self.dependencies.note(now, route, service, child_route);
     }
 
-    /// The most pressed service behind calls to `service` on `route`.
+    /// The most overloaded service downstream of calls to `service` on `route`.
     pub fn downstream(&self, now: TimeMs, service: &str, route: &str) -> Option<Pressure> {
-        let heard = self.heard.get(service)?.get(route)?;
-        let is_fresh = now.since(heard.at) <= FRESH_MS && heard.permille > 0;
+        let reported = self.reported.get(service)?.get(route)?;
+        let is_fresh = now.since(reported.at) <= FRESH_MS && reported.permille > 0;
         is_fresh.then(|| Pressure {
-            service: heard.service.clone(),
-            permille: heard.permille,
+            service: reported.service.clone(),
+            permille: reported.permille,
         })
     }
 
-    /// The service that was last seen pressed behind calls to `service` on `route`, if one ever was.
+    /// The service last reported as most overloaded downstream of calls to `service` on `route`, if
+    /// there was one.
     pub fn overloaded_service(&self, service: &str, route: &str) -> Option<&Name> {
-        let heard = self.heard.get(service)?.get(route)?;
-        Some(&heard.service)
+        let reported = self.reported.get(service)?.get(route)?;
+        Some(&reported.service)
     }
 
-    /// What to tell with an answer on `route` of the local service, whose own pressure is `own`.
+    /// The pressure to piggyback on an answer on `route` of the local service, whose own pressure
+    /// is `own`.
     pub fn for_answer(&self, now: TimeMs, route: &str, own: Pressure) -> Option<Pressure> {
         let children = self.dependencies.children(now, route);
         let downstream = children.filter_map(|(service, route)| self.downstream(now, service, route));
@@ -96,13 +99,14 @@
             .max_by_key(|pressure| pressure.permille)
     }
 
-    /// The services that work on `route` of the local service lately may have called, each once or more.
+    /// The services that handling `route` of the local service may have called recently. A service
+    /// may be listed more than once.
     pub fn downstream_services(&self, now: TimeMs, route: &str) -> Vec<Name> {
         let children = self.dependencies.children(now, route);
         children.map(|(service, _)| service.clone()).collect()
     }
 
-    /// The highest pressure behind any of the routes of the local service.
+    /// The highest pressure downstream of any of the given routes of the local service.
     pub fn max_downstream_permille(&self, now: TimeMs, routes: &[Name]) -> u32 {
         let children = routes
             .iter()
@@ -112,42 +116,42 @@
     }
 
     fn evict(&mut self, now: TimeMs) {
-        for routes in self.heard.values_mut() {
-            routes.retain(|_, heard| now.since(heard.at) <= FRESH_MS);
+        for routes in self.reported.values_mut() {
+            routes.retain(|_, reported| now.since(reported.at) <= FRESH_MS);
         }
-        self.heard.retain(|_, routes| !routes.is_empty());
-        self.routes = self.heard.values().map(FastMap::len).sum();
-        if self.routes >= MOST_ROUTES {
-            self.heard.clear();
+        self.reported.retain(|_, routes| !routes.is_empty());
+        self.routes = self.reported.values().map(FastMap::len).sum();
+        if self.routes >= MAX_ROUTES {
+            self.reported.clear();
             self.routes = 0;
         }
     }
 }
 
-impl Heard {
-    /// Another service is taken over at once when it is pressed harder than the known one.
-    fn take(&mut self, now: TimeMs, pressure: &Pressure) {
+impl KnownPressure {
+    /// Another service replaces the known one at once if its pressure is higher.
+    fn update(&mut self, now: TimeMs, pressure: &Pressure) {
         let is_stale = now.since(self.at) > FRESH_MS;
         if self.service != pressure.service && (is_stale || pressure.permille > self.permille) {
             self.service = pressure.service.clone();
         }
-        let toward = if self.service == pressure.service {
+        let value = if self.service == pressure.service {
             pressure.permille
         } else {
             0
         };
-        self.smooth(now, toward);
+        self.smooth(now, value);
     }
 
-    fn ease(&mut self, now: TimeMs) {
+    fn decay(&mut self, now: TimeMs) {
         self.smooth(now, 0);
     }
 
-    fn smooth(&mut self, now: TimeMs, toward: u32) {
-        let by_age = now.since(self.at).min(RENEWED_MS);
-        let weight = by_age.max(RENEWED_MS / WEIGHT);
-        let kept = u64::from(self.permille) * (RENEWED_MS - weight);
-        self.permille = ((kept + u64::from(toward) * weight) / RENEWED_MS) as u32;
+    fn smooth(&mut self, now: TimeMs, value: u32) {
+        let by_age = now.since(self.at).min(FULL_WEIGHT_AGE_MS);
+        let weight = by_age.max(FULL_WEIGHT_AGE_MS / WEIGHT);
+        let kept = u64::from(self.permille) * (FULL_WEIGHT_AGE_MS - weight);
+        self.permille = ((kept + u64::from(value) * weight) / FULL_WEIGHT_AGE_MS) as u32;
         self.at = now;
     }
 }
--- a/src/admission/rate_limit_state.rs
+++ b/src/admission/rate_limit_state.rs
@@ -1,25 +1,27 @@
-//! The rate that a backend server names in its answers: when it begins, changes and ends.
-//!
-//! Pure; see [docs/RATE_LIMITS.md](../../docs/RATE_LIMITS.md).
+//! The rate limit that a backend server advertises in its answers: when it begins, changes and
+//! ends.
+//! The module has no side effects; see [docs/RATE_LIMITS.md](../../docs/RATE_LIMITS.md).
 
 use crate::core::TimeMs;
 
-/// So many answers without a rate end it. Each is to a request that was sent after the last answer with one.
-const ENDING_ANSWERS: u32 = 3;
+/// This many answers without a rate end the limit. Each has to be to a request that was sent after
+/// the last answer with a rate.
+const ANSWERS_TO_END: u32 = 3;
 
-/// What one answer says of the rate.
+/// What one answer says about the rate limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AdvertisedRate {
-    /// No rate is named.
+    /// No rate is advertised.
     Absent,
-    /// So many requests a second, from all nodes together; finite and not negative.
+    /// Requests per second from all nodes together; finite and not negative.
     PerSecond(f64),
-    /// A rate is named and cannot be told: it is no decimal number, negative, or not finite.
+    /// A rate is advertised and cannot be read: it is not a decimal number, negative, or not
+    /// finite.
     Malformed,
 }
 
 impl AdvertisedRate {
-    /// The word for a number.
+    /// The advertised rate for a number.
     pub fn of(per_s: f64) -> Self {
         if per_s.is_finite() && per_s >= 0.0 {
             Self::PerSecond(per_s)
@@ -28,7 +30,8 @@
         }
     }
 
-    /// Two words of one answer: the lower rate holds, and what cannot be told names none.
+    /// Combines two rates of one answer. The lower one holds, and a malformed one is ignored beside
+    /// a valid one.
     pub fn combine(self, other: Self) -> Self {
         match (self, other) {
             (Self::PerSecond(one), Self::PerSecond(other)) => Self::PerSecond(one.min(other)),
@@ -47,72 +50,72 @@
     Begins {
         per_s: f64,
     },
-    /// The rate is another one now.
+    /// The rate has changed to this one.
     Changes {
         per_s: f64,
     },
-    /// Requests are limited no more.
+    /// Requests are no longer limited.
     Ends {
         held_ms: u64,
     },
 }
 
-/// A rate in force.
+/// A rate limit in force.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Named {
+struct ActiveLimit {
     per_s: f64,
     since: TimeMs,
-    /// When the last answer that named a rate came.
-    heard_at: TimeMs,
+    /// When the last answer with a rate arrived.
+    received_at: TimeMs,
     /// Answers without a rate since then that count.
     answers_without: u32,
 }
 
-/// The rate that one incarnation of a backend server names.
-///
-/// Guards against an answer that was under way when the rate was first named and comes after it: it names
-/// none, and would open the limit again. It holds because an answer ends the limit only if its request was
-/// sent after the last one that named it, and only with others. A limit does not stay for ever, for a rate of
-/// 0 still lets a trial through now and then.
+/// The rate limit advertised by one incarnation of a backend server.
+/// Guards against an answer that was under way when the rate was first advertised and arrives after
+/// it. It carries no rate and would lift the limit. An answer therefore counts towards the end of
+/// the limit only if its request was sent after the last answer with a rate, and several such
+/// answers are needed. A limit cannot last for ever, because even a rate of 0 admits a request now
+/// and then.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RateLimitState {
-    named: Option<Named>,
-    /// Answers without a rate that this process has got; counted up to [`ENDING_ANSWERS`].
+    active: Option<ActiveLimit>,
+    /// Answers without a rate that this process has received, counted up to [`ANSWERS_TO_END`].
     answers_without: u32,
 }
 
 impl RateLimitState {
     /// The rate in force, if there is one.
     pub fn per_s(&self) -> Option<f64> {
-        self.named.map(|named| named.per_s)
+        self.active.map(|active| active.per_s)
     }
 
-    /// Takes over a rate that a peer was told, perhaps before this process started. What this process has heard
-    /// itself goes before it.
+    /// Adopts a rate that a peer was told, perhaps before this process started. What this process
+    /// has received itself takes precedence.
     pub fn adopt(&mut self, now: TimeMs, per_s: f64) -> RateChange {
-        if self.named.is_some() || self.answers_without >= ENDING_ANSWERS {
+        if self.active.is_some() || self.answers_without >= ANSWERS_TO_END {
             return RateChange::Unchanged;
         }
-        self.name(now, per_s)
+        self.activate(now, per_s)
     }
 
-    /// Takes in the word of an answer to a request that was sent at `sent_at`.
+    /// Records what an answer to a request sent at `sent_at` says about the rate.
     pub fn note(&mut self, now: TimeMs, sent_at: TimeMs, word: AdvertisedRate) -> RateChange {
         match word {
-            AdvertisedRate::PerSecond(per_s) => self.name(now, per_s),
+            AdvertisedRate::PerSecond(per_s) => self.activate(now, per_s),
             AdvertisedRate::Malformed => {
-                self.heard(now);
+                self.renew(now);
                 RateChange::Unchanged
             }
             AdvertisedRate::Absent => self.note_absent(now, sent_at),
         }
     }
 
-    fn name(&mut self, now: TimeMs, per_s: f64) -> RateChange {
-        let before = self.named.replace(Named {
+    fn activate(&mut self, now: TimeMs, per_s: f64) -> RateChange {
+        let before = self.active.replace(ActiveLimit {
             per_s,
-            since: self.named.map_or(now, |named| named.since),
-            heard_at: now,
+            since: self.active.map_or(now, |active| active.since),
+            received_at: now,
             answers_without: 0,
         });
         match before {
@@ -122,28 +125,28 @@
         }
     }
 
-    fn heard(&mut self, now: TimeMs) {
-        if let Some(named) = &mut self.named {
-            named.heard_at = now;
-            named.answers_without = 0;
+    fn renew(&mut self, now: TimeMs) {
+        if let Some(active) = &mut self.active {
+            active.received_at = now;
+            active.answers_without = 0;
         }
     }
 
     fn note_absent(&mut self, now: TimeMs, sent_at: TimeMs) -> RateChange {
-        let Some(named) = &mut self.named else {
-            self.answers_without = ENDING_ANSWERS.min(self.answers_without + 1);
+        let Some(active) = &mut self.active else {
+            self.answers_without = ANSWERS_TO_END.min(self.answers_without + 1);
             return RateChange::Unchanged;
         };
-        if sent_at <= named.heard_at {
+        if sent_at <= active.received_at {
             return RateChange::Unchanged;
         }
-        named.answers_without += 1;
-        if named.answers_without < ENDING_ANSWERS {
+        active.answers_without += 1;
+        if active.answers_without < ANSWERS_TO_END {
             return RateChange::Unchanged;
         }
-        let held_ms = now.since(named.since);
-        self.named = None;
-        self.answers_without = ENDING_ANSWERS;
+        let held_ms = now.since(active.since);
+        self.active = None;
+        self.answers_without = ANSWERS_TO_END;
         RateChange::Ends { held_ms }
     }
 }
--- a/src/admission/root_control.rs
+++ b/src/admission/root_control.rs
@@ -1,5 +1,5 @@
-//! Which callers' requests an entry lets in, so that what is let in fits the tightest service of
-//! its whole call tree.
+//! Which callers' requests an entry admits, so that the admitted load fits the most overloaded
+//! service of the whole call tree.
 
 use crate::admission::root_level::RootLevel;
 use crate::core::FastMap;
@@ -7,49 +7,48 @@
 use crate::core::Priority;
 use crate::core::TimeMs;
 
-/// Services whose pressure is followed at most.
-const MOST_SERVICES: usize = 256;
+/// The most services whose pressure is tracked.
+const MAX_SERVICES: usize = 256;
 
-/// A service for whose sake an entry refuses callers' requests.
+/// A service on whose behalf an entry refuses callers' requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OverloadedService {
     pub service: Name,
-    /// How hard calls press on it, as answers say.
+    /// The pressure on the service, as reported on answers.
     pub pressure_permille: u32,
-    /// The part of the wanted requests that is let in.
+    /// The percentage of the offered requests that is admitted.
     pub admitted_percent: u32,
 }
 
-/// Levels by the service that is pressed.
-///
-/// Guards against requests that are begun and then fail deep down: with each of a request's calls
-/// refused now and then, nearly every request fails, though most of the work for it is done. It
-/// holds because a request is refused here, whole and before any work, and the least important
-/// first. Each entry steers by the pressure that answers report; all hear the same, so they come to
-/// the same level without a word among them.
+/// Admission levels of root requests by overloaded service.
+/// Guards against requests that fail deep in the chain after most of their work is done. If single
+/// calls of a request are refused at random, nearly every request fails. Requests are therefore
+/// refused here as a whole, before any work is done, the least important first. Each entry adjusts
+/// its levels to the pressure reported on answers. All entries see the same pressure, so they reach
+/// the same level without messages between them.
 #[derive(Clone, Debug, Default)]
 pub struct RootControl {
     levels: FastMap<Name, RootLevel>,
 }
 
 impl RootControl {
-    /// Decides about a request that presses on `service`, and counts it as wanted there.
+    /// Decides about a request that loads `service`, and counts it in the demand for it.
     pub fn may_pass(&mut self, now: TimeMs, service: &Name, priority: Priority) -> bool {
         let level = self.level(now, service);
         level.is_none_or(|level| level.may_pass(now, priority))
     }
 
-    /// Takes in how hard a service is pressed, as an answer said.
+    /// Records the pressure on a service, as reported on an answer.
     pub fn note(&mut self, now: TimeMs, service: &Name, permille: u32) {
         if let Some(level) = self.level(now, service) {
             level.note(now, permille);
         }
     }
 
-    /// The services for whose sake requests are refused at present.
+    /// The services on whose behalf requests are refused at present.
     pub fn overloaded(&self) -> impl Iterator<Item = OverloadedService> {
-        let pressed = self.levels.iter().filter(|(_, level)| !level.is_open());
-        pressed.map(|(service, level)| OverloadedService {
+        let overloaded = self.levels.iter().filter(|(_, level)| !level.is_open());
+        overloaded.map(|(service, level)| OverloadedService {
             service: service.clone(),
             pressure_permille: level.pressure_permille(),
             admitted_percent: level.admitted_percent(),
@@ -58,10 +57,10 @@
 
     fn level(&mut self, now: TimeMs, service: &Name) -> Option<&mut RootLevel> {
         if !self.levels.contains_key(service) {
-            if self.levels.len() >= MOST_SERVICES {
+            if self.levels.len() >= MAX_SERVICES {
                 self.levels.retain(|_, level| !level.is_open());
             }
-            if self.levels.len() >= MOST_SERVICES {
+            if self.levels.len() >= MAX_SERVICES {
                 return None;
             }
             self.levels.insert(service.clone(), RootLevel::new(now));
--- a/src/admission/root_level.rs
+++ b/src/admission/root_level.rs
@@ -1,67 +1,68 @@
-//! What an entry lets in for the sake of one pressed service.
+//! The admission level of one overloaded service at an entry.
 
-use crate::admission::gaps::Gaps;
+use crate::admission::event_interval::EventInterval;
 use crate::core::Priority;
 use crate::core::TimeMs;
 
-/// Classes that are told apart; higher ones share the last place.
+/// The number of classes that are distinguished. Higher ones share the last index.
 const CLASSES: usize = 16;
-/// Ranks of a class, which identifiers spread evenly.
+/// The number of ranks of a class. Identifiers are spread evenly over them.
 const RANKS: f32 = 65_536.0;
-/// How often a level is worked out anew, in milliseconds: about as long as a call tree takes to show
-/// the effect of the step before.
+/// How often a level is recomputed, in milliseconds: about the time in which a call tree shows the
+/// effect of the last step.
 const WINDOW_MS: u64 = 200;
-/// The weight of what earlier windows offered, against one for the present one.
-const MEMORY: f32 = 0.8;
-/// The pressure that is aimed at: nearly all slots taken, and little that waits.
-const AIM: f32 = 0.95;
-/// Which part of the way to the aim is gone in one window, as a power. The way is known only as
-/// well as pressure says what is let in, and its effect shows later than the next window.
-const PART: f32 = 0.6;
-/// After a fall by more than this the next one has to wait for a window.
-const HOLD_FROM: f32 = 0.9;
-/// The largest fall and rise in one window.
-const LONGEST_FALL: f32 = 0.7;
-const LONGEST_RISE: f32 = 1.25;
-/// What is left of a pressure after a window in which nothing came back.
-const KEPT_IN_SILENCE: f32 = 0.5;
-/// A rise is a part of what is let in, or of this part of what is wanted where that is more: else
-/// admission that has fallen to almost nothing would take long to return.
-const LEAST_BASE: f32 = 0.1;
-/// A level that was neither asked nor told anything for so long says nothing any more, in milliseconds; or
-/// for so many times its usual gap, where that is more.
+/// The weight of earlier windows in the smoothed demand. The present window has the rest.
+const DEMAND_MEMORY: f32 = 0.8;
+/// The target pressure: nearly all slots in use, and a short queue.
+const TARGET_PRESSURE: f32 = 0.95;
+/// The part of the difference to the target that is corrected in one window, as an exponent. The
+/// difference is known only as well as the pressure reflects the admitted load, and an effect shows
+/// later than the next window.
+const ADJUST_PART: f32 = 0.6;
+/// After a decrease to less than this factor, the next decrease has to wait for a window.
+const HOLD_BELOW: f32 = 0.9;
+/// The largest decrease and increase in one window.
+const MAX_DECREASE: f32 = 0.7;
+const MAX_INCREASE: f32 = 1.25;
+/// The part of the pressure that is kept after a window without reports.
+const PRESSURE_KEPT_WITHOUT_REPORTS: f32 = 0.5;
+/// An increase is a part of the admitted demand, or of this part of the total demand if that is
+/// more. Otherwise a level that has fallen to almost nothing would take long to rise.
+const MIN_INCREASE_BASE: f32 = 0.1;
+/// A level with neither requests nor reports for this long is stale, in milliseconds; or for this
+/// many times its usual interval, if that is longer.
 const STALE_MS: u64 = 1_000;
-const STALE_GAPS: f32 = 4.0;
-/// After so many times the usual gap between reports, the lack of one says that nothing came back.
-const SILENT_GAPS: f32 = 4.0;
-/// Demand is remembered for so long, in milliseconds, or over so many usual gaps where that is more.
-const REMEMBERED_MS: f32 = WINDOW_MS as f32 / (1.0 - MEMORY);
-const REMEMBERED_GAPS: f32 = 8.0;
-/// A step made after a longer time counts for so many windows at most.
-const MOST_WINDOWS: f32 = 5.0;
-/// A level closes no further than this part of the most important class.
-const LEAST_OPEN: f32 = 1.0 / 64.0;
-/// Less than this is wanted of nothing, and the share of it that is let in says nothing.
-const LEAST_WANTED: f32 = 0.01;
-
-/// The level of one pressed service.
+const STALE_INTERVALS: f32 = 4.0;
+/// No report for this many times the usual interval counts as silence.
+const SILENT_INTERVALS: f32 = 4.0;
+/// How long demand is remembered, in milliseconds; or this many usual intervals, if that is longer.
+const DEMAND_MEMORY_MS: f32 = WINDOW_MS as f32 / (1.0 - DEMAND_MEMORY);
+const DEMAND_MEMORY_INTERVALS: f32 = 8.0;
+/// A step after a longer time counts for this many windows at most.
+const MAX_WINDOWS: f32 = 5.0;
+/// At least this part of the most important class is always admitted.
+const MIN_OPEN: f32 = 1.0 / 64.0;
+/// A smaller demand counts as none, because the admitted share of it is not meaningful.
+const MIN_DEMAND: f32 = 0.01;
+
+/// The admission level of one overloaded service.
 #[derive(Clone, Debug)]
 pub(super) struct RootLevel {
     since: TimeMs,
-    /// When it was steered last.
-    steered: TimeMs,
-    /// Between requests that ask.
-    asked: Gaps,
-    /// Between reports.
-    told: Gaps,
-    /// Requests per window and class that press on the service, smoothed.
+    /// When the level was last adjusted.
+    adjusted_at: TimeMs,
+    /// Interval between requests.
+    requests: EventInterval,
+    /// Interval between reports.
+    report_times: EventInterval,
+    /// Requests per window and class that load the service, smoothed.
     demand: [f32; CLASSES],
-    fresh: [f32; CLASSES],
-    /// Classes below this are let in, the one at it in part.
+    new_demand: [f32; CLASSES],
+    /// Classes below this are admitted, and the class at it in part.
     open: f32,
-    /// The last window brought a large fall, the effect of which is waited for.
-    held: bool,
-    /// Pressure in slots of slots, as last reported, and less after silence.
+    /// The last window brought a large decrease, and its effect has to show before the next one.
+    decrease_on_hold: bool,
+    /// Pressure as last reported, where 1 is a full limit; it decays without reports.
     pressure: f32,
     /// The sum and number of reports in this window.
     pressure_sum: u64,
@@ -69,54 +70,54 @@
 }
 
 impl RootLevel {
-    /// Everything is let in.
+    /// Creates a level that admits everything.
     pub fn new(now: TimeMs) -> Self {
         Self {
             since: now,
-            steered: now,
-            asked: Gaps::new(now),
-            told: Gaps::new(now),
+            adjusted_at: now,
+            requests: EventInterval::new(now),
+            report_times: EventInterval::new(now),
             demand: [0.0; CLASSES],
-            fresh: [0.0; CLASSES],
-            open: full(),
-            held: false,
+            new_demand: [0.0; CLASSES],
+            open: all_classes(),
+            decrease_on_hold: false,
             pressure: 0.0,
             pressure_sum: 0,
             reports: 0,
         }
     }
 
-    /// Decides about a request, and counts it as wanted.
+    /// Decides about a request, and counts it in the demand.
     pub fn may_pass(&mut self, now: TimeMs, priority: Priority) -> bool {
         self.roll_if_due(now);
-        self.asked.note(now);
-        let (class, part) = place(priority);
-        self.fresh[class] += 1.0;
+        self.requests.note(now);
+        let (class, part) = class_and_part(priority);
+        self.new_demand[class] += 1.0;
         (class as f32) + part < self.open
     }
 
-    /// Takes in how hard the service is pressed.
+    /// Records the reported pressure on the service.
     pub fn note(&mut self, now: TimeMs, permille: u32) {
         self.pressure_sum += u64::from(permille);
         self.reports += 1;
         self.roll_if_due(now);
-        self.told.note(now);
+        self.report_times.note(now);
     }
 
-    /// Whether everything is let in.
+    /// Whether everything is admitted.
     pub fn is_open(&self) -> bool {
-        self.open >= full()
+        self.open >= all_classes()
     }
 
-    /// How hard calls press on the service, in thousandths.
+    /// The pressure on the service, in thousandths.
     pub fn pressure_permille(&self) -> u32 {
         (self.pressure * 1_000.0) as u32
     }
 
-    /// The part of what is wanted that is let in, in percent.
+    /// The admitted percentage of the demand.
     pub fn admitted_percent(&self) -> u32 {
         let wanted: f32 = self.demand.iter().sum();
-        let admitted = self.sum_open() / wanted.max(LEAST_WANTED);
+        let admitted = self.admitted_demand() / wanted.max(MIN_DEMAND);
         (admitted * 100.0) as u32
     }
 
@@ -126,117 +127,117 @@
             return;
         }
         self.since = now;
-        self.remember(span_ms);
+        self.update_demand(span_ms);
         if span_ms as f32 >= self.stale_ms() {
             self.reopen();
             return;
         }
         if self.reports == 0 && !self.is_silent(now) {
-            // Nothing is known that was not known at the last step.
+            // There is no new information since the last step.
             return;
         }
-        self.take_pressure();
-        let windows = now.since(self.steered) as f32 / WINDOW_MS as f32;
-        self.steered = now;
-        self.steer(windows.clamp(1.0, MOST_WINDOWS));
+        self.update_pressure();
+        let windows = now.since(self.adjusted_at) as f32 / WINDOW_MS as f32;
+        self.adjusted_at = now;
+        self.adjust(windows.clamp(1.0, MAX_WINDOWS));
     }
 
-    /// After how long without any event it says nothing any more.
+    /// The time without any event after which the level is stale.
     fn stale_ms(&self) -> f32 {
-        let gap_ms = self.asked.usual_ms.min(self.told.usual_ms);
-        (gap_ms * STALE_GAPS).max(STALE_MS as f32)
+        let interval_ms = self.requests.mean_ms.min(self.report_times.mean_ms);
+        (interval_ms * STALE_INTERVALS).max(STALE_MS as f32)
     }
 
-    /// Whether a report should have come by now.
+    /// Whether a report is overdue.
     fn is_silent(&self, now: TimeMs) -> bool {
-        self.told.since_last_ms(now) >= self.told.usual_ms * SILENT_GAPS
+        self.report_times.since_last_ms(now) >= self.report_times.mean_ms * SILENT_INTERVALS
     }
 
-    /// Guards against a level that outlives its pressure: once another service is the tightest one on
-    /// a route, this one's level is neither asked nor told anything, and it stays as low as it was.
-    /// When its service is the tightest again seconds later, nearly everything would be refused at
-    /// once, for as long as the level takes to rise.
+    /// Admits everything again.
+    /// Guards against a level that outlives its pressure. Once another service is the most
+    /// overloaded one on a route, this level gets neither requests nor reports and stays as low as
+    /// it was. When its service becomes the most overloaded one again seconds later, nearly
+    /// everything would be refused until the level has risen.
     fn reopen(&mut self) {
-        self.open = full();
-        self.held = false;
+        self.open = all_classes();
+        self.decrease_on_hold = false;
         self.pressure = 0.0;
         self.pressure_sum = 0;
         self.reports = 0;
     }
 
-    /// What a report says is smoothed where it comes from. Silence says that nothing came back, so what is
-    /// known counts for less.
-    fn take_pressure(&mut self) {
+    /// Reports are already smoothed by their sender. Without reports the known pressure decays.
+    fn update_pressure(&mut self) {
         self.pressure = match self.reports {
-            0 => self.pressure * KEPT_IN_SILENCE,
+            0 => self.pressure * PRESSURE_KEPT_WITHOUT_REPORTS,
             reports => self.pressure_sum as f32 / reports as f32 / 1_000.0,
         };
         self.pressure_sum = 0;
         self.reports = 0;
     }
 
-    fn remember(&mut self, span_ms: u64) {
+    fn update_demand(&mut self, span_ms: u64) {
         let windows = span_ms as f32 / WINDOW_MS as f32;
-        let longer = self.asked.usual_ms * REMEMBERED_GAPS / REMEMBERED_MS;
-        let memory = MEMORY.powf(windows / longer.max(1.0));
-        for (demand, fresh) in self.demand.iter_mut().zip(&mut self.fresh) {
-            *demand = *demand * memory + *fresh / windows * (1.0 - memory);
-            *fresh = 0.0;
+        let longer = self.requests.mean_ms * DEMAND_MEMORY_INTERVALS / DEMAND_MEMORY_MS;
+        let memory = DEMAND_MEMORY.powf(windows / longer.max(1.0));
+        for (demand, new_demand) in self.demand.iter_mut().zip(&mut self.new_demand) {
+            *demand = *demand * memory + *new_demand / windows * (1.0 - memory);
+            *new_demand = 0.0;
         }
     }
 
-    /// Moves what is let in toward where the pressure would be the aim.
-    fn steer(&mut self, windows: f32) {
-        if self.pressure <= AIM && self.is_open() {
+    /// Moves the admitted demand towards the target pressure.
+    fn adjust(&mut self, windows: f32) {
+        if self.pressure <= TARGET_PRESSURE && self.is_open() {
             return;
         }
-        let part = 1.0 - (1.0 - PART).powf(windows);
-        let factor = (AIM / self.pressure.max(0.1)).powf(part);
-        let factor = factor.clamp(LONGEST_FALL.powf(windows), LONGEST_RISE.powf(windows));
-        let admitted = self.sum_open();
+        let part = 1.0 - (1.0 - ADJUST_PART).powf(windows);
+        let factor = (TARGET_PRESSURE / self.pressure.max(0.1)).powf(part);
+        let factor = factor.clamp(MAX_DECREASE.powf(windows), MAX_INCREASE.powf(windows));
+        let admitted = self.admitted_demand();
         if factor < 1.0 {
-            if self.held {
-                self.held = false;
+            if self.decrease_on_hold {
+                self.decrease_on_hold = false;
                 return;
             }
-            self.held = factor < HOLD_FROM;
-            self.open = self.place_of(admitted * factor);
+            self.decrease_on_hold = factor < HOLD_BELOW;
+            self.open = self.open_for_demand(admitted * factor);
             return;
         }
-        self.held = false;
+        self.decrease_on_hold = false;
         let total: f32 = self.demand.iter().sum();
-        let more = admitted.max(total * LEAST_BASE) * (factor - 1.0);
-        self.open = self.place_of(admitted + more).max(self.open);
+        let more = admitted.max(total * MIN_INCREASE_BASE) * (factor - 1.0);
+        self.open = self.open_for_demand(admitted + more).max(self.open);
     }
 
-    /// How much of the demand is let in.
-    fn sum_open(&self) -> f32 {
+    /// The admitted part of the demand.
+    fn admitted_demand(&self) -> f32 {
         let whole = self.open as usize;
         let sum: f32 = self.demand.iter().take(whole).sum();
         let part = self.open - whole as f32;
         sum + self.demand.get(whole).map_or(0.0, |demand| demand * part)
     }
 
-    /// Up to where the demand sums up to this much.
-    fn place_of(&self, wanted: f32) -> f32 {
+    /// The level up to which the demand sums up to `wanted`.
+    fn open_for_demand(&self, wanted: f32) -> f32 {
         let mut sum = 0.0;
         for (class, demand) in self.demand.iter().enumerate() {
             if sum + demand > wanted {
                 let part = (wanted - sum) / demand;
-                return (class as f32 + part).max(LEAST_OPEN);
+                return (class as f32 + part).max(MIN_OPEN);
             }
             sum += demand;
         }
-        full()
+        all_classes()
     }
 }
 
-fn full() -> f32 {
+fn all_classes() -> f32 {
     CLASSES as f32
 }
 
-/// The class of a priority, and how far into it.
-fn place(priority: Priority) -> (usize, f32) {
+/// The class of a priority, and its position within the class.
+fn class_and_part(priority: Priority) -> (usize, f32) {
     let class = usize::from(priority.class()).min(CLASSES - 1);
     (class, f32::from(priority.rank()) / RANKS)
 }
--- a/src/admission/route_origins.rs
+++ b/src/admission/route_origins.rs
@@ -4,63 +4,61 @@
 use crate::core::Name;
 use crate::core::RouteOrigin;
 
-/// Calls from a service that ought to have come by now if callers used the route, so that none
-/// having come proves that they do not: by chance that happens once in some 160,000 times, and every
-/// guard judges every route anew after each start.
-const PROOF: f32 = 12.0;
-/// The same where the route is known to be callers': an entry that refuses nearly all of them is silent
-/// as well, for as long as an overload lasts.
-const FIRM_PROOF: f32 = 200.0;
-/// Before so many calls have come, a route that is known to be backend servers' stays so: a guard that
-/// has just started may not know of all services yet.
-const FIRM_CALLS: f32 = 200.0;
-/// Counts are halved when they reach this, so that old calls are forgotten.
-const MOST_COUNTED: f32 = 4_000.0;
-/// The verdict is worked out anew after so many calls.
-const JUDGE_EVERY: u32 = 16;
-/// Routes remembered at most; beyond it all are forgotten and learnt anew.
-const MOST_ROUTES: usize = 4_096;
+/// A service without calls proves that callers do not use the route if this many calls from it were
+/// to be expected by now. By chance that happens once in some 160,000 times, and every guard
+/// evaluates every route anew after each start.
+const MIN_EXPECTED_CALLS: f32 = 12.0;
+/// The same for a route that is known to be used by callers. An entry that refuses nearly all of
+/// them is silent as well, for as long as an overload lasts.
+const MIN_EXPECTED_CALLS_TO_CHANGE: f32 = 200.0;
+/// A route that is known to be used by backend servers stays so until this many calls have come. A
+/// guard that has just started may not know all services yet.
+const MIN_CALLS_TO_CHANGE: f32 = 200.0;
+/// Counts are halved when they reach this, so that old calls lose weight.
+const MAX_COUNT: f32 = 4_000.0;
+/// The verdict is recomputed after this many calls.
+const EVALUATE_EVERY_CALLS: u32 = 16;
+/// The most routes that are tracked. Beyond it, all are dropped and learnt anew.
+const MAX_ROUTES: usize = 4_096;
 
 /// A service beside whose backend servers calls may begin.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallingService {
     pub service: Name,
-    /// Its part of the nodes whose calls are counted.
+    /// Its share of the nodes whose calls are counted.
     pub share: f32,
-    /// All its nodes serve callers at present, so that its silence says something.
+    /// All its nodes serve callers at present, so the absence of calls from it is meaningful.
     pub all_serving: bool,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Seen {
+struct RouteCalls {
     by_service: FastMap<Name, f32>,
     total: f32,
-    since_judged: u32,
+    since_evaluated: u32,
     verdict: Option<RouteOrigin>,
 }
 
 /// Calls by route and by the service beside which they began.
-///
-/// Backend servers pass nothing on, and their calls reach the node over the same listener as those
-/// of callers. But callers are beside every backend server, whatever its service, while calls of
-/// backend servers come only from services that make them; and a service that makes no calls
-/// exists in every chain.
+/// Backend servers do not forward any context, and their calls reach the node over the same
+/// listener as those of callers. Callers are beside every backend server, whatever its service.
+/// Calls of backend servers come only from services that make calls, and every chain has a service
+/// that makes none.
 #[derive(Clone, Debug, Default)]
 pub struct RouteOrigins {
-    routes: FastMap<Name, Seen>,
+    routes: FastMap<Name, RouteCalls>,
 }
 
 impl RouteOrigins {
     /// Counts a call. `services` are those of the nodes whose calls are counted.
-    ///
-    /// Guards against taking the silence of a service for proof when none of its callers could be
-    /// heard: its nodes in this failure domain are gone or restart, and calls stay in their domain.
-    /// It shows as a route that is said to be callers' and backend servers' by turns, and callers'
-    /// requests that are let in without bound. So calls of the guard's own domain are counted by
-    /// themselves ([`crate::admission::OriginsByDomain`]), with the services of that domain, and a service
-    /// of which a node is missing is not judged by. What
-    /// the sender believes already is taken over by a guard that knows nothing yet, and what is
-    /// reported_origin takes far more to change than to find out.
+    /// Guards against taking the silence of a service for proof when its callers could not be seen
+    /// at all: its nodes in this failure domain are gone or restarting, and calls stay in their
+    /// domain. The route is then classified as callers' and as backend servers' by turns, and
+    /// callers' requests are admitted without bound. The calls of the guard's own domain are
+    /// therefore counted separately ([`crate::admission::OriginsByDomain`]), against the services
+    /// of that domain, and a service with a missing node is not used as evidence. A guard that
+    /// knows nothing yet adopts what the sender reports. Changing a known origin takes far more
+    /// evidence than learning it.
     pub fn note(
         &mut self,
         route: &Name,
@@ -68,31 +66,31 @@
         reported_origin: Option<RouteOrigin>,
         services: &[CallingService],
     ) -> Option<RouteOrigin> {
-        if self.routes.len() >= MOST_ROUTES && !self.routes.contains_key(route) {
+        if self.routes.len() >= MAX_ROUTES && !self.routes.contains_key(route) {
             self.routes.clear();
         }
-        let seen = self.routes.entry(route.clone()).or_default();
-        seen.verdict = seen.verdict.or(reported_origin);
-        seen.count(caller_service);
-        seen.since_judged += 1;
-        if seen.since_judged >= JUDGE_EVERY || seen.total < PROOF {
-            seen.since_judged = 0;
-            seen.judge(services);
+        let calls = self.routes.entry(route.clone()).or_default();
+        calls.verdict = calls.verdict.or(reported_origin);
+        calls.count(caller_service);
+        calls.since_evaluated += 1;
+        if calls.since_evaluated >= EVALUATE_EVERY_CALLS || calls.total < MIN_EXPECTED_CALLS {
+            calls.since_evaluated = 0;
+            calls.evaluate(services);
         }
-        seen.verdict
+        calls.verdict
     }
 
-    /// Who uses a route, if that is known.
+    /// Who uses a route, if known.
     pub fn of(&self, route: &Name) -> Option<RouteOrigin> {
         self.routes.get(route)?.verdict
     }
 }
 
-impl Seen {
+impl RouteCalls {
     fn count(&mut self, caller_service: &Name) {
         *self.by_service.entry(caller_service.clone()).or_default() += 1.0;
         self.total += 1.0;
-        if self.total >= MOST_COUNTED {
+        if self.total >= MAX_COUNT {
             self.total /= 2.0;
             for count in self.by_service.values_mut() {
                 *count /= 2.0;
@@ -100,26 +98,26 @@
         }
     }
 
-    /// Only a service from which calls would certainly have come by now says anything by its
+    /// Only a service from which calls would certainly have come by now counts as evidence by its
     /// silence.
-    fn judge(&mut self, services: &[CallingService]) {
-        let proof = match self.verdict {
-            Some(RouteOrigin::Callers) => FIRM_PROOF,
-            _ => PROOF,
+    fn evaluate(&mut self, services: &[CallingService]) {
+        let min_expected = match self.verdict {
+            Some(RouteOrigin::Callers) => MIN_EXPECTED_CALLS_TO_CHANGE,
+            _ => MIN_EXPECTED_CALLS,
         };
         let is_missing = |each: &CallingService| {
-            let heard = self.by_service.get(&each.service).copied().unwrap_or(0.0);
-            each.all_serving && self.total * each.share >= proof && heard < 0.5
+            let observed = self.by_service.get(&each.service).copied().unwrap_or(0.0);
+            each.all_serving && self.total * each.share >= min_expected && observed < 0.5
         };
         if services.iter().any(is_missing) {
             self.verdict = Some(RouteOrigin::Backends);
             return;
         }
-        if self.verdict == Some(RouteOrigin::Backends) && self.total < FIRM_CALLS {
+        if self.verdict == Some(RouteOrigin::Backends) && self.total < MIN_CALLS_TO_CHANGE {
             return;
         }
-        let is_heard = |each: &CallingService| self.by_service.contains_key(&each.service);
-        if services.len() > 1 && services.iter().all(is_heard) {
+        let has_calls = |each: &CallingService| self.by_service.contains_key(&each.service);
+        if services.len() > 1 && services.iter().all(has_calls) {
             self.verdict = Some(RouteOrigin::Callers);
         }
     }
--- a/src/admission/service_time.rs
+++ b/src/admission/service_time.rs
@@ -1,12 +1,12 @@
-//! How long the backend server takes, learnt first hand for each class.
+//! Service times of the backend server per class, as measured by the guard.
 
 use crate::core::TimeMs;
 
-/// Classes that are told apart; higher ones share the last place.
+/// The number of classes that are distinguished. Higher ones share the last index.
 const CLASSES: usize = 16;
-/// The weight of a new sample is one in this.
+/// Weight of a new sample: one part in this.
 const WEIGHT: u64 = 8;
-/// After this long without a sample an estimate is halved.
+/// An estimate is halved for every such time without a sample.
 const FORGET_AFTER_MS: u64 = 1_000;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -15,7 +15,8 @@
     updated: TimeMs,
 }
 
-/// Smoothed service times by class, children included: a caller waits for those as well.
+/// Smoothed service times by class. Child calls are included, because a caller waits for them as
+/// well.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ServiceTime {
     by_class: [Estimate; CLASSES],
@@ -32,11 +33,10 @@
         estimate.updated = now;
     }
 
-    /// The shortest time in which a call of the class may hope to be answered.
-    ///
-    /// It is half of the mean, for calls of one class differ. Guards against a class that is
-    /// refused for good after one slow spell, because nothing runs any more from which a shorter
-    /// time could be learnt: the estimate is halved for every second without a sample.
+    /// The shortest time in which a call of the class can be expected to be answered.
+    /// It is half of the mean, because calls of one class differ. Guards against a class that is
+    /// refused for good after one slow period, because no call runs any more that could lower the
+    /// estimate. The estimate is therefore halved for every second without a sample.
     pub fn at_least_ms(&self, class: u8, now: TimeMs) -> u64 {
         let estimate = &self.by_class[place(class)];
         let idle_seconds = now.since(estimate.updated) / FORGET_AFTER_MS;
--- a/src/admission/token_bucket.rs
+++ b/src/admission/token_bucket.rs
@@ -1,46 +1,46 @@
-//! The bound on requests a second that a backend server names.
+//! The limit on requests per second that a backend server advertises.
 
 use crate::core::TimeMs;
 
-/// So many requests a second are let through whatever is named. Without any, no answer could tell that the
-/// limit has ended.
-const LEAST_PER_S: f64 = 0.25;
-/// How long tokens gather while none is taken, in seconds.
+/// The lowest rate in use, whatever is advertised. Without any request, no answer could show that
+/// the limit has ended.
+const MIN_PER_S: f64 = 0.25;
+/// How long unused tokens accumulate, in seconds.
 const BURST_S: f64 = 0.5;
 
 /// Tokens that accrue at a rate, one for each request.
-///
-/// In any span of T seconds it gives out at most 1 + ([`BURST_S`] + T) x the rate, so a receiver that
-/// counts over windows sees little more than what it named, however the requests arrive.
+/// In any span of T seconds it grants at most 1 + ([`BURST_S`] + T) x the rate. A receiver that
+/// counts over windows sees little more than the rate it advertised, however the requests arrive.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TokenBucket {
     per_s: f64,
     tokens: f64,
-    at: TimeMs,
+    refilled_at: TimeMs,
 }
 
 impl TokenBucket {
-    /// An empty bucket: what was sent before the rate was named counts in the first window as well.
+    /// Creates an empty bucket: requests sent before the rate was advertised count in the first
+    /// window as well.
     pub fn new(per_s: f64, now: TimeMs) -> Self {
         Self {
-            per_s: per_s.max(LEAST_PER_S),
+            per_s: per_s.max(MIN_PER_S),
             tokens: 0.0,
-            at: now,
+            refilled_at: now,
         }
     }
 
-    /// Takes over another rate. What has gathered is kept up to the new depth.
+    /// Sets another rate. Accumulated tokens are kept up to the new depth.
     pub fn set_per_s(&mut self, per_s: f64, now: TimeMs) {
         self.refill(now);
-        self.per_s = per_s.max(LEAST_PER_S);
+        self.per_s = per_s.max(MIN_PER_S);
         self.tokens = self.tokens.min(self.depth());
     }
 
-    /// Lets tokens accrue until `now`.
+    /// Adds the tokens accrued until `now`.
     pub fn refill(&mut self, now: TimeMs) {
-        let gained = now.since(self.at) as f64 / 1_000.0 * self.per_s;
+        let gained = now.since(self.refilled_at) as f64 / 1_000.0 * self.per_s;
         self.tokens = (self.tokens + gained).min(self.depth());
-        self.at = now;
+        self.refilled_at = now;
     }
 
     /// Whether a request may be sent, as of the last refill.
@@ -48,23 +48,24 @@
         self.tokens >= 1.0
     }
 
-    /// A request is sent.
+    /// Takes the token of a request that is sent.
     pub fn take(&mut self) {
         self.tokens -= 1.0;
     }
 
-    /// How long it takes until `requests` more may have been sent, in milliseconds, as of the last refill.
+    /// The time until `requests` more requests may have been sent, in milliseconds, as of the last
+    /// refill.
     pub fn wait_ms(&self, requests: usize) -> u64 {
         let missing = requests as f64 - self.tokens;
         (missing.max(0.0) / self.per_s * 1_000.0).ceil() as u64
     }
 
-    /// How many requests a second it lets through.
+    /// The rate in requests per second.
     pub fn per_s(&self) -> f64 {
         self.per_s
     }
 
-    /// How much of the depth is taken, in thousandths, as of the last refill.
+    /// The used share of the depth, in thousandths, as of the last refill.
     pub fn taken_permille(&self) -> u64 {
         (1_000.0 - self.tokens / self.depth() * 1_000.0) as u64
     }
--- a/src/routing/failure_rate.rs
+++ b/src/routing/failure_rate.rs
@@ -1,14 +1,15 @@
-//! Which share of the calls that a backend server is sent fails lately.
+//! The share of calls to a backend server that failed recently.
 
 use crate::core::TimeMs;
 
-/// What happened this long ago counts half, in milliseconds.
+/// Half-life of recorded calls, in milliseconds.
 const HALF_LIFE_MS: f32 = 1_500.0;
-/// With fewer calls than this remembered nothing is said: chance would say it.
-const ENOUGH_CALLS: f32 = 6.0;
+/// With fewer remembered calls than this the rate is not reported, because chance would dominate
+/// it.
+const MIN_CALLS: f32 = 6.0;
 
-/// Calls and failures, both fading with time: a backend server that is left alone is forgotten to be
-/// a failing one within seconds, and is tried again.
+/// Calls and failures, both decaying with time. A backend server that gets no calls stops counting
+/// as a failing one within seconds, and is tried again.
 #[derive(Clone, Debug, Default)]
 pub struct FailureRate {
     calls: f32,
@@ -17,7 +18,7 @@
 }
 
 impl FailureRate {
-    /// Notes the end of a call.
+    /// Records the end of a call.
     pub fn note(&mut self, now: TimeMs, has_failed: bool) {
         let kept = self.kept(now);
         self.calls = self.calls * kept + 1.0;
@@ -25,9 +26,9 @@
         self.at = now;
     }
 
-    /// The share in thousandths; 0 while too little is known.
+    /// The failure rate in thousandths; 0 while there are too few calls.
     pub fn permille(&self, now: TimeMs) -> u32 {
-        if self.calls * self.kept(now) < ENOUGH_CALLS {
+        if self.calls * self.kept(now) < MIN_CALLS {
             return 0;
         }
         (self.failed / self.calls * 1_000.0) as u32
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,4 +1,4 @@
-//! Which target gets a call: first-hand figures of each target and the choice among them.
+//! Target selection: statistics of each target and the choice among them.
 
 mod domain_reachability;
 mod failure_rate;
--- a/src/routing/owner_search.rs
+++ b/src/routing/owner_search.rs
@@ -1,13 +1,12 @@
-//! Whom a keyed call has asked for the owner of its slot.
+//! The targets that a keyed call has asked for the owner of its slot.
 
 use crate::core::Name;
 
-/// Targets that were asked in vain, by why.
-///
-/// Guards against a call that is refused in the middle of a planned stop: the next owner of its slot was
-/// asked before it had read the row that names it, said that it knows of no owner, and was not asked
-/// again when the former one named it. It shows as `no_target` for calls with a key, on busy machines,
-/// while slots change hands. It holds because only a target that cannot be reached is given up for good.
+/// Targets that were asked without success, by cause.
+/// Guards against a call that is refused with `no_target` in the middle of a planned stop, while
+/// slots change hands on a busy machine. The next owner of the slot is asked before it has read the
+/// row that names it, and answers that it knows of no owner. It must be asked again once the former
+/// owner names it. Only a target that cannot be reached is therefore ruled out for good.
 #[derive(Clone, Debug, Default)]
 pub struct OwnerSearch {
     unreachable: Vec<Name>,
@@ -15,22 +14,22 @@
 }
 
 impl OwnerSearch {
-    /// The target could not be reached.
+    /// Records that the target could not be reached.
     pub fn note_unreachable(&mut self, node: Name) {
         self.unreachable.push(node);
     }
 
-    /// The target knew of no owner when it was asked.
+    /// Records that the target knew of no owner when it was asked.
     pub fn note_without_owner(&mut self, node: Name) {
         self.without_owner.push(node);
     }
 
-    /// Whether a target that is named as the owner is worth asking.
+    /// Whether a target that is named as the owner should be asked.
     pub fn may_be_owner(&self, node: &Name) -> bool {
         !self.unreachable.contains(node)
     }
 
-    /// All that were asked in vain; others come first while no owner is named.
+    /// All targets asked without success. While no owner is named, others are tried first.
     pub fn asked(&self) -> Vec<Name> {
         self.unreachable
             .iter()
--- a/src/routing/smoothed.rs
+++ b/src/routing/smoothed.rs
@@ -1,7 +1,7 @@
-//! Figures that follow what is seen slowly.
+//! Exponential smoothing of integers.
 
-/// The smoothed figure after one more: one part in `share` of the new one goes in. Before the first one it
-/// is 0, and the first one counts whole.
+/// The smoothed value after a new one, which has a weight of one part in `share`. 0 means that
+/// there is no value yet, and the first one is taken as it is.
 pub fn smoothed(before: u64, new: u64, share: u64) -> u64 {
     match before {
         0 => new,
--- a/src/routing/target_pressure.rs
+++ b/src/routing/target_pressure.rs
@@ -1,6 +1,6 @@
-//! How hard calls press on a service, from what its targets tell.
+//! The pressure on a service, computed from reports of its targets.
 
-/// How hard calls press on a target, in thousandths, and how many calls it can run at once.
+/// The pressure on a target, in thousandths, and the number of calls it can run at once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TargetPressure {
     pub permille: u32,
@@ -8,16 +8,17 @@
 }
 
 impl TargetPressure {
-    /// What is believed of a target that has not told lately, where others are limited by a rate: calls that
-    /// those turn away come there, and its answer tells at once if it is full as well.
+    /// The assumed pressure of a target without a recent report, when others are limited by a rate.
+    /// Calls refused by those come to this target, and its answer shows at once if it is full as
+    /// well.
     pub fn assumed_idle(slots: u32) -> Self {
         Self { permille: 0, slots }
     }
 
-    /// How hard calls press on a service, in thousandths; `None` where no target tells.
-    ///
-    /// A call may go to any target, so it is their mean. Each counts by its slots, or one that takes a few
-    /// requests a second would make its whole service look full.
+    /// The pressure on a service, in thousandths; `None` if no target has reported.
+    /// A call may go to any target, so this is the mean over the targets, weighted by slots.
+    /// Unweighted, a target that takes a few requests per second would make its whole service look
+    /// full.
     pub fn of_service(targets: impl Iterator<Item = Self>) -> Option<u32> {
         let (sum, slots) = targets.fold((0, 0), |(sum, slots), each| {
             let part = u64::from(each.slots.max(1));
--- a/tests/admission_chain.rs
+++ b/tests/admission_chain.rs
@@ -1,4 +1,4 @@
-//! Whole chains under overload, in virtual time.
+//! Whole call chains under overload, in virtual time.
 
 mod fake_chain;
 
@@ -9,14 +9,14 @@
 use fake_chain::Report;
 use fake_chain::Story;
 
-/// A surge of five seconds; long enough to settle, short enough for every run of the tests.
+/// A surge of five seconds: long enough to settle, and short enough for every test run.
 const SHORT: Story = Story {
     surge_to_ms: 10_000,
     end_ms: 15_000,
     ..Story::ORDINARY
 };
 
-/// The shape of `sassafrasgap-load experiment overload`.
+/// The topology of `sassafrasgap-load experiment overload`.
 const MESH: Story = Story {
     targets: 2,
     slots: 200,
@@ -29,7 +29,7 @@
     ..Story::ORDINARY
 };
 
-fn line(name: &str, story: &Story, report: &Report) {
+fn print_row(name: &str, story: &Story, report: &Report) {
     let lost: Vec<String> = (0..4)
         .map(|class| format!("{:.1}", report.lost_percent(class, story)))
         .collect();
@@ -51,17 +51,17 @@
     );
 }
 
-// Story: the deep service takes three times as long and demand surges at the same moment; callers
-// resend ten times, 100 ms apart, whatever they are told. Without control hardly a request
-// completes, long after the cause is gone. Cause: every hop works for requests that fail deeper.
+// The deep service becomes three times as slow while demand surges. Callers resend ten times, 100
+// ms apart, whatever they are told. Without control hardly a request completes, even long after the
+// cause is gone, because every hop works for requests that fail deeper.
 #[rstest]
 #[case(2)]
 #[case(4)]
 #[case(8)]
-fn a_surge_on_a_slowed_deep_service_costs_only_the_least_important(#[case] depth: usize) {
+fn a_surge_on_a_slow_deep_service_costs_only_the_least_important_class(#[case] depth: usize) {
     let story = Story { depth, ..SHORT };
     let report = fake_chain::run(&story);
-    line("Levels", &story, &report);
+    print_row("Levels", &story, &report);
     assert!(report.surge_goodput(&story) >= 0.9 * story.slow_capacity());
     assert!(report.wasted_percent() < 5.0);
     assert!(report.recovery_ms(&story) < 2_000);
@@ -72,36 +72,36 @@
 }
 
 #[test]
-fn the_baseline_does_not_reach_a_third_of_it() {
+fn the_baseline_reaches_less_than_a_third_of_that_goodput() {
     let story = Story {
         depth: 2,
         control: Control::Baseline,
         ..SHORT
     };
     let report = fake_chain::run(&story);
-    line("Baseline", &story, &report);
+    print_row("Baseline", &story, &report);
     assert!(report.surge_goodput(&story) * 3.0 < 0.9 * story.slow_capacity());
 }
 
-// Story: the deep backend servers announce ten times the slots they have, and queue the rest
-// inside; then they slow down under a surge. Callers would see answers come late and in no order of
-// importance. Cause: the limit believes what is announced.
+// The deep backend servers announce ten times the slots they have, queue the rest inside, and slow
+// down under a surge. Guards against a limit that trusts the announced slots: answers would come
+// late and in no order of importance.
 #[test]
-fn announced_slots_that_lie_do_not_hide_a_queue() {
+fn overstated_slots_do_not_hide_an_internal_queue() {
     let story = Story {
         announced_percent: 1_000,
         ..SHORT
     };
     let report = fake_chain::run(&story);
-    line("lies", &story, &report);
+    print_row("overstated", &story, &report);
     assert!(report.surge_goodput(&story) >= 0.9 * story.slow_capacity());
     assert!(report.wasted_percent() < 5.0);
     assert!(report.recovery_ms(&story) < 2_000);
     assert_eq!(report.lost_percent(0, &story), 0.0);
 }
 
-// Story: as before, but the backend servers refuse what exceeds their slots. Most of what arrives
-// would be shed regardless of its importance after every hop above had worked for it.
+// As before, but the backend servers refuse what exceeds their slots. Guards against calls that are
+// shed regardless of their importance after every hop above has worked for them.
 #[test]
 fn a_backend_server_that_sheds_lowers_its_limit() {
     let story = Story {
@@ -110,16 +110,16 @@
         ..SHORT
     };
     let report = fake_chain::run(&story);
-    line("sheds", &story, &report);
+    print_row("sheds", &story, &report);
     assert!(report.surge_goodput(&story) >= 0.9 * story.slow_capacity());
     assert!(report.wasted_percent() < 5.0);
     assert_eq!(report.lost_percent(0, &story), 0.0);
 }
 
-// Story: a backend server joins at ordinary load and takes four times as long for its first three
-// seconds. Given its full share at once it would answer late, and callers would resend.
+// A backend server joins at ordinary load and is four times as slow in its first three seconds.
+// Given its full share at once it would answer late, and callers would resend.
 #[test]
-fn a_cold_target_costs_no_request() {
+fn a_cold_target_loses_no_request() {
     let story = Story {
         targets: 6,
         joins_ms: 3_000,
@@ -154,7 +154,7 @@
                     control,
                     ..Story::default()
                 };
-                line(&format!("{control:?}"), &story, &fake_chain::run(&story));
+                print_row(&format!("{control:?}"), &story, &fake_chain::run(&story));
             }
         }
     }
@@ -163,7 +163,7 @@
             order,
             ..Story::default()
         };
-        line(&format!("{order:?}"), &story, &fake_chain::run(&story));
+        print_row(&format!("{order:?}"), &story, &fake_chain::run(&story));
     }
 }
 
@@ -171,13 +171,13 @@
 #[ignore = "a comparison to read, without an outcome of its own"]
 fn limits() {
     for (name, announced_percent, sheds, surge_percent, slow_percent, surge_to_ms) in [
-        ("honest", 100, false, 100, 300, 15_000),
-        ("honest", 100, false, 400, 300, 15_000),
-        ("lies", 1_000, false, 100, 300, 15_000),
-        ("lies", 1_000, false, 400, 100, 15_000),
-        ("lies", 1_000, false, 400, 300, 15_000),
-        ("lies, long", 1_000, false, 400, 300, 95_000),
-        ("lies, sheds", 1_000, true, 400, 300, 15_000),
+        ("exact", 100, false, 100, 300, 15_000),
+        ("exact", 100, false, 400, 300, 15_000),
+        ("overstated", 1_000, false, 100, 300, 15_000),
+        ("overstated", 1_000, false, 400, 100, 15_000),
+        ("overstated", 1_000, false, 400, 300, 15_000),
+        ("overstated, long", 1_000, false, 400, 300, 95_000),
+        ("overstated, sheds", 1_000, true, 400, 300, 15_000),
     ] {
         let end_ms = surge_to_ms + 10_000;
         let mut all = Vec::new();
@@ -200,7 +200,7 @@
                 report.recovery_ms(&story)
             ));
             if seed == 1 {
-                line(name, &story, &report);
+                print_row(name, &story, &report);
             }
         }
         println!(
@@ -336,7 +336,7 @@
                 ..story.clone()
             };
             let report = fake_chain::run(&story);
-            line(name, &story, &report);
+            print_row(name, &story, &report);
         }
     }
 }
--- a/tests/admission_classes.rs
+++ b/tests/admission_classes.rs
@@ -1,4 +1,4 @@
-//! Important work under an overload that less important work brings about.
+//! Important calls under an overload caused by less important calls.
 
 use rstest::rstest;
 
@@ -18,7 +18,7 @@
 const OTHER_PER_MS: f64 = 0.4;
 const LASTS_MS: u64 = 30_000;
 
-/// A backend server with few slots behind the code under test, and what became of important work.
+/// A backend server with few slots behind the code under test, and the refusals of important calls.
 struct Overload {
     admission: Admission,
     rng: fastrand::Rng,
@@ -108,11 +108,11 @@
     }
 }
 
-/// An operator sees jobs refused while notebooks of lower class still run. A slow deep service with
-/// 4 slots is flooded by notebooks. Its limit is lowered for a moment, to see whether calls queue
-/// inside; rounded down, that takes away half of the slots, and jobs have to wait too long.
+/// Notebooks flood a slow deep service with 4 slots, and jobs of a more important class are refused
+/// while notebooks still run. A trial lowers the limit for a moment. Rounded down, it takes half of
+/// the slots, and jobs wait too long.
 #[rstest]
-fn a_trial_of_few_slots_leaves_room_for_important_work(#[values(1, 2, 3, 4, 5, 6)] seed: u64) {
+fn a_trial_with_few_slots_leaves_room_for_important_calls(#[values(1, 2, 3, 4, 5, 6)] seed: u64) {
     let mut overload = Overload::new(seed, 0.05);
     for now in 1..=LASTS_MS {
         overload.step(now);
@@ -125,12 +125,12 @@
     );
 }
 
-/// The same with so many jobs that three of the four slots hardly do: the jobs wait behind each
-/// other while the trial lasts, and the notebooks that the trial is meant for do not pay for it. So
-/// it ends as soon as jobs wait for long. What is left is chance: a slot is given back when its
-/// call ends, and no sooner.
+/// The same with so many jobs that three of the four slots are hardly enough. During a trial the
+/// jobs wait behind each other while the notebooks do not pay for it, so the trial has to end as
+/// soon as jobs wait for long. A few refusals remain by chance, because a slot becomes free only
+/// when its call ends.
 #[test]
-fn important_work_does_not_pay_for_trials() {
+fn important_calls_are_not_delayed_by_trials() {
     let mut refused = 0;
     for seed in 1..=6 {
         let mut overload = Overload::new(seed, 0.07);
--- a/tests/admission_guard.rs
+++ b/tests/admission_guard.rs
@@ -1,4 +1,4 @@
-//! What the guard does with single calls when there is no room.
+//! The guard's decisions about single calls when there is no room.
 
 use sassafrasgap::admission::Action;
 use sassafrasgap::admission::Admission;
@@ -40,8 +40,8 @@
     guard
 }
 
-// Story: lookups fill the queue of a saturated guard, then a charge arrives. The firm would see its
-// charge refused while lookups wait. Cause: a full queue refuses whoever comes last.
+// Lookups fill the queue of a saturated guard, then a charge arrives. Guards against a full queue
+// that refuses the newest call, so that the charge is refused while lookups wait.
 #[test]
 fn a_more_important_call_takes_the_place_of_the_least_important() {
     let mut guard = full_guard();
@@ -60,11 +60,11 @@
     assert!(guard.poll(NOW).is_empty());
 }
 
-// Story: a caller's wait ends while the backend server is stuck. Held back any longer, the caller
-// learns too late that it should go elsewhere. Cause: waiting calls are only looked at when another
-// one ends.
+// A call's wait ends while the backend server is stuck. Guards against waiting calls that are
+// checked only when another call ends: the caller would learn too late that it should try another
+// target.
 #[test]
-fn a_call_is_refused_at_the_moment_its_wait_ends() {
+fn a_call_is_refused_when_its_wait_ends() {
     let mut guard = full_guard();
     let wait_ms = u64::from(WAIT_MS);
     assert!(guard.poll(NOW + (wait_ms - 1)).is_empty());
@@ -78,8 +78,9 @@
     }
 }
 
-// Story: the announced slots rise while calls wait, and a less important call arrives before the
-// next poll. It would overtake those that wait. Cause: room alone lets a call in.
+// The announced slots rise while calls wait, and a less important call arrives before the next
+// poll. Guards against admitting it because there is room, which would let it overtake those that
+// wait.
 #[test]
 fn a_call_that_arrives_does_not_overtake_more_important_ones_that_wait() {
     let conf = AdmissionConf {
--- a/tests/admission_invariants.rs
+++ b/tests/admission_invariants.rs
@@ -1,4 +1,4 @@
-//! What holds of admission whatever happens, by random sequences of events.
+//! Invariants of admission control, checked on random sequences of events.
 
 use std::collections::HashMap;
 
@@ -113,7 +113,7 @@
         }
     }
 
-    /// What was started must not be less important than what still waits.
+    /// A started call must not be less important than one that still waits.
     fn assert_order(&self, actions: &[Action], calls: &HashMap<u64, QueuedCall>) {
         let started = actions.iter().filter_map(|action| match action {
             Action::Start(ticket) => Some(calls[ticket].priority.class()),
@@ -183,7 +183,7 @@
                 }
                 Event::Cancel { which } => {
                     if let Some(ticket) = model.pick(which, |state| matches!(state, State::Waiting(..))) {
-                        // A call that was displaced since is refused by the next poll instead.
+                        // A call that has been evicted since is refused by the next poll instead.
                         if admission.cancel(ticket) {
                             model.states.insert(ticket, State::Cancelled);
                         }
--- a/tests/admission_levels.rs
+++ b/tests/admission_levels.rs
@@ -1,4 +1,4 @@
-//! What entries and guards learn of levels from answers.
+//! What entries and guards learn about levels from answers.
 
 use rstest::rstest;
 use sassafrasgap::admission::Dependencies;
@@ -10,11 +10,11 @@
 
 const NOW: TimeMs = TimeMs(10_000);
 
-// Story: a class with a route of its own is shed as a whole, so no answer renews the level of its
-// route. Users of more important classes would see a wave of the shed class take the queue twice a
-// second. Cause: a level that nobody renews lapses.
+// A class with a route of its own is shed entirely, so no answer renews the level of its route.
+// Guards against a level that expires although the service is still overloaded: a wave of the shed
+// class would fill the queue twice a second.
 #[test]
-fn a_route_that_is_shed_as_a_whole_stays_shed_while_the_service_is_heard_of() {
+fn a_fully_shed_route_stays_shed_while_its_service_is_reported() {
     let service = Name::from("deep");
     let level = Priority::new(1, 0);
     let shed = Priority::new(3, 7);
@@ -26,13 +26,13 @@
         levels.note(now, &service, "jobs", level);
         passed += u32::from(levels.may_pass(now, &service, "lookups", shed));
     }
-    assert!((1..=5).contains(&passed), "{passed} calls passed to ask");
+    assert!((1..=5).contains(&passed), "{passed} calls passed as probes");
     levels.note(NOW + 5_000, &service, "jobs", Priority::LOWEST);
     assert!(levels.may_pass(NOW + 5_001, &service, "lookups", shed));
 }
 
 #[test]
-fn a_level_that_nobody_renews_lapses() {
+fn a_level_expires_unless_renewed() {
     let service = Name::from("deep");
     let mut levels = Levels::default();
     levels.note(NOW, &service, "jobs", Priority::new(0, 9));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn the_level_of_a_deep_service_passes_through_those_that_depend_on_it() {
+fn the_level_of_a_deep_service_is_passed_on_by_dependent_services() {
     let deep = Name::from("deep");
     let level = Priority::new(1, 5);
     let mut levels = Levels::default();
--- a/tests/admission_origins.rs
+++ b/tests/admission_origins.rs
@@ -1,6 +1,6 @@
-//! Calls of backend servers and requests of callers reach a node over the same listener. Taken for
-//! callers' requests, deep calls would be refused after work was done for them; taken for deep
-//! calls, callers' requests would be let in without bound.
+//! Calls of backend servers and requests of callers reach a node over the same listener. If deep
+//! calls are taken for callers' requests, they are refused after work has been done for them. If
+//! callers' requests are taken for deep calls, they are admitted without bound.
 
 use rstest::rstest;
 use sassafrasgap::admission::CallingService;
@@ -11,8 +11,8 @@
 use sassafrasgap::core::Name;
 use sassafrasgap::core::RouteOrigin;
 
-/// Draws the service beside which a call begins, by the share of nodes.
-fn learn(
+/// Draws the service beside which each call begins, weighted by the share of nodes.
+fn learnt_origin(
     shares: &[(Name, f32)],
     callers: &[usize],
     calls: usize,
@@ -55,7 +55,7 @@
 }
 
 /// The same services, with all their nodes up.
-fn whole_services() -> Vec<CallingService> {
+fn all_serving_services() -> Vec<CallingService> {
     let whole = |(service, share)| CallingService {
         service,
         share,
@@ -66,7 +66,7 @@
 
 #[rstest]
 fn callers_are_beside_every_service(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
-    let verdict = learn(&shares(), &[0, 1, 2, 3], 400, seed);
+    let verdict = learnt_origin(&shares(), &[0, 1, 2, 3], 400, seed);
     assert_eq!(verdict, Some(RouteOrigin::Callers));
 }
 
@@ -78,89 +78,90 @@
     #[case] callers: &[usize],
     #[values(1, 2, 3)] seed: u64,
 ) {
-    let verdict = learn(&shares(), callers, 400, seed);
+    let verdict = learnt_origin(&shares(), callers, 400, seed);
     assert_eq!(verdict, Some(RouteOrigin::Backends));
 }
 
-/// Before enough has come nothing is concluded, either way.
+/// A few calls are not enough for a verdict, either way.
 #[rstest]
-fn little_proves_nothing(#[values(1, 2, 3)] seed: u64) {
-    assert_eq!(learn(&shares(), &[0], 6, seed), None);
+fn few_calls_give_no_verdict(#[values(1, 2, 3)] seed: u64) {
+    assert_eq!(learnt_origin(&shares(), &[0], 6, seed), None);
 }
 
-/// One service's only node in the domain restarts, and no caller of it is heard. Its silence proves
-/// nothing: the route stays what it was before, or unknown.
+/// The only node of a service in the domain restarts, so no calls of its callers are seen. The
+/// missing calls are no evidence: the route keeps its verdict, or stays unknown.
 #[rstest]
-fn the_silence_of_a_missing_node_proves_nothing() {
+fn a_missing_node_is_no_evidence() {
     let mut origins = RouteOrigins::default();
     let route = Name::from("r");
-    let services = |leaf_is_whole: bool| {
+    let services = |leaf_is_serving: bool| {
         let named = |(name, share): (Name, f32)| CallingService {
-            all_serving: leaf_is_whole || &*name != "leaf",
+            all_serving: leaf_is_serving || &*name != "leaf",
             service: name,
             share,
         };
         shares().into_iter().map(named).collect::<Vec<_>>()
     };
-    let heard = ["front", "front", "front", "middle", "middle", "back"];
+    let calling = ["front", "front", "front", "middle", "middle", "back"];
     for _ in 0..100 {
-        for service in heard {
+        for service in calling {
             let verdict = origins.note(&route, &Name::from(service), None, &services(false));
             assert_eq!(verdict, None);
         }
     }
     origins.note(&route, &Name::from("leaf"), None, &services(true));
-    for service in heard.iter().cycle().take(40) {
+    for service in calling.iter().cycle().take(40) {
         origins.note(&route, &Name::from(*service), None, &services(true));
     }
     assert_eq!(origins.of(&route), Some(RouteOrigin::Callers));
 }
 
 /// In an overload some entries refuse nearly all requests of a route, and a guard that has just
-/// started does not hear from them. Its senders know whose the route is, and that holds.
+/// started does not see their calls. The origin that senders report has to hold.
 #[rstest]
 #[case(RouteOrigin::Callers)]
 #[case(RouteOrigin::Backends)]
-fn what_is_known_is_not_given_up_lightly(#[case] known: RouteOrigin) {
-    let services = whole_services();
+fn a_known_origin_takes_strong_evidence_to_change(#[case] known: RouteOrigin) {
+    let services = all_serving_services();
     let mut origins = RouteOrigins::default();
     let route = Name::from("r");
-    let heard = match known {
+    let calling = match known {
         RouteOrigin::Callers => vec!["front", "middle"],
         RouteOrigin::Backends => vec!["front", "middle", "back", "leaf"],
     };
-    for service in heard.iter().cycle().take(190) {
+    for service in calling.iter().cycle().take(190) {
         let verdict = origins.note(&route, &Name::from(*service), Some(known), &services);
         assert_eq!(verdict, Some(known));
     }
-    for service in heard.iter().cycle().take(8_000) {
+    for service in calling.iter().cycle().take(8_000) {
         origins.note(&route, &Name::from(*service), Some(known), &services);
     }
     assert_ne!(origins.of(&route), Some(known));
 }
 
-/// The only target of a deep service that is left stands in a domain without a node of the service that
-/// calls it. All calls come from other domains, and its guard, which counted those of its own only,
-/// never learnt whose they are: callers' requests were not refused for its sake, and failed at depth.
-/// Where calls come from the own domain as well, those alone are judged by: in other domains the
-/// callers of a service may be gone.
+/// The only remaining target of a deep service is in a domain without a node of the service that
+/// calls it, so all calls come from other domains. A guard that counted only the calls of its own
+/// domain never learnt their origin: callers' requests were not refused on behalf of the service,
+/// and failed deep in the chain. If calls come from the own domain as well, only those count,
+/// because in other domains the callers of a service may be gone.
 #[rstest]
-#[case::from_afar(0, Some(RouteOrigin::Backends))]
-#[case::hardly_any_near(20, Some(RouteOrigin::Backends))]
-#[case::near_as_well(4, Some(RouteOrigin::Callers))]
-fn calls_from_afar_tell_where_none_come_from_near(
-    #[case] near_every: usize,
+#[case::remote_only(0, Some(RouteOrigin::Backends))]
+#[case::hardly_any_local(20, Some(RouteOrigin::Backends))]
+#[case::local_as_well(4, Some(RouteOrigin::Callers))]
+fn remote_calls_count_where_no_local_calls_come(
+    #[case] local_every: usize,
     #[case] expected: Option<RouteOrigin>,
 ) {
-    let services = whole_services();
+    let services = all_serving_services();
     let own_domain = &services[..2];
     let mut origins = OriginsByDomain::default();
     let route = Name::from("r");
     let mut verdict = None;
     for step in 0..2_000 {
-        let same_domain = near_every > 0 && step % near_every == 0;
-        // From afar only one service calls; near, callers beside both services do.
-        let place = if same_domain { step / near_every % 2 } else { 1 };
+        let same_domain = local_every > 0 && step % local_every == 0;
+        // From other domains only one service calls; in the own domain, callers beside both
+        // services do.
+        let place = if same_domain { step / local_every % 2 } else { 1 };
         let call = ObservedCall {
             route: &route,
             caller_service: &services[place].service,
--- a/tests/admission_rate_limit.rs
+++ b/tests/admission_rate_limit.rs
@@ -1,4 +1,5 @@
-//! The rate that a backend server names, kept at its guard: every sliding window, and who is turned away.
+//! The rate limit that a backend server advertises, as enforced by its guard: the bound on every
+//! sliding window, and which calls are refused.
 
 use std::collections::VecDeque;
 
@@ -20,7 +21,7 @@
 const WINDOW_MS: u64 = 4_000;
 const START: TimeMs = TimeMs(1_000_000);
 
-/// What a backend server may get in a window at a rate.
+/// The most calls that a backend server may get in a window at a rate.
 fn allowed(per_s: f64) -> f64 {
     1.5 * WINDOW_MS as f64 / 1_000.0 * per_s + 5.0
 }
@@ -54,8 +55,8 @@
     outcome: CallOutcome::Ok,
 };
 
-/// A guard whose calls take 20 ms, and when it sent each.
-struct World {
+/// A guard whose calls take 20 ms, and the times at which it sent them.
+struct Simulation {
     admission: Admission,
     running: VecDeque<(TimeMs, u64)>,
     sent: Vec<TimeMs>,
@@ -63,7 +64,7 @@
     next_ticket: u64,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         Self {
             admission: admission(),
@@ -121,59 +122,59 @@
         ..ProptestConfig::default()
     })]
 
-    /// Guards against arrivals of any pattern that bring a window beyond the bound, at rates from a tenth of a
-    /// request to thousands a second.
+    /// Guards against arrival patterns that exceed the bound in some window, at rates from a tenth
+    /// of a request to thousands a second.
     #[test]
     fn no_window_is_beyond_the_bound(
         log_rate in -1.0f64..3.6,
         bursts in prop::collection::vec((0u64..1_500, 1usize..400), 1..40),
     ) {
         let per_s = 10f64.powf(log_rate);
-        let mut world = World::new();
-        world.admission.set_rate(START, Some(per_s));
+        let mut simulation = Simulation::new();
+        simulation.admission.set_rate(START, Some(per_s));
         let mut now = START;
         for (gap_ms, count) in bursts {
             for _ in 0..gap_ms / 10 {
                 now = now + 10;
-                world.pass(now);
+                simulation.pass(now);
             }
             for _ in 0..count {
-                world.arrive(now);
+                simulation.arrive(now);
             }
-            world.pass(now);
+            simulation.pass(now);
         }
-        let most = world.most_in_a_window(START) as f64;
+        let most = simulation.most_in_a_window(START) as f64;
         prop_assert!(most <= allowed(per_s), "{most} of {}", allowed(per_s));
     }
 
-    /// Guards against a change of the rate that gives out again what was taken before it.
+    /// Guards against a change of the rate that grants again the tokens already taken.
     #[test]
     fn no_window_is_beyond_the_bound_of_its_highest_rate(
         changes in prop::collection::vec((200u64..6_000, -1.0f64..2.5), 2..8),
     ) {
-        let mut world = World::new();
+        let mut simulation = Simulation::new();
         let mut now = START;
         let mut highest = Vec::new();
         for (lasts_ms, log_rate) in changes {
             let per_s = 10f64.powf(log_rate);
-            world.admission.set_rate(now, Some(per_s));
+            simulation.admission.set_rate(now, Some(per_s));
             highest.push((now, per_s));
             for _ in 0..lasts_ms / 10 {
                 now = now + 10;
                 for _ in 0..5 {
-                    world.arrive(now);
+                    simulation.arrive(now);
                 }
-                world.pass(now);
+                simulation.pass(now);
             }
         }
-        for first in &world.sent {
+        for first in &simulation.sent {
             let last = *first + WINDOW_MS;
             let in_force = highest.iter().enumerate().filter(|(order, (since, _))| {
                 let until = highest.get(order + 1).map_or(now, |next| next.0);
                 *since < last && until > *first
             });
             let most = in_force.map(|(_, (_, per_s))| *per_s).fold(0.0, f64::max);
-            let sent = world.sent.iter().filter(|at| **at >= *first && **at < last).count();
+            let sent = simulation.sent.iter().filter(|at| **at >= *first && **at < last).count();
             prop_assert!(sent as f64 <= allowed(most), "{sent} of {}", allowed(most));
         }
     }
@@ -184,30 +185,30 @@
 #[case(0.5)]
 #[case(25.0)]
 #[case(300.0)]
-fn steady_demand_gets_the_rate_that_is_named(#[case] per_s: f64) {
-    let mut world = World::new();
-    world.admission.set_rate(START, Some(per_s));
+fn steady_demand_gets_the_advertised_rate(#[case] per_s: f64) {
+    let mut simulation = Simulation::new();
+    simulation.admission.set_rate(START, Some(per_s));
     let mut now = START;
     for _ in 0..1_000 {
         now = now + 20;
         for _ in 0..20 {
-            world.arrive(now);
+            simulation.arrive(now);
         }
-        world.pass(now);
+        simulation.pass(now);
     }
     let per_20_s = per_s * 20.0;
     assert!(
-        world.sent.len() as f64 >= per_20_s * 0.95 - 1.0,
+        simulation.sent.len() as f64 >= per_20_s * 0.95 - 1.0,
         "{}",
-        world.sent.len()
+        simulation.sent.len()
     );
-    let is_honest = |refusal: &Refusal| refusal.reason == RefusalReason::RateLimited;
-    assert!(world.refused.iter().all(is_honest));
+    let is_rate_limited = |refusal: &Refusal| refusal.reason == RefusalReason::RateLimited;
+    assert!(simulation.refused.iter().all(is_rate_limited));
 }
 
-/// Guards against a refused call that is told to come back before there is room.
+/// Guards against a Retry-After that ends before there is room.
 #[test]
-fn a_refused_call_that_comes_back_when_told_finds_a_token() {
+fn a_call_retried_after_the_given_time_finds_a_token() {
     let mut admission = admission();
     admission.set_rate(START, Some(2.0));
     let Offer::Refuse(refusal) = admission.offer(START, call(1, 1, START)) else {
@@ -218,9 +219,10 @@
     assert_eq!(admission.offer(later, call(2, 1, later)), Offer::Run);
 }
 
-/// Guards against calls that wait for the slots of a backend server, and then for tokens that come too late.
+/// Guards against calls that were queued for slots when the rate was first advertised, and then
+/// wait for tokens that come too late.
 #[test]
-fn what_waits_beyond_the_rate_is_turned_away_once_it_is_named() {
+fn queued_calls_beyond_a_new_rate_are_refused() {
     let mut admission = admission();
     admission.set_slots(1);
     assert_eq!(admission.offer(START, call(1, 1, START)), Offer::Run);
@@ -232,9 +234,9 @@
     assert_eq!(refused, 16, "a rate of 10 a second leaves two to wait");
 }
 
-/// Guards against a limit that outlasts the word.
+/// Guards against a limit that continues after the rate is no longer advertised.
 #[test]
-fn no_rate_limits_nobody() {
+fn calls_are_not_limited_after_the_rate_ends() {
     let mut admission = admission();
     admission.set_rate(START, Some(1.0));
     assert!(matches!(
@@ -248,36 +250,37 @@
     }
 }
 
-/// Guards against entries and roots that go on as if all slots could be used.
+/// Guards against entries and root requests that load the backend server as if all its slots could
+/// be used.
 #[test]
 fn pressure_and_limit_follow_the_rate() {
-    let mut world = World::new();
+    let mut simulation = Simulation::new();
     let mut now = START;
     for _ in 0..500 {
         now = now + 10;
-        world.arrive(now);
-        world.pass(now);
+        simulation.arrive(now);
+        simulation.pass(now);
     }
-    assert!(world.admission.pressure_permille() < 200);
-    world.admission.set_rate(now, Some(25.0));
+    assert!(simulation.admission.pressure_permille() < 200);
+    simulation.admission.set_rate(now, Some(25.0));
     for _ in 0..200 {
         now = now + 10;
-        world.arrive(now);
-        world.pass(now);
+        simulation.arrive(now);
+        simulation.pass(now);
     }
-    assert_eq!(world.admission.load().limit, 1);
-    assert!(world.admission.pressure_permille() >= 1_000);
+    assert_eq!(simulation.admission.load().limit, 1);
+    assert!(simulation.admission.pressure_permille() >= 1_000);
 }
 
-/// Guards against a call that is turned away for a rate that nobody names.
+/// Guards against a refusal for a rate that is not advertised.
 #[test]
-fn without_a_rate_nothing_is_turned_away_for_it() {
+fn without_a_rate_no_call_is_refused_for_it() {
     let mut admission = admission();
     admission.set_slots(1);
     assert_eq!(admission.offer(START, call(1, 1, START)), Offer::Run);
     assert_eq!(admission.offer(START, call(2, 1, START)), Offer::Wait);
     admission.complete(START, 1, RAN);
-    // A slot is free, and the first one waits for the next look.
+    // A slot is free, and the first queued call waits for the next poll.
     let hurried = QueuedCall {
         wait_ms: 0,
         ..call(3, 2, START + 1)
--- a/tests/admission_rate_limit_state.rs
+++ b/tests/admission_rate_limit_state.rs
@@ -1,4 +1,4 @@
-//! When a rate that a backend server names begins, changes and ends.
+//! When the rate limit that a backend server advertises begins, changes and ends.
 
 use rstest::rstest;
 use sassafrasgap::admission::RateLimitState;
@@ -6,30 +6,30 @@
 use sassafrasgap::admission::AdvertisedRate;
 use sassafrasgap::core::TimeMs;
 
-const NAMED_AT: TimeMs = TimeMs(10_000);
+const ADVERTISED_AT: TimeMs = TimeMs(10_000);
 
-fn named(per_s: f64) -> RateLimitState {
+fn advertised(per_s: f64) -> RateLimitState {
     let mut rate = RateLimitState::default();
-    rate.note(NAMED_AT, NAMED_AT - 50, AdvertisedRate::PerSecond(per_s));
+    rate.note(ADVERTISED_AT, ADVERTISED_AT - 50, AdvertisedRate::PerSecond(per_s));
     rate
 }
 
-/// Guards against one answer that was under way before the rate was named and opens the limit again.
+/// Guards against an answer that was under way before the rate was advertised and lifts the limit.
 #[test]
-fn answers_to_earlier_requests_end_nothing() {
-    let mut rate = named(4.0);
+fn answers_to_earlier_requests_do_not_end_the_limit() {
+    let mut rate = advertised(4.0);
     for late_ms in 1..100 {
-        let change = rate.note(NAMED_AT + late_ms, NAMED_AT - 1, AdvertisedRate::Absent);
+        let change = rate.note(ADVERTISED_AT + late_ms, ADVERTISED_AT - 1, AdvertisedRate::Absent);
         assert_eq!(change, RateChange::Unchanged);
     }
     assert_eq!(rate.per_s(), Some(4.0));
 }
 
-/// Guards against a limit that stays for ever, and one that a single stray answer ends.
+/// Guards against a limit that never ends, and one that a single stray answer ends.
 #[test]
-fn the_third_answer_without_it_ends_a_rate() {
-    let mut rate = named(4.0);
-    let answer_ms = |order: u64| (NAMED_AT + 100 * order, NAMED_AT + 100 * order - 50);
+fn the_third_answer_without_a_rate_ends_the_limit() {
+    let mut rate = advertised(4.0);
+    let answer_ms = |order: u64| (ADVERTISED_AT + 100 * order, ADVERTISED_AT + 100 * order - 50);
     for order in 1..3 {
         let (now, sent_at) = answer_ms(order);
         assert_eq!(
@@ -43,45 +43,45 @@
     assert_eq!(rate.per_s(), None);
 }
 
-/// Guards against a word that is missing now and then and ends the limit all the same.
+/// Guards against a rate that is missing from some answers and thereby ends the limit.
 #[test]
-fn an_answer_with_it_begins_the_count_anew() {
-    let mut rate = named(4.0);
+fn an_answer_with_a_rate_restarts_the_count() {
+    let mut rate = advertised(4.0);
     for order in 1..50 {
-        let now = NAMED_AT + 100 * order;
-        let word = if order % 3 == 0 {
+        let now = ADVERTISED_AT + 100 * order;
+        let advertisement = if order % 3 == 0 {
             AdvertisedRate::PerSecond(4.0)
         } else {
             AdvertisedRate::Absent
         };
-        assert_eq!(rate.note(now, now - 50, word), RateChange::Unchanged);
+        assert_eq!(rate.note(now, now - 50, advertisement), RateChange::Unchanged);
     }
 }
 
-/// Guards against a value that cannot be told and ends, begins or changes a limit.
+/// Guards against a value that cannot be read and ends, begins or changes a limit.
 #[rstest]
 #[case(f64::NAN)]
 #[case(f64::INFINITY)]
 #[case(f64::NEG_INFINITY)]
 #[case(-0.5)]
-fn a_malformed_word_changes_nothing(#[case] value: f64) {
-    let word = AdvertisedRate::of(value);
-    assert_eq!(word, AdvertisedRate::Malformed);
-    let mut rate = named(4.0);
+fn a_malformed_rate_changes_nothing(#[case] value: f64) {
+    let advertisement = AdvertisedRate::of(value);
+    assert_eq!(advertisement, AdvertisedRate::Malformed);
+    let mut rate = advertised(4.0);
     assert_eq!(
-        rate.note(NAMED_AT + 10, NAMED_AT, word),
+        rate.note(ADVERTISED_AT + 10, ADVERTISED_AT, advertisement),
         RateChange::Unchanged
     );
     assert_eq!(rate.per_s(), Some(4.0));
     let mut none = RateLimitState::default();
-    assert_eq!(none.note(NAMED_AT, NAMED_AT, word), RateChange::Unchanged);
+    assert_eq!(none.note(ADVERTISED_AT, ADVERTISED_AT, advertisement), RateChange::Unchanged);
     assert_eq!(none.per_s(), None);
 }
 
 #[test]
-fn another_rate_is_in_force_at_once() {
-    let mut rate = named(4.0);
-    let change = rate.note(NAMED_AT + 1, NAMED_AT - 40, AdvertisedRate::PerSecond(2.5));
+fn a_changed_rate_is_in_force_at_once() {
+    let mut rate = advertised(4.0);
+    let change = rate.note(ADVERTISED_AT + 1, ADVERTISED_AT - 40, AdvertisedRate::PerSecond(2.5));
     assert_eq!(change, RateChange::Changes { per_s: 2.5 });
     assert_eq!(rate.per_s(), Some(2.5));
 }
--- a/tests/admission_roots.rs
+++ b/tests/admission_roots.rs
@@ -1,6 +1,7 @@
-//! A service deep down is overloaded. Each request makes several calls there, one after the other,
-//! and fails when one of them comes too late. Entries that let everything in would have nearly all
-//! requests fail; refused at random, important ones go with the rest.
+//! Root admission while a deep service is overloaded. Each request makes several calls there, one
+//! after the other, and fails when one of them is late. If entries admitted everything, nearly all
+//! requests would fail. If calls were refused at random, important requests would fail with the
+//! rest.
 
 use std::collections::VecDeque;
 
@@ -12,14 +13,14 @@
 
 const STEP_MS: u64 = 5;
 const WAIT_PART: f64 = 2.0;
-/// Calls that the deep service runs in a second, in the smallest world.
+/// Calls that the deep service runs per second, in the smallest simulation.
 const CAPACITY_PER_S: f64 = 2_800.0;
-/// Requests that come to each entry in a second at least, at the load 1: that of a fleet with 33,000 calls a
+/// Requests per second to each entry at least, at load 1: those of a fleet with 33,000 calls per
 /// second at 720 nodes.
 const PER_ENTRY_S: f64 = 6.0;
 
-/// What entries offer in the smallest world: class, requests a second over all entries, calls a request
-/// makes.
+/// The requests offered in the smallest simulation: class, requests per second over all entries,
+/// calls per request.
 const OFFERED: [(u8, f64, usize); 3] = [(1, 100.0, 4), (2, 30.0, 0), (3, 280.0, 8)];
 
 #[derive(Clone, Copy)]
@@ -27,33 +28,33 @@
     entry: usize,
     class: u8,
     calls_left: usize,
-    /// The pressure that its answers reported last.
+    /// The pressure reported on its last answer.
     permille: u32,
 }
 
-struct World {
+struct Simulation {
     random: fastrand::Rng,
     entries: Vec<RootControl>,
     service: Name,
-    /// How much larger the world is than the smallest one.
+    /// How much larger the simulation is than the smallest one.
     scale: f64,
-    /// Calls that wait at the deep service, each with its root and arrival.
+    /// Calls queued at the deep service, each with its root request and arrival time.
     queue: VecDeque<(Root, u64)>,
     credit: f64,
     arrived: usize,
     arriving: f64,
     ratio: f64,
-    /// The part of the capacity that is taken, smoothed.
+    /// The smoothed share of the capacity in use.
     busy: f64,
-    /// Roots whose next call is made at a time.
+    /// Root requests and the time of their next call.
     working: Vec<(u64, Root)>,
-    /// Answers to requests that fail tell of the pressure as well.
-    failures_tell: bool,
+    /// Answers to failed requests report the pressure as well.
+    failures_report: bool,
     offered: [u32; 8],
     served: [u32; 8],
 }
 
-impl World {
+impl Simulation {
     fn new(entries: usize, seed: u64) -> Self {
         let offered: f64 = OFFERED.iter().map(|(_, per_s, _)| per_s).sum();
         Self {
@@ -68,7 +69,7 @@
             arriving: 0.0,
             ratio: 1.0,
             working: Vec::new(),
-            failures_tell: entries > 13,
+            failures_report: entries > 13,
             offered: [0; 8],
             served: [0; 8],
         }
@@ -130,7 +131,7 @@
             if now_ms - since <= 700 {
                 root.calls_left -= 1;
                 self.working.push((now_ms + 20, root));
-            } else if self.failures_tell {
+            } else if self.failures_report {
                 let entry = &mut self.entries[root.entry];
                 entry.note(TimeMs(now_ms), &self.service, root.permille);
             }
@@ -163,56 +164,57 @@
         f64::from(self.served[class]) / f64::from(self.offered[class].max(1))
     }
 
-    /// Calls of served requests a second, against the capacity.
+    /// Calls per second of served requests, relative to the capacity.
     fn goodput(&self, ms: u64) -> f64 {
         let calls = self.served[1] * 4 + self.served[3] * 8;
         f64::from(calls) * 1_000.0 / ms as f64 / self.capacity_per_s()
     }
 }
 
-/// At hundreds of nodes each entry hears of the deep service once or twice in a second only, and sees as few
-/// requests; all together have to let in what fits all the same.
+/// At hundreds of nodes each entry gets only one or two reports of the deep service per second, and
+/// as few requests. All entries together still have to admit what fits.
 #[rstest]
-fn overload_is_refused_whole_and_least_important_first(
+fn overload_is_refused_by_whole_requests_least_important_first(
     #[values(1, 2, 3)] seed: u64,
     #[values(1.4, 1.7, 2.5)] load: f64,
     #[values(13, 195, 720)] entries: usize,
 ) {
-    let mut world = World::new(entries, seed);
-    world.run(0, 3_000, load);
-    world.run(3_000, 13_000, load);
+    let mut simulation = Simulation::new(entries, seed);
+    simulation.run(0, 3_000, load);
+    simulation.run(3_000, 13_000, load);
     let figures = format!(
         "classes {:.2} {:.2} {:.2} goodput {:.2}",
-        world.share(1),
-        world.share(2),
-        world.share(3),
-        world.goodput(10_000)
+        simulation.share(1),
+        simulation.share(2),
+        simulation.share(3),
+        simulation.goodput(10_000)
     );
     println!("load {load} seed {seed} entries {entries}: {figures}");
-    assert!(world.share(1) > 0.95, "{figures}");
-    assert!(world.share(2) > 0.99, "{figures}");
-    assert!(world.goodput(10_000) > 0.93, "{figures}");
+    assert!(simulation.share(1) > 0.95, "{figures}");
+    assert!(simulation.share(2) > 0.99, "{figures}");
+    assert!(simulation.goodput(10_000) > 0.93, "{figures}");
 }
 
-/// After the overload everything is let in again soon.
+/// Soon after the overload everything has to be admitted again.
 #[rstest]
 fn admission_returns_after_overload(
     #[values(1, 2, 3)] seed: u64,
     #[values(13, 195, 720)] entries: usize,
 ) {
-    let mut world = World::new(entries, seed);
-    world.run(0, 8_000, 2.5);
-    world.run(8_000, 11_000, 0.8);
-    println!("first 3 s after: {:.2}", world.share(3));
-    world.run(11_000, 14_000, 0.8);
-    let share = world.share(3);
+    let mut simulation = Simulation::new(entries, seed);
+    simulation.run(0, 8_000, 2.5);
+    simulation.run(8_000, 11_000, 0.8);
+    println!("first 3 s after: {:.2}", simulation.share(3));
+    simulation.run(11_000, 14_000, 0.8);
+    let share = simulation.share(3);
     println!("from 3 s after: {share:.2}");
     assert!(share > 0.97, "{share}");
 }
 
-/// A service that was pressed once and from which nothing is heard any more is let to again.
+/// Guards against a level that stays closed: a service was overloaded once and sends no reports any
+/// more.
 #[rstest]
-fn silence_opens_again() {
+fn a_level_reopens_without_reports() {
     let mut control = RootControl::default();
     let service = Name::from("deep");
     let lowest = Priority::new(3, u16::MAX);
--- a/tests/routing_domain_reachability.rs
+++ b/tests/routing_domain_reachability.rs
@@ -1,23 +1,23 @@
-//! Failure domains that cannot be reached, by what becomes of the calls sent there.
+//! Failure domains that cannot be reached, judged by lost calls.
 
 use rstest::rstest;
 use sassafrasgap::core::Name;
 use sassafrasgap::core::TimeMs;
 use sassafrasgap::routing::DomainReachability;
 
-/// One call is wanted in each step.
+/// One call is to be sent in each step.
 const STEP_MS: u64 = 20;
-/// What is lost is known to be after this time: no connection could be made.
+/// A call is known to be lost after this time, because no connection could be made.
 const LOST_AFTER_MS: u64 = 400;
 
-struct World {
+struct Simulation {
     reach: DomainReachability,
     now: TimeMs,
     /// When calls under way turn out to be lost, in order.
     losses: Vec<(TimeMs, Name)>,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         Self {
             reach: DomainReachability::default(),
@@ -26,8 +26,9 @@
         }
     }
 
-    /// Lets time pass with a call wanted at one of `nodes` in each step, and counts those sent.
-    fn pass(&mut self, for_ms: u64, nodes: &[&str], is_cut: bool) -> usize {
+    /// Advances time with one call to be sent to one of `nodes` in each step, and counts those
+    /// sent.
+    fn advance(&mut self, for_ms: u64, nodes: &[&str], is_partitioned: bool) -> usize {
         let domain = Name::from("far");
         let mut sent = 0;
         for step in 0..for_ms / STEP_MS {
@@ -42,7 +43,7 @@
             let node = Name::from(nodes[step as usize % nodes.len()]);
             self.reach.note_sent(self.now, &domain);
             sent += 1;
-            if is_cut {
+            if is_partitioned {
                 self.losses.push((self.now + LOST_AFTER_MS, node));
             } else {
                 self.reach.note_answer(&domain);
@@ -52,31 +53,32 @@
     }
 }
 
-/// A failure domain is cut off for five seconds, less than gossip needs to say so. Calls went on being
-/// sent there all the while, and each waited for a connection in vain: 250 of them here. Now they
-/// cease after half a second but for a few tries, and begin again at once when the cut heals.
+/// A failure domain is cut off for five seconds, which is less than gossip needs to report it.
+/// Guards against calls that are sent there all the while, 250 of them here, each of which waits
+/// for a connection in vain. Calls have to stop after half a second but for a few probes, and
+/// resume at once when the partition heals.
 #[rstest]
-fn calls_cease_across_a_cut_and_return() {
-    let mut world = World::new();
-    assert_eq!(world.pass(2_000, &["a", "b"], false), 100);
-    let sent = world.pass(5_000, &["a", "b"], true);
-    assert!(sent <= 36, "{sent} calls were sent into the cut");
-    world.losses.clear();
-    let sent = world.pass(1_000, &["a", "b"], false);
-    assert!(sent >= 28, "{sent} calls were sent after the cut");
-    assert!(!world.reach.is_unreachable("far"));
+fn calls_stop_across_a_partition_and_resume() {
+    let mut simulation = Simulation::new();
+    assert_eq!(simulation.advance(2_000, &["a", "b"], false), 100);
+    let sent = simulation.advance(5_000, &["a", "b"], true);
+    assert!(sent <= 36, "{sent} calls were sent into the partition");
+    simulation.losses.clear();
+    let sent = simulation.advance(1_000, &["a", "b"], false);
+    assert!(sent >= 28, "{sent} calls were sent after the partition");
+    assert!(!simulation.reach.is_unreachable("far"));
 }
 
-/// One node of the domain ends and takes no connection any more: that says nothing about the domain.
+/// One node of the domain ends and accepts no connection: that says nothing about the domain.
 #[rstest]
-fn one_node_that_is_gone_closes_no_domain() {
-    let mut world = World::new();
-    assert_eq!(world.pass(5_000, &["a"], true), 250);
+fn one_lost_node_does_not_make_its_domain_unreachable() {
+    let mut simulation = Simulation::new();
+    assert_eq!(simulation.advance(5_000, &["a"], true), 250);
 }
 
 /// Two nodes are gone, but others of the domain answer in between.
 #[rstest]
-fn a_domain_that_answers_stays_open() {
+fn a_domain_that_answers_stays_reachable() {
     let mut reach = DomainReachability::default();
     let domain = Name::from("far");
     for step in 0..50 {
--- a/tests/routing_failing.rs
+++ b/tests/routing_failing.rs
@@ -1,4 +1,4 @@
-//! Targets that take calls and fail many of them.
+//! Targets that accept calls and fail many of them.
 
 mod fake_targets;
 
@@ -20,13 +20,13 @@
 const NOW: TimeMs = TimeMs(60_000);
 const CALLS: u32 = 2_000;
 
-/// How many of the calls from domain `a` go to each target, by the share that fails there.
+/// The number of calls from domain `a` that go to each target, by the failure rate of the targets.
 fn spread(targets: &[(&str, &str, u32)]) -> FastMap<Name, u32> {
-    spread_under(targets, 2)
+    spread_with_load(targets, 2)
 }
 
-/// The same while so many of the ten slots of each target are taken.
-fn spread_under(targets: &[(&str, &str, u32)], in_flight: u32) -> FastMap<Name, u32> {
+/// The same while `in_flight` of the ten slots of each target are in use.
+fn spread_with_load(targets: &[(&str, &str, u32)], in_flight: u32) -> FastMap<Name, u32> {
     let mut stats = FastMap::default();
     for (name, _, failing_permille) in targets {
         let mut known = TargetStats::new(TimeMs(0));
@@ -44,7 +44,7 @@
     for _ in 0..CALLS {
         let picked = pick(&choice, &PickerConf::default(), NOW, |n| random.usize(..n));
         let Pick::Take(target) = picked else {
-            panic!("a target takes work");
+            panic!("no target was picked although all take work");
         };
         *sent.entry(target.node.clone()).or_default() += 1;
     }
@@ -55,42 +55,43 @@
     spread.get(name).copied().unwrap_or(0)
 }
 
-/// One target refuses or breaks nearly half of its calls. It answers fast and so looks free, and it
-/// is the only one of its callers' domain. It gets a call now and then, to see whether it is well.
+/// One target refuses or breaks nearly half of its calls. It answers fast and so looks idle, and it
+/// is the only one in its callers' domain. It gets a call now and then, to see whether it has
+/// recovered.
 #[rstest]
-fn a_failing_target_is_spared_but_tried() {
+fn a_failing_target_is_avoided_but_probed() {
     let spread = spread(&[("a1", "a", 450), ("b1", "b", 4), ("c1", "c", 0)]);
     let tried = sent(&spread, "a1");
     assert!(tried > 0 && tried < CALLS / 12, "{tried}");
 }
 
-/// A service behind all of them fails, and so do they. Nowhere is it better, so none is spared and
-/// calls stay in their domain.
+/// A service downstream of all targets fails, and so do they. None is better, so none is avoided
+/// and calls stay in their domain.
 #[rstest]
 fn targets_that_fail_alike_share_the_calls() {
     let spread = spread(&[("a1", "a", 550), ("b1", "b", 400), ("c1", "c", 610)]);
     assert_eq!(sent(&spread, "a1"), CALLS);
 }
 
-/// All targets are busy, and one of them fails nearly half of its calls. Sparing it would take what it
-/// still does away from a service that has nothing to spare: calls go on as they would without it.
+/// All targets are busy, and one of them fails nearly half of its calls. Avoiding it would take its
+/// remaining successes from a service without spare capacity, so calls are spread as usual.
 #[rstest]
-fn without_room_elsewhere_none_is_spared() {
-    let spread = spread_under(&[("a1", "a", 450), ("b1", "b", 4), ("c1", "c", 0)], 9);
+fn without_room_elsewhere_none_is_avoided() {
+    let spread = spread_with_load(&[("a1", "a", 450), ("b1", "b", 4), ("c1", "c", 0)], 9);
     assert_eq!(sent(&spread, "a1"), CALLS);
 }
 
-/// Some calls always fail. A target of the own domain is not left for that.
+/// Some calls always fail. That is no reason to leave a target of the own domain.
 #[rstest]
 fn ordinary_failures_do_no_harm() {
     let spread = spread(&[("a1", "a", 60), ("b1", "b", 0)]);
     assert_eq!(sent(&spread, "a1"), CALLS);
 }
 
-/// Nothing is said of a few calls. What was long ago counts less and less, so that a target that is
-/// left alone is forgotten to be a failing one.
+/// A few calls give no failure rate. Old calls lose weight, so that a target without calls stops
+/// counting as a failing one.
 #[rstest]
-fn a_share_needs_calls_and_fades() {
+fn a_failure_rate_needs_calls_and_decays() {
     let mut share = FailureRate::default();
     for _ in 0..5 {
         share.note(TimeMs(1_000), true);
--- a/tests/routing_owner_search.rs
+++ b/tests/routing_owner_search.rs
@@ -1,12 +1,13 @@
-//! Whom a keyed call asks for the owner of its slot.
+//! Which targets a keyed call asks for the owner of its slot.
 
 use rstest::rstest;
 use sassafrasgap::core::Name;
 use sassafrasgap::routing::OwnerSearch;
 
-/// A node was stopped as planned on a busy machine. A call reached the next owner of its slot before
-/// that had read the row, went to the former one, which named the next owner by then, and was refused
-/// because that one had been asked already. One that cannot be reached is still given up.
+/// A node is stopped as planned on a busy machine. A call reaches the next owner of its slot before
+/// that has read the row, and then the former owner, which names the next owner by now. Guards
+/// against a refusal because the next owner has been asked already. A target that cannot be reached
+/// is still ruled out.
 #[rstest]
 fn a_target_that_knew_no_owner_may_be_named_as_one_later() {
     let mut search = OwnerSearch::default();
--- a/tests/routing_speed.rs
+++ b/tests/routing_speed.rs
@@ -18,12 +18,13 @@
 
 const NOW: TimeMs = TimeMs(60_000);
 const CALLS: usize = 20_000;
-/// What runs of the route usually take, in microseconds.
+/// The usual run time of the route, in microseconds.
 const USUAL_US: u64 = 110_000;
 
-/// Plays calls that arrive `every_ms` at targets of these speeds, each with as many slots as `slots`; answers
-/// the share of calls that end within `objective_ms`, and the most that ran at one of them at once.
-fn play(
+/// Simulates calls that arrive every `every_ms` at targets of the given speeds, each with `slots`
+/// slots. Returns the share of calls that end within `objective_ms`, and the most that ran at one
+/// target at once.
+fn simulate(
     conf: &PickerConf,
     speeds: &[f64],
     slots: u32,
@@ -60,13 +61,13 @@
         });
         let choice = choice(&targets, &stats);
         let Pick::Take(picked) = pick(&choice, conf, NOW, |n| random.usize(..n)) else {
-            panic!("a target takes work");
+            panic!("no target was picked although all take work");
         };
         let index = names
             .iter()
             .position(|name| **name == *picked.node)
             .unwrap();
-        // Work is spread about its mean, as users' is.
+        // Work varies about its mean, as that of users does.
         let work_ms = USUAL_US as f64 / 1_000.0 * (0.4 + 1.2 * random.f64());
         let took_ms = work_ms / speeds[index];
         in_time += usize::from(took_ms <= objective_ms);
@@ -78,30 +79,30 @@
     (in_time as f64 / CALLS as f64, most)
 }
 
-fn by_finish() -> PickerConf {
+fn by_completion_time() -> PickerConf {
     PickerConf {
-        by_finish: true,
+        by_completion_time: true,
         ..PickerConf::default()
     }
 }
 
-/// Payments at two slow targets and a fast one, all nearly idle: a third of them was late at the slow ones,
-/// though the fast one has room for all.
+/// Payments run at two slow targets and a fast one, all nearly idle. By load alone, a third of the
+/// payments was late at the slow targets, although the fast one has room for all.
 #[rstest]
 fn an_idle_fast_target_is_used_before_slow_ones() {
     let speeds = [0.7, 0.7, 1.6];
-    let (by_load, _) = play(&PickerConf::default(), &speeds, 243, 9.0, 160.0);
-    let (by_finish, _) = play(&by_finish(), &speeds, 243, 9.0, 160.0);
+    let (by_load, _) = simulate(&PickerConf::default(), &speeds, 243, 9.0, 160.0);
+    let (by_completion_time, _) = simulate(&by_completion_time(), &speeds, 243, 9.0, 160.0);
     assert!(by_load < 0.85, "{by_load}");
-    assert!(by_finish >= 0.9, "{by_finish}");
+    assert!(by_completion_time >= 0.9, "{by_completion_time}");
 }
 
-/// The service is nearly full. No target is filled further than by load alone: the fast one beyond its slots
-/// while the slow one has some.
+/// The service is nearly full. Guards against filling a fast target further than by load alone,
+/// beyond its slots while the slow target has free ones.
 #[rstest]
-fn a_fast_target_is_not_overrun(#[values(2.0, 2.2, 2.6)] every_ms: f64) {
+fn a_fast_target_is_not_overloaded(#[values(2.0, 2.2, 2.6)] every_ms: f64) {
     let speeds = [0.5, 1.0, 1.5];
-    let (_, by_load) = play(&PickerConf::default(), &speeds, 20, every_ms, 160.0);
-    let (_, by_finish) = play(&by_finish(), &speeds, 20, every_ms, 160.0);
-    assert!(by_finish <= by_load, "{by_finish}, {by_load} by load");
+    let (_, by_load) = simulate(&PickerConf::default(), &speeds, 20, every_ms, 160.0);
+    let (_, by_completion_time) = simulate(&by_completion_time(), &speeds, 20, every_ms, 160.0);
+    assert!(by_completion_time <= by_load, "{by_completion_time}, {by_load} by load");
 }
