--- a/src/admission/admission.rs
+++ b/src/admission/admission.rs
@@ -4,18 +4,18 @@
 
 use crate::admission::Action;
 use crate::admission::AdmissionConf;
+use crate::admission::CallOutcome;
 use crate::admission::Completion;
 use crate::admission::Offer;
 use crate::admission::QueuedCall;
 use crate::admission::TokenBucket;
-use crate::admission::CallOutcome;
+use crate::admission::arrival_ratio::ArrivalRatio;
 use crate::admission::call_queue::CallQueue;
 use crate::admission::call_queue::WaitingCall;
+use crate::admission::concurrency_limit::ConcurrencyLimit;
 use crate::admission::drain_rate::DrainRate;
-use crate::admission::arrival_ratio::ArrivalRatio;
 use crate::admission::latency_limit::LatencyLimit;
 use crate::admission::level_control::LevelControl;
-use crate::admission::concurrency_limit::ConcurrencyLimit;
 use crate::admission::service_time::ServiceTime;
 use crate::core::FastMap;
 use crate::core::Priority;
@@ -24,7 +24,7 @@
 use crate::core::TimeMs;
 use crate::wire::LoadReport;
 
-/// Bounds of the Retry-After time of a refusal.
+/// Bounds of the Retry-After time of a refusal, in milliseconds.
 const MIN_RETRY_AFTER_MS: u64 = 50;
 const MAX_RETRY_AFTER_MS: u64 = 5_000;
 
@@ -47,6 +47,7 @@
 const RATE_QUEUE_MS: f64 = 200.0;
 
 /// The calls that run at the local backend server and the calls that wait for it.
+///
 /// Every ticket gets exactly one decision. It runs ([`Offer::Run`] or [`Action::Start`]) or it is
 /// refused. The number of running calls never exceeds the limit at the time a call starts.
 #[derive(Clone, Debug)]
@@ -198,11 +199,14 @@
     }
 
     /// The pressure on the backend server in thousandths: utilization plus queueing time.
-    /// Utilization is the share of the limit in use. While calls are queued, it is multiplied by
-    /// the ratio of arrivals to completions. The queueing time counts as a whole limit at
-    /// [`FULL_WAIT_MS`].
+    ///
+    /// Utilization is the share of the limit in use, or of the token bucket if that is more. While
+    /// the queue is longer than a chance burst, it is multiplied by the ratio of arrivals to
+    /// completions. The queueing time counts as a whole limit at [`FULL_WAIT_MS`].
+    ///
     /// The ratio shows the size of an overload at once. The queue length alone shows it late and
     /// still shows it long after the arrivals have dropped.
+    ///
     /// The queueing time is computed from the run time and the limit, not from recent completions.
     /// Just after a start or a stall there are no completions, and the pressure would look
     /// infinite.
@@ -220,7 +224,8 @@
         })
     }
 
-    /// Caps the limit by the slots that the backend server announces. Can only lower the limit.
+    /// Caps the limit by the slots that the backend server announces. A limit learnt from completed
+    /// calls can only be lowered by it.
     pub fn set_slots(&mut self, slots: u32) {
         self.limit.set_cap(slots.min(self.conf.max_limit));
     }
--- a/src/admission/concurrency_limit.rs
+++ b/src/admission/concurrency_limit.rs
@@ -2,8 +2,8 @@
 //! observes.
 
 use crate::admission::AdmissionConf;
-use crate::admission::Completion;
 use crate::admission::CallOutcome;
+use crate::admission::Completion;
 use crate::core::TimeMs;
 
 /// A trial is started when the own service time exceeds this percentage of its baseline.
@@ -87,6 +87,7 @@
 
 /// A concurrency limit that rises while service times are ordinary, and falls when a trial shows
 /// that a lower limit gives the same throughput.
+///
 /// Guards against two failures that both increase the service time. A backend server that is given
 /// more calls than it can run queues the rest inside, where nothing orders or refuses them. A
 /// backend server that has become slow needs every slot. A limit that follows the service time
@@ -301,7 +302,11 @@
     fn evaluate(&mut self, trial: Trial, now: TimeMs) {
         let per_second = self.trial.per_second(now);
         let same = per_second * 100 >= trial.baseline_per_second * UNCHANGED_PERCENT;
-        let needed = if same { MIN_SAMPLES_TO_LOWER } else { MIN_SAMPLES_TO_RESTORE };
+        let needed = if same {
+            MIN_SAMPLES_TO_LOWER
+        } else {
+            MIN_SAMPLES_TO_RESTORE
+        };
         if self.trial.full && self.trial.samples < needed {
             return;
         }
--- a/src/admission/event_interval.rs
+++ b/src/admission/event_interval.rs
@@ -3,6 +3,7 @@
 use crate::core::TimeMs;
 
 /// The smoothed interval between events of one kind.
+///
 /// Guards against fixed time-outs that suit only busy entries. With hundreds of nodes an entry sees
 /// a few requests per second, and most windows bring no report at all. When that counted as
 /// silence, entries admitted everything while the deep service was full, and its levels were lost
--- a/src/admission/latency_limit.rs
+++ b/src/admission/latency_limit.rs
@@ -17,13 +17,16 @@
 const WEIGHT: u64 = 32;
 
 /// A limit on calls in flight that keeps their run time within the latency objective.
+///
 /// Guards against congestion that spreads up a call chain. When a deep service is the bottleneck,
 /// calls queue there and hold their slots in all services above, which then seem to be full as
 /// well. All answers are late although the bottleneck works at full speed, and this lasts long
 /// after the load has gone.
+///
 /// By Little's law the time in the chain is the number of calls in flight divided by the
 /// completions per second. The calls in flight are therefore limited to that rate multiplied by the
 /// time they may take. Further calls wait or are refused before any work is done for them.
+///
 /// A backend server that is itself slow needs all its slots, so the limit falls only while a
 /// downstream service is overloaded.
 #[derive(Clone, Debug)]
--- a/src/admission/levels.rs
+++ b/src/admission/levels.rs
@@ -29,6 +29,7 @@
 
 /// The admission level of each service and route, kept where calls are sent: at entries for
 /// callers' requests, and at guards for the calls of their backend server.
+///
 /// Guards against work that is done at every hop and discarded at the last. A call that would be
 /// shed deeper is refused here before any work is done for it. A level expires unless it is
 /// renewed, so a wrong or old one does harm for half a second at most.
@@ -75,7 +76,9 @@
             .get_mut(service)
             .and_then(|routes| routes.get_mut(route));
         match reported {
-            Some(reported) if now.since(reported.at.max(reported.probed_at)) > PROBE_INTERVAL_MS => {
+            Some(reported)
+                if now.since(reported.at.max(reported.probed_at)) > PROBE_INTERVAL_MS =>
+            {
                 reported.probed_at = now;
                 true
             }
@@ -84,6 +87,7 @@
     }
 
     /// The lowest priority that the service and its downstream services on this route admit.
+    ///
     /// Guards against a class with a route of its own that all nodes admit at once whenever the
     /// level of the route expires. While the class is shed, no answer renews that level. Recent
     /// levels of the same service on other routes are used meanwhile. The most lenient one is
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -1,23 +1,24 @@
 //! Admission control under overload, at the guard and for the whole call chain.
+//!
 //! The modules have no side effects: each takes a state, an input and a time, and returns actions.
 //! The alternatives considered and the figures are in [docs/ADMISSION.md](../../docs/ADMISSION.md).
 
 mod admission;
 mod admission_conf;
+mod arrival_ratio;
 mod call_queue;
+mod concurrency_limit;
 mod dependencies;
 mod drain_rate;
-mod arrival_ratio;
 mod event_interval;
 mod latency_limit;
 mod level_control;
 mod levels;
-mod concurrency_limit;
-mod rate_limit_state;
 mod origins_by_domain;
 mod pressure;
 mod pressures;
 mod queued_call;
+mod rate_limit_state;
 mod root_control;
 mod root_level;
 mod route_origins;
@@ -30,19 +31,19 @@
 pub use dependencies::Dependencies;
 pub use levels::Levels;
 pub use levels::route_of;
-pub use rate_limit_state::RateLimitState;
-pub use rate_limit_state::RateChange;
-pub use rate_limit_state::AdvertisedRate;
 pub use origins_by_domain::CallingServices;
 pub use origins_by_domain::ObservedCall;
 pub use origins_by_domain::OriginsByDomain;
 pub use pressure::Pressure;
 pub use pressures::Pressures;
 pub use queued_call::Action;
+pub use queued_call::CallOutcome;
 pub use queued_call::Completion;
 pub use queued_call::Offer;
 pub use queued_call::QueuedCall;
-pub use queued_call::CallOutcome;
+pub use rate_limit_state::AdvertisedRate;
+pub use rate_limit_state::RateChange;
+pub use rate_limit_state::RateLimitState;
 pub use root_control::OverloadedService;
 pub use root_control::RootControl;
 pub use route_origins::CallingService;
--- a/src/admission/origins_by_domain.rs
+++ b/src/admission/origins_by_domain.rs
@@ -46,6 +46,7 @@
 }
 
 /// Two classifications of each route: by the calls of the own failure domain, and by all calls.
+///
 /// Guards against a route of backend servers that is never classified. The only target of a deep
 /// service may be in a domain without a node of the service that calls it, so no call comes from
 /// the own domain. Callers' requests are then not refused on behalf of that service, and fail deep
@@ -65,9 +66,11 @@
         services: CallingServices<'_>,
     ) -> Option<RouteOrigin> {
         let (route, service) = (call.route, call.caller_service);
-        self.all.note(route, service, call.reported_origin, services.all);
+        self.all
+            .note(route, service, call.reported_origin, services.all);
         if call.same_domain {
-            self.own_domain.note(route, service, call.reported_origin, services.own_domain);
+            self.own_domain
+                .note(route, service, call.reported_origin, services.own_domain);
         }
         let origins = if self.is_mostly_remote(call) {
             &self.all
--- a/src/admission/pressures.rs
+++ b/src/admission/pressures.rs
@@ -27,6 +27,7 @@
 
 /// The most overloaded service downstream of each route: of the services that calls are sent to,
 /// and of the local service.
+///
 /// Backend servers do not forward any context, so a deep call cannot be matched to its root
 /// request. What can be learnt is which routes lead to which calls, and so which deep service a
 /// root request on a route will load.
@@ -92,7 +93,8 @@
     /// is `own`.
     pub fn for_answer(&self, now: TimeMs, route: &str, own: Pressure) -> Option<Pressure> {
         let children = self.dependencies.children(now, route);
-        let downstream = children.filter_map(|(service, route)| self.downstream(now, service, route));
+        let downstream =
+            children.filter_map(|(service, route)| self.downstream(now, service, route));
         downstream
             .chain([own])
             .filter(|pressure| pressure.permille > 0)
@@ -111,8 +113,12 @@
         let children = routes
             .iter()
             .flat_map(|route| self.dependencies.children(now, route));
-        let downstream = children.filter_map(|(service, route)| self.downstream(now, service, route));
-        downstream.map(|pressure| pressure.permille).max().unwrap_or(0)
+        let downstream =
+            children.filter_map(|(service, route)| self.downstream(now, service, route));
+        downstream
+            .map(|pressure| pressure.permille)
+            .max()
+            .unwrap_or(0)
     }
 
     fn evict(&mut self, now: TimeMs) {
--- a/src/admission/rate_limit_state.rs
+++ b/src/admission/rate_limit_state.rs
@@ -1,5 +1,6 @@
 //! The rate limit that a backend server advertises in its answers: when it begins, changes and
 //! ends.
+//!
 //! The module has no side effects; see [docs/RATE_LIMITS.md](../../docs/RATE_LIMITS.md).
 
 use crate::core::TimeMs;
@@ -72,6 +73,7 @@
 }
 
 /// The rate limit advertised by one incarnation of a backend server.
+///
 /// Guards against an answer that was under way when the rate was first advertised and arrives after
 /// it. It carries no rate and would lift the limit. An answer therefore counts towards the end of
 /// the limit only if its request was sent after the last answer with a rate, and several such
@@ -100,8 +102,8 @@
     }
 
     /// Records what an answer to a request sent at `sent_at` says about the rate.
-    pub fn note(&mut self, now: TimeMs, sent_at: TimeMs, word: AdvertisedRate) -> RateChange {
-        match word {
+    pub fn note(&mut self, now: TimeMs, sent_at: TimeMs, advertised: AdvertisedRate) -> RateChange {
+        match advertised {
             AdvertisedRate::PerSecond(per_s) => self.activate(now, per_s),
             AdvertisedRate::Malformed => {
                 self.renew(now);
--- a/src/admission/root_control.rs
+++ b/src/admission/root_control.rs
@@ -21,6 +21,7 @@
 }
 
 /// Admission levels of root requests by overloaded service.
+///
 /// Guards against requests that fail deep in the chain after most of their work is done. If single
 /// calls of a request are refused at random, nearly every request fails. Requests are therefore
 /// refused here as a whole, before any work is done, the least important first. Each entry adjusts
--- a/src/admission/root_level.rs
+++ b/src/admission/root_level.rs
@@ -154,6 +154,7 @@
     }
 
     /// Admits everything again.
+    ///
     /// Guards against a level that outlives its pressure. Once another service is the most
     /// overloaded one on a route, this level gets neither requests nor reports and stays as low as
     /// it was. When its service becomes the most overloaded one again seconds later, nearly
--- a/src/admission/route_origins.rs
+++ b/src/admission/route_origins.rs
@@ -40,6 +40,7 @@
 }
 
 /// Calls by route and by the service beside which they began.
+///
 /// Backend servers do not forward any context, and their calls reach the node over the same
 /// listener as those of callers. Callers are beside every backend server, whatever its service.
 /// Calls of backend servers come only from services that make calls, and every chain has a service
@@ -51,6 +52,7 @@
 
 impl RouteOrigins {
     /// Counts a call. `services` are those of the nodes whose calls are counted.
+    ///
     /// Guards against taking the silence of a service for proof when its callers could not be seen
     /// at all: its nodes in this failure domain are gone or restarting, and calls stay in their
     /// domain. The route is then classified as callers' and as backend servers' by turns, and
--- a/src/admission/service_time.rs
+++ b/src/admission/service_time.rs
@@ -34,6 +34,7 @@
     }
 
     /// The shortest time in which a call of the class can be expected to be answered.
+    ///
     /// It is half of the mean, because calls of one class differ. Guards against a class that is
     /// refused for good after one slow period, because no call runs any more that could lower the
     /// estimate. The estimate is therefore halved for every second without a sample.
--- a/src/admission/token_bucket.rs
+++ b/src/admission/token_bucket.rs
@@ -9,6 +9,7 @@
 const BURST_S: f64 = 0.5;
 
 /// Tokens that accrue at a rate, one for each request.
+///
 /// In any span of T seconds it grants at most 1 + ([`BURST_S`] + T) x the rate. A receiver that
 /// counts over windows sees little more than the rate it advertised, however the requests arrive.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/src/admission/usable_slots.rs
+++ b/src/admission/usable_slots.rs
@@ -6,6 +6,7 @@
 const ALL_USED_UP_TO: u32 = 4;
 
 /// The number of calls that may run at once at a backend server that announces `slots`.
+///
 /// Guards against a backend server that slows down when its last slots are taken, by more than
 /// these slots add: some slow down by a third from 95% on. Such a service does less the more it is
 /// asked to do. The free part is rounded up. Rounded down it let 43 of 45 slots be taken (mean
--- a/src/node/backend_call.rs
+++ b/src/node/backend_call.rs
@@ -17,8 +17,8 @@
 use tokio::time::timeout;
 
 use crate::adapters::Body;
-use crate::admission::Completion;
 use crate::admission::CallOutcome;
+use crate::admission::Completion;
 use crate::core::Refusal;
 use crate::core::RefusalReason;
 use crate::core::RequestId;
--- a/src/node/backend_words.rs
+++ b/src/node/backend_words.rs
@@ -7,8 +7,8 @@
 use http::HeaderMap;
 use http::HeaderName;
 
-use crate::admission::RateLimitState;
 use crate::admission::RateChange;
+use crate::admission::RateLimitState;
 use crate::core::TimeMs;
 use crate::node::gate::Gate;
 use crate::wire::headers;
--- a/src/node/permit.rs
+++ b/src/node/permit.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
-use crate::admission::Completion;
 use crate::admission::CallOutcome;
+use crate::admission::Completion;
 use crate::node::gate::Gate;
 
 /// Counts as in flight until it is dropped, however the call ends.
--- a/src/routing/domain_reachability.rs
+++ b/src/routing/domain_reachability.rs
@@ -29,6 +29,7 @@
 }
 
 /// Calls lost on the way to each other failure domain since its last answer.
+///
 /// Guards against calls that go on being sent across a network partition. Each waits for a
 /// connection, and whole call trees fail although their own side could run them. Gossip takes
 /// seconds of silence to detect the partition. Many calls cross at any time, so failed connections
@@ -43,7 +44,11 @@
 impl DomainReachability {
     /// Records a call that is sent to a node of the domain.
     pub fn note_sent(&mut self, now: TimeMs, domain: &str) {
-        if let Some(known) = self.domains.get_mut(domain).filter(|known| known.unreachable) {
+        if let Some(known) = self
+            .domains
+            .get_mut(domain)
+            .filter(|known| known.unreachable)
+        {
             known.probed_at = now;
         }
     }
@@ -59,7 +64,10 @@
         if known.lost_nodes.len() < MIN_LOST_NODES && !known.lost_nodes.contains(node) {
             known.lost_nodes.push(node.clone());
         }
-        if known.unreachable || known.lost < MIN_LOST_CALLS || known.lost_nodes.len() < MIN_LOST_NODES {
+        if known.unreachable
+            || known.lost < MIN_LOST_CALLS
+            || known.lost_nodes.len() < MIN_LOST_NODES
+        {
             return false;
         }
         log::info!("entry: a failure domain is out of reach, domain={domain}");
@@ -81,13 +89,16 @@
 
     /// Whether the domain is unreachable.
     pub fn is_unreachable(&self, domain: &str) -> bool {
-        self.domains.get(domain).is_some_and(|known| known.unreachable)
+        self.domains
+            .get(domain)
+            .is_some_and(|known| known.unreachable)
     }
 
     /// The domains to which no calls are sent now: those that are unreachable and not due for a
     /// probe.
     pub fn avoided(&self, now: TimeMs) -> Vec<Name> {
-        let is_avoided = |known: &Domain| known.unreachable && now.since(known.probed_at) < PROBE_INTERVAL_MS;
+        let is_avoided =
+            |known: &Domain| known.unreachable && now.since(known.probed_at) < PROBE_INTERVAL_MS;
         let avoided = self.domains.iter().filter(|(_, known)| is_avoided(known));
         avoided.map(|(name, _)| name.clone()).collect()
     }
--- a/src/routing/owner_search.rs
+++ b/src/routing/owner_search.rs
@@ -3,6 +3,7 @@
 use crate::core::Name;
 
 /// Targets that were asked without success, by cause.
+///
 /// Guards against a call that is refused with `no_target` in the middle of a planned stop, while
 /// slots change hands on a busy machine. The next owner of the slot is asked before it has read the
 /// row that names it, and answers that it knows of no owner. It must be asked again once the former
--- a/src/routing/picker.rs
+++ b/src/routing/picker.rs
@@ -111,20 +111,27 @@
 }
 
 /// The targets whose failure rate is not far above that of the best one.
+///
 /// Guards against a backend server that accepts calls and fails many of them, by refusals, errors
 /// or silence, while its health check is good. It answers fast and so looks least loaded, and a
 /// request with many calls hardly ever succeeds. Targets are compared with each other. When all
 /// fail alike, as with a failing service downstream, there is nowhere better to go. Others are
 /// preferred only while they have room. Without spare capacity, the successful calls of a failing
 /// target are worth more than its failures cost.
-fn healthy_targets(available: &[Arc<Target>], context: &PickContext<'_>, now: TimeMs) -> Vec<Arc<Target>> {
+fn healthy_targets(
+    available: &[Arc<Target>],
+    context: &PickContext<'_>,
+    now: TimeMs,
+) -> Vec<Arc<Target>> {
     let failing = |target: &Arc<Target>| {
         let stats = context.stats.get(&target.node);
         stats.map_or(0, |stats| stats.failing_permille(now))
     };
     let best = available.iter().map(&failing).min().unwrap_or(0);
     let avoided_from = (best * AVOID_RATIO).max(AVOID_FROM_PERMILLE);
-    let healthy = available.iter().filter(|target| failing(target) < avoided_from);
+    let healthy = available
+        .iter()
+        .filter(|target| failing(target) < avoided_from);
     healthy.cloned().collect()
 }
 
@@ -190,7 +197,9 @@
 ) -> bool {
     match conf.spill {
         SpillPolicy::ByLoad { .. } => remote.1 < local.1,
-        SpillPolicy::ByWait { .. } => wait_ms(context, remote.0, now) * 2 < wait_ms(context, local.0, now),
+        SpillPolicy::ByWait { .. } => {
+            wait_ms(context, remote.0, now) * 2 < wait_ms(context, local.0, now)
+        }
     }
 }
 
@@ -201,7 +210,11 @@
 
 /// Targets that take work, without the ejected ones. If too many are ejected, the cause is more
 /// likely at this node than at them, and ejection is ignored.
-fn available_targets(context: &PickContext<'_>, conf: &PickerConf, now: TimeMs) -> Vec<Arc<Target>> {
+fn available_targets(
+    context: &PickContext<'_>,
+    conf: &PickerConf,
+    now: TimeMs,
+) -> Vec<Arc<Target>> {
     let candidates: Vec<Arc<Target>> = context
         .targets
         .iter()
@@ -267,6 +280,7 @@
 
 /// Whether a call is likely to end sooner at the first target. Each target is given by its slowness
 /// and its load per slot, in thousandths.
+///
 /// Guards against calls that miss their objective at a slow backend server while a fast one beside
 /// it idles: targets of one service differ in speed by up to three times. The expected time grows
 /// as a target fills, and from [`FULL_PERMILLE`] on only the load counts.
@@ -280,7 +294,12 @@
 
 /// The load of a target, plus a surcharge while it is new. A cold backend server that gets its full
 /// share at once answers late, and its callers retry.
-fn effective_load(target: &Target, context: &PickContext<'_>, conf: &PickerConf, now: TimeMs) -> u64 {
+fn effective_load(
+    target: &Target,
+    context: &PickContext<'_>,
+    conf: &PickerConf,
+    now: TimeMs,
+) -> u64 {
     let Some(stats) = context.stats.get(&target.node) else {
         return 0;
     };
--- a/src/routing/target_pressure.rs
+++ b/src/routing/target_pressure.rs
@@ -16,6 +16,7 @@
     }
 
     /// The pressure on a service, in thousandths; `None` if no target has reported.
+    ///
     /// A call may go to any target, so this is the mean over the targets, weighted by slots.
     /// Unweighted, a target that takes a few requests per second would make its whole service look
     /// full.
--- a/src/traffic/backend.rs
+++ b/src/traffic/backend.rs
@@ -10,8 +10,8 @@
 use tokio::time::timeout;
 
 use crate::adapters::WholeAnswer;
-use crate::admission::Completion;
 use crate::admission::CallOutcome;
+use crate::admission::Completion;
 use crate::core::Name;
 use crate::core::Refusal;
 use crate::core::RefusalReason;
--- a/src/traffic/backend_answer.rs
+++ b/src/traffic/backend_answer.rs
@@ -7,8 +7,8 @@
 use hyper::body::Incoming;
 
 use crate::adapters::WholeAnswer;
-use crate::admission::RateChange;
 use crate::admission::AdvertisedRate;
+use crate::admission::RateChange;
 use crate::core::Name;
 use crate::core::Refusal;
 use crate::core::RefusalReason;
--- a/src/traffic/local_server.rs
+++ b/src/traffic/local_server.rs
@@ -2,9 +2,9 @@
 //!
 //! Pure: reports and what is met on connections go in, with a time.
 
-use crate::admission::RateLimitState;
-use crate::admission::RateChange;
 use crate::admission::AdvertisedRate;
+use crate::admission::RateChange;
+use crate::admission::RateLimitState;
 use crate::core::Name;
 use crate::core::TargetState;
 use crate::core::TimeMs;
--- a/src/traffic/root_admission.rs
+++ b/src/traffic/root_admission.rs
@@ -45,7 +45,8 @@
                 learnt.control.note(now, service, permille);
             }
             None => {
-                if let Some(service) = learnt.pressures.overloaded_service(service, route).cloned() {
+                if let Some(service) = learnt.pressures.overloaded_service(service, route).cloned()
+                {
                     learnt.control.note(now, &service, 0);
                 }
             }
--- a/src/wire/server_words.rs
+++ b/src/wire/server_words.rs
@@ -47,7 +47,9 @@
 /// What an answer says of the rate; of two values the lower one that can be told.
 pub fn rate_word(name: &HeaderName, headers: &HeaderMap) -> AdvertisedRate {
     let rates = headers.get_all(name).iter();
-    rates.map(rate_of).fold(AdvertisedRate::Absent, AdvertisedRate::combine)
+    rates
+        .map(rate_of)
+        .fold(AdvertisedRate::Absent, AdvertisedRate::combine)
 }
 
 fn rate_of(value: &HeaderValue) -> AdvertisedRate {
--- a/tests/admission_classes.rs
+++ b/tests/admission_classes.rs
@@ -5,10 +5,10 @@
 use sassafrasgap::admission::Action;
 use sassafrasgap::admission::Admission;
 use sassafrasgap::admission::AdmissionConf;
+use sassafrasgap::admission::CallOutcome;
 use sassafrasgap::admission::Completion;
 use sassafrasgap::admission::Offer;
 use sassafrasgap::admission::QueuedCall;
-use sassafrasgap::admission::CallOutcome;
 use sassafrasgap::core::Priority;
 use sassafrasgap::core::TimeMs;
 
--- a/tests/admission_invariants.rs
+++ b/tests/admission_invariants.rs
@@ -8,10 +8,10 @@
 use sassafrasgap::admission::Action;
 use sassafrasgap::admission::Admission;
 use sassafrasgap::admission::AdmissionConf;
+use sassafrasgap::admission::CallOutcome;
 use sassafrasgap::admission::Completion;
 use sassafrasgap::admission::Offer;
 use sassafrasgap::admission::QueuedCall;
-use sassafrasgap::admission::CallOutcome;
 use sassafrasgap::core::Priority;
 use sassafrasgap::core::TimeMs;
 
--- a/tests/admission_origins.rs
+++ b/tests/admission_origins.rs
@@ -161,7 +161,11 @@
         let same_domain = local_every > 0 && step % local_every == 0;
         // From other domains only one service calls; in the own domain, callers beside both
         // services do.
-        let place = if same_domain { step / local_every % 2 } else { 1 };
+        let place = if same_domain {
+            step / local_every % 2
+        } else {
+            1
+        };
         let call = ObservedCall {
             route: &route,
             caller_service: &services[place].service,
--- a/tests/admission_rate_limit_state.rs
+++ b/tests/admission_rate_limit_state.rs
@@ -1,16 +1,20 @@
 //! When the rate limit that a backend server advertises begins, changes and ends.
 
 use rstest::rstest;
-use sassafrasgap::admission::RateLimitState;
-use sassafrasgap::admission::RateChange;
 use sassafrasgap::admission::AdvertisedRate;
+use sassafrasgap::admission::RateChange;
+use sassafrasgap::admission::RateLimitState;
 use sassafrasgap::core::TimeMs;
 
 const ADVERTISED_AT: TimeMs = TimeMs(10_000);
 
 fn advertised(per_s: f64) -> RateLimitState {
     let mut rate = RateLimitState::default();
-    rate.note(ADVERTISED_AT, ADVERTISED_AT - 50, AdvertisedRate::PerSecond(per_s));
+    rate.note(
+        ADVERTISED_AT,
+        ADVERTISED_AT - 50,
+        AdvertisedRate::PerSecond(per_s),
+    );
     rate
 }
 
@@ -19,7 +23,11 @@
 fn answers_to_earlier_requests_do_not_end_the_limit() {
     let mut rate = advertised(4.0);
     for late_ms in 1..100 {
-        let change = rate.note(ADVERTISED_AT + late_ms, ADVERTISED_AT - 1, AdvertisedRate::Absent);
+        let change = rate.note(
+            ADVERTISED_AT + late_ms,
+            ADVERTISED_AT - 1,
+            AdvertisedRate::Absent,
+        );
         assert_eq!(change, RateChange::Unchanged);
     }
     assert_eq!(rate.per_s(), Some(4.0));
@@ -29,7 +37,12 @@
 #[test]
 fn the_third_answer_without_a_rate_ends_the_limit() {
     let mut rate = advertised(4.0);
-    let answer_ms = |order: u64| (ADVERTISED_AT + 100 * order, ADVERTISED_AT + 100 * order - 50);
+    let answer_ms = |order: u64| {
+        (
+            ADVERTISED_AT + 100 * order,
+            ADVERTISED_AT + 100 * order - 50,
+        )
+    };
     for order in 1..3 {
         let (now, sent_at) = answer_ms(order);
         assert_eq!(
@@ -54,7 +67,10 @@
         } else {
             AdvertisedRate::Absent
         };
-        assert_eq!(rate.note(now, now - 50, advertisement), RateChange::Unchanged);
+        assert_eq!(
+            rate.note(now, now - 50, advertisement),
+            RateChange::Unchanged
+        );
     }
 }
 
@@ -74,14 +90,21 @@
     );
     assert_eq!(rate.per_s(), Some(4.0));
     let mut none = RateLimitState::default();
-    assert_eq!(none.note(ADVERTISED_AT, ADVERTISED_AT, advertisement), RateChange::Unchanged);
+    assert_eq!(
+        none.note(ADVERTISED_AT, ADVERTISED_AT, advertisement),
+        RateChange::Unchanged
+    );
     assert_eq!(none.per_s(), None);
 }
 
 #[test]
 fn a_changed_rate_is_in_force_at_once() {
     let mut rate = advertised(4.0);
-    let change = rate.note(ADVERTISED_AT + 1, ADVERTISED_AT - 40, AdvertisedRate::PerSecond(2.5));
+    let change = rate.note(
+        ADVERTISED_AT + 1,
+        ADVERTISED_AT - 40,
+        AdvertisedRate::PerSecond(2.5),
+    );
     assert_eq!(change, RateChange::Changes { per_s: 2.5 });
     assert_eq!(rate.per_s(), Some(2.5));
 }
--- a/tests/fake_chain/chain.rs
+++ b/tests/fake_chain/chain.rs
@@ -12,11 +12,11 @@
 use sassafrasgap::admission::Action;
 use sassafrasgap::admission::Admission;
 use sassafrasgap::admission::AdmissionConf;
+use sassafrasgap::admission::CallOutcome;
 use sassafrasgap::admission::Dependencies;
 use sassafrasgap::admission::Levels;
 use sassafrasgap::admission::Offer;
 use sassafrasgap::admission::QueuedCall;
-use sassafrasgap::admission::CallOutcome;
 use sassafrasgap::core::Name;
 use sassafrasgap::core::Priority;
 use sassafrasgap::core::TimeMs;
@@ -406,6 +406,13 @@
         let parent_call = &mut self.calls[parent];
         parent_call.child_us += now_us - parent_call.child_from_us;
         parent_call.ok = ok;
-        self.release(parent, if ok { CallOutcome::Ok } else { CallOutcome::Failed });
+        self.release(
+            parent,
+            if ok {
+                CallOutcome::Ok
+            } else {
+                CallOutcome::Failed
+            },
+        );
     }
 }
--- a/tests/fake_chain/chain/backend_servers.rs
+++ b/tests/fake_chain/chain/backend_servers.rs
@@ -1,7 +1,7 @@
 //! What backend servers do with calls that were admitted.
 
-use sassafrasgap::admission::Completion;
 use sassafrasgap::admission::CallOutcome;
+use sassafrasgap::admission::Completion;
 
 use super::super::story::Control;
 use super::Chain;
--- a/tests/routing_speed.rs
+++ b/tests/routing_speed.rs
@@ -104,5 +104,8 @@
     let speeds = [0.5, 1.0, 1.5];
     let (_, by_load) = simulate(&PickerConf::default(), &speeds, 20, every_ms, 160.0);
     let (_, by_completion_time) = simulate(&by_completion_time(), &speeds, 20, every_ms, 160.0);
-    assert!(by_completion_time <= by_load, "{by_completion_time}, {by_load} by load");
+    assert!(
+        by_completion_time <= by_load,
+        "{by_completion_time}, {by_load} by load"
+    );
 }
