--- a/src/admission/admission_conf.rs
+++ b/src/admission/admission_conf.rs
@@ -1,6 +1,6 @@
 //! Configuration of admission control at a guard.
 
-/// Bounds and intervals of admission control. The defaults were measured.
+/// Bounds and intervals of admission control.
 #[derive(Clone, Debug)]
 pub struct AdmissionConf {
     /// Whether the limit adapts to service times and to refusals. It must be `false` if the time
@@ -19,7 +19,7 @@
     pub min_queue: usize,
     /// How often the limit and the level are recomputed.
     pub window_ms: u64,
-    /// The queueing time that the level is steered to. The level falls when calls wait for twice as
+    /// The target queueing time of the level. The level falls when calls wait for twice as
     /// long throughout a window, and rises when they wait for less.
     pub wait_target_ms: u64,
 }
