--- a/src/admission/route_origins.rs
+++ b/src/admission/route_origins.rs
@@ -5,8 +5,8 @@
 use crate::core::RouteOrigin;
 
 /// A service without calls proves that callers do not use the route if this many calls from it were
-/// to be expected by now. By chance that happens once in some 160,000 times, and every guard
-/// evaluates every route anew after each start.
+/// to be expected by now. The proof is wrong by chance in one of some 160,000 cases. It has to be
+/// that rare, because every guard evaluates every route anew after each start.
 const MIN_EXPECTED_CALLS: f32 = 12.0;
 /// The same for a route that is known to be used by callers. An entry that refuses nearly all of
 /// them is silent as well, for as long as an overload lasts.
