--- a/src/admission/admission.rs
+++ b/src/admission/admission.rs
@@ -7,7 +7,7 @@
 use crate::admission::CallOutcome;
 use crate::admission::Completion;
 use crate::admission::Offer;
-use crate::admission::QueuedCall;
+use crate::admission::OfferedCall;
 use crate::admission::TokenBucket;
 use crate::admission::arrival_ratio::ArrivalRatio;
 use crate::admission::call_queue::CallQueue;
@@ -97,7 +97,7 @@
 
     /// Decides about a call that has just arrived. If the call has to wait, [`Self::poll`] must be
     /// called at once, because a less important call may have been evicted for it.
-    pub fn offer(&mut self, now: TimeMs, call: QueuedCall) -> Offer {
+    pub fn offer(&mut self, now: TimeMs, call: OfferedCall) -> Offer {
         self.level.note_offer(call.priority);
         self.arrival_ratio.arrive(now);
         self.latency_limit.note_objective(call.due.since(now));
@@ -302,7 +302,7 @@
         }
     }
 
-    fn gets_token_in_time(&self, call: &QueuedCall, ahead: usize, now: TimeMs) -> bool {
+    fn gets_token_in_time(&self, call: &OfferedCall, ahead: usize, now: TimeMs) -> bool {
         let wait_ms = self.rate.map_or(0, |rate| rate.wait_ms(ahead + 1));
         let waiting_ends = now + wait_ms;
         wait_ms < u64::from(call.wait_ms) && self.deadline_can_be_met(call, waiting_ends)
@@ -318,7 +318,7 @@
         by_slots.min(by_rate as usize)
     }
 
-    fn deadline_can_be_met(&self, call: &QueuedCall, now: TimeMs) -> bool {
+    fn deadline_can_be_met(&self, call: &OfferedCall, now: TimeMs) -> bool {
         let needed_ms = self.service_time.at_least_ms(call.priority.class(), now);
         now + needed_ms < call.deadline
     }
--- a/src/admission/call_queue.rs
+++ b/src/admission/call_queue.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-use crate::admission::QueuedCall;
+use crate::admission::OfferedCall;
 use crate::core::FastMap;
 use crate::core::Priority;
 use crate::core::TimeMs;
@@ -22,7 +22,7 @@
 }
 
 impl QueuePosition {
-    fn of(call: &QueuedCall) -> Self {
+    fn of(call: &OfferedCall) -> Self {
         Self {
             due: call.due,
             class: call.priority.class(),
@@ -36,7 +36,7 @@
 /// A queued call and the time at which it was queued.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct WaitingCall {
-    pub call: QueuedCall,
+    pub call: OfferedCall,
     pub since: TimeMs,
 }
 
@@ -72,7 +72,7 @@
             .count()
     }
 
-    pub fn push(&mut self, call: QueuedCall, now: TimeMs) {
+    pub fn push(&mut self, call: OfferedCall, now: TimeMs) {
         let position = QueuePosition::of(&call);
         let waiting = WaitingCall { call, since: now };
         self.by_expiry.insert((waiting.expires_at(), call.ticket));
@@ -81,13 +81,13 @@
     }
 
     /// Whether `call` would be started before all waiting calls.
-    pub fn would_be_first(&self, call: &QueuedCall) -> bool {
+    pub fn would_be_first(&self, call: &OfferedCall) -> bool {
         let first = self.by_position.keys().next();
         first.is_none_or(|first| QueuePosition::of(call) < *first)
     }
 
     /// Whether `call` would be started before the last waiting call.
-    pub fn outranks_last(&self, call: &QueuedCall) -> bool {
+    pub fn outranks_last(&self, call: &OfferedCall) -> bool {
         let last = self.by_position.keys().next_back();
         last.is_some_and(|last| QueuePosition::of(call) < *last)
     }
--- a/src/admission/queued_call.rs
+++ b/src/admission/offered_call.rs
@@ -6,7 +6,7 @@
 
 /// A call that is to be run by the local backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct QueuedCall {
+pub struct OfferedCall {
     /// Identifies the call at this guard; never reused.
     pub ticket: u64,
     pub priority: Priority,
--- a/src/node/gate.rs
+++ b/src/node/gate.rs
@@ -12,7 +12,7 @@
 use crate::admission::AdmissionConf;
 use crate::admission::Completion;
 use crate::admission::Offer;
-use crate::admission::QueuedCall;
+use crate::admission::OfferedCall;
 use crate::core::Clock;
 use crate::core::FastMap;
 use crate::core::Priority;
@@ -76,7 +76,7 @@
     ///
     /// # Errors
     /// The refusal, at once when admission decides so.
-    pub(crate) async fn admit(self: &Arc<Self>, mut call: QueuedCall) -> Word {
+    pub(crate) async fn admit(self: &Arc<Self>, mut call: OfferedCall) -> Word {
         let (_waiting, word) = {
             let mut state = self.lock();
             state.next_ticket += 1;
--- a/src/node/guard_run.rs
+++ b/src/node/guard_run.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::admission::QueuedCall;
+use crate::admission::OfferedCall;
 use crate::core::Priority;
 use crate::core::Refusal;
 use crate::core::RefusalReason;
@@ -42,7 +42,7 @@
     }
     is_harmless(node, &call)?;
     passes_deeper(node, &call)?;
-    let queued = QueuedCall {
+    let queued = OfferedCall {
         ticket: 0,
         priority: call.header.priority,
         depth: call.header.depth,
--- a/src/traffic/guard.rs
+++ b/src/traffic/guard.rs
@@ -18,8 +18,8 @@
 
 use crate::adapters::WholeAnswer;
 use crate::adapters::read_whole;
+use crate::admission::OfferedCall;
 use crate::admission::Pressure;
-use crate::admission::QueuedCall;
 use crate::core::Name;
 use crate::core::Refusal;
 use crate::core::RefusalReason;
@@ -219,7 +219,7 @@
         return BackendEnd::not_sent(refusal);
     }
     let now = traffic.clock.now();
-    let queued = QueuedCall {
+    let queued = OfferedCall {
         ticket: 0,
         priority: call.hop.priority,
         depth: 0,
--- a/tests/admission_classes.rs
+++ b/tests/admission_classes.rs
@@ -8,7 +8,7 @@
 use sassafrasgap::admission::CallOutcome;
 use sassafrasgap::admission::Completion;
 use sassafrasgap::admission::Offer;
-use sassafrasgap::admission::QueuedCall;
+use sassafrasgap::admission::OfferedCall;
 use sassafrasgap::core::Priority;
 use sassafrasgap::core::TimeMs;
 
@@ -74,7 +74,7 @@
         if class == 0 {
             self.important.push(ticket);
         }
-        let call = QueuedCall {
+        let call = OfferedCall {
             ticket,
             priority: Priority::new(class, self.rng.u16(..)),
             depth: 1,
--- a/tests/admission_guard.rs
+++ b/tests/admission_guard.rs
@@ -4,7 +4,7 @@
 use sassafrasgap::admission::Admission;
 use sassafrasgap::admission::AdmissionConf;
 use sassafrasgap::admission::Offer;
-use sassafrasgap::admission::QueuedCall;
+use sassafrasgap::admission::OfferedCall;
 use sassafrasgap::core::Priority;
 use sassafrasgap::core::RefusalReason;
 use sassafrasgap::core::TimeMs;
@@ -12,8 +12,8 @@
 const NOW: TimeMs = TimeMs(10_000);
 const WAIT_MS: u32 = 200;
 
-fn call(ticket: u64, class: u8) -> QueuedCall {
-    QueuedCall {
+fn call(ticket: u64, class: u8) -> OfferedCall {
+    OfferedCall {
         ticket,
         priority: Priority::new(class, ticket as u16),
         depth: 0,
--- a/tests/admission_invariants.rs
+++ b/tests/admission_invariants.rs
@@ -11,7 +11,7 @@
 use sassafrasgap::admission::CallOutcome;
 use sassafrasgap::admission::Completion;
 use sassafrasgap::admission::Offer;
-use sassafrasgap::admission::QueuedCall;
+use sassafrasgap::admission::OfferedCall;
 use sassafrasgap::core::Priority;
 use sassafrasgap::core::TimeMs;
 
@@ -60,7 +60,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    Waiting(QueuedCall, TimeMs),
+    Waiting(OfferedCall, TimeMs),
     Running,
     Refused,
     Ended,
@@ -114,7 +114,7 @@
     }
 
     /// A started call must not be less important than one that still waits.
-    fn assert_order(&self, actions: &[Action], calls: &HashMap<u64, QueuedCall>) {
+    fn assert_order(&self, actions: &[Action], calls: &HashMap<u64, OfferedCall>) {
         let started = actions.iter().filter_map(|action| match action {
             Action::Start(ticket) => Some(calls[ticket].priority.class()),
             Action::Refuse(..) => None,
@@ -155,7 +155,7 @@
             let running_before = model.count(|state| *state == State::Running);
             match event {
                 Event::Offer { class, rank, depth, wait_ms, deadline_ms } => {
-                    let call = QueuedCall {
+                    let call = OfferedCall {
                         ticket,
                         priority: Priority::new(class, rank),
                         depth,
--- a/tests/admission_rate_limit.rs
+++ b/tests/admission_rate_limit.rs
@@ -12,7 +12,7 @@
 use sassafrasgap::admission::CallOutcome;
 use sassafrasgap::admission::Completion;
 use sassafrasgap::admission::Offer;
-use sassafrasgap::admission::QueuedCall;
+use sassafrasgap::admission::OfferedCall;
 use sassafrasgap::core::Priority;
 use sassafrasgap::core::Refusal;
 use sassafrasgap::core::RefusalReason;
@@ -38,8 +38,8 @@
     admission
 }
 
-fn call(ticket: u64, class: u8, now: TimeMs) -> QueuedCall {
-    QueuedCall {
+fn call(ticket: u64, class: u8, now: TimeMs) -> OfferedCall {
+    OfferedCall {
         ticket,
         priority: Priority::new(class, 0),
         depth: 0,
@@ -281,7 +281,7 @@
     assert_eq!(admission.offer(START, call(2, 1, START)), Offer::Wait);
     admission.complete(START, 1, RAN);
     // A slot is free, and the first queued call waits for the next poll.
-    let hurried = QueuedCall {
+    let hurried = OfferedCall {
         wait_ms: 0,
         ..call(3, 2, START + 1)
     };
--- a/tests/fake_chain/chain.rs
+++ b/tests/fake_chain/chain.rs
@@ -16,7 +16,7 @@
 use sassafrasgap::admission::Dependencies;
 use sassafrasgap::admission::Levels;
 use sassafrasgap::admission::Offer;
-use sassafrasgap::admission::QueuedCall;
+use sassafrasgap::admission::OfferedCall;
 use sassafrasgap::core::Name;
 use sassafrasgap::core::Priority;
 use sassafrasgap::core::TimeMs;
@@ -300,7 +300,7 @@
         }
         let offer = node.guard.offer(
             now,
-            QueuedCall {
+            OfferedCall {
                 ticket: index as u64,
                 priority,
                 depth: service as u8,
--- a/tests/traffic_rate_fleet.rs
+++ b/tests/traffic_rate_fleet.rs
@@ -11,7 +11,7 @@
 use sassafrasgap::admission::CallOutcome;
 use sassafrasgap::admission::Completion;
 use sassafrasgap::admission::Offer;
-use sassafrasgap::admission::QueuedCall;
+use sassafrasgap::admission::OfferedCall;
 use sassafrasgap::core::Name;
 use sassafrasgap::core::Priority;
 use sassafrasgap::core::TimeMs;
@@ -177,7 +177,7 @@
         }
         self.next_ticket += 1;
         let ticket = self.next_ticket;
-        let call = QueuedCall {
+        let call = OfferedCall {
             ticket,
             priority: Priority::new(1, 0),
             depth: 0,
