--- a/src/admission/admission.rs
+++ b/src/admission/admission.rs
@@ -6,7 +6,7 @@
 use crate::admission::AdmissionConf;
 use crate::admission::CallOutcome;
 use crate::admission::Completion;
-use crate::admission::Offer;
+use crate::admission::OfferDecision;
 use crate::admission::OfferedCall;
 use crate::admission::TokenBucket;
 use crate::admission::arrival_ratio::ArrivalRatio;
@@ -48,7 +48,7 @@
 
 /// The calls that run at the local backend server and the calls that wait for it.
 ///
-/// Every ticket gets exactly one decision. It runs ([`Offer::Run`] or [`Action::Start`]) or it is
+/// Every ticket gets exactly one decision. It runs ([`OfferDecision::Run`] or [`Action::Start`]) or it is
 /// refused. The number of running calls never exceeds the limit at the time a call starts.
 #[derive(Clone, Debug)]
 pub struct Admission {
@@ -97,23 +97,23 @@
 
     /// Decides about a call that has just arrived. If the call has to wait, [`Self::poll`] must be
     /// called at once, because a less important call may have been evicted for it.
-    pub fn offer(&mut self, now: TimeMs, call: OfferedCall) -> Offer {
+    pub fn offer(&mut self, now: TimeMs, call: OfferedCall) -> OfferDecision {
         self.level.note_offer(call.priority);
         self.arrival_ratio.arrive(now);
         self.latency_limit.note_objective(call.due.since(now));
         self.refill(now);
         if !self.deadline_can_be_met(&call, now) {
-            return Offer::Refuse(self.refusal(RefusalReason::DeadlineExceeded, now));
+            return OfferDecision::Refuse(self.refusal(RefusalReason::DeadlineExceeded, now));
         }
         let is_first = self.queue.would_be_first(&call);
         if self.has_room() && is_first {
             self.start(call.ticket, call.priority, true);
-            return Offer::Run;
+            return OfferDecision::Run;
         }
         if self.is_limited_by_rate() {
             let ahead = if is_first { 0 } else { self.queue.len() };
             if !self.gets_token_in_time(&call, ahead, now) {
-                return Offer::Refuse(self.rate_limit_refusal());
+                return OfferDecision::Refuse(self.rate_limit_refusal());
             }
         } else {
             self.limit.note_full();
@@ -121,12 +121,12 @@
         }
         if self.queue.len() >= self.queue_bound() {
             if !self.queue.outranks_last(&call) {
-                return Offer::Refuse(self.queue_full_refusal(now));
+                return OfferDecision::Refuse(self.queue_full_refusal(now));
             }
             self.evict_last(now);
         }
         self.queue.push(call, now);
-        Offer::Wait
+        OfferDecision::Wait
     }
 
     /// Records the end of a call that ran. [`Self::poll`] must be called after it. An unknown
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -34,7 +34,7 @@
 pub use offered_call::Action;
 pub use offered_call::CallOutcome;
 pub use offered_call::Completion;
-pub use offered_call::Offer;
+pub use offered_call::OfferDecision;
 pub use offered_call::OfferedCall;
 pub use origins_by_domain::CallingServices;
 pub use origins_by_domain::ObservedCall;
--- a/src/admission/offered_call.rs
+++ b/src/admission/offered_call.rs
@@ -23,7 +23,7 @@
 
 /// The immediate decision about an offered call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offer {
+pub enum OfferDecision {
     /// The call counts as running from now on and must be sent to the backend server.
     Run,
     /// The call waits; a later [`Action`] decides.
--- a/src/node/gate.rs
+++ b/src/node/gate.rs
@@ -11,7 +11,7 @@
 use crate::admission::Admission;
 use crate::admission::AdmissionConf;
 use crate::admission::Completion;
-use crate::admission::Offer;
+use crate::admission::OfferDecision;
 use crate::admission::OfferedCall;
 use crate::core::Clock;
 use crate::core::FastMap;
@@ -85,9 +85,9 @@
                 return Ok(self.permit(&mut state, call.ticket));
             }
             match state.admission.offer(self.clock.now(), call) {
-                Offer::Run => return Ok(self.permit(&mut state, call.ticket)),
-                Offer::Refuse(refusal) => return Err(refusal),
-                Offer::Wait => {}
+                OfferDecision::Run => return Ok(self.permit(&mut state, call.ticket)),
+                OfferDecision::Refuse(refusal) => return Err(refusal),
+                OfferDecision::Wait => {}
             }
             let (tell, told) = oneshot::channel();
             let class = call.priority.class();
--- a/tests/admission_classes.rs
+++ b/tests/admission_classes.rs
@@ -7,7 +7,7 @@
 use sassafrasgap::admission::AdmissionConf;
 use sassafrasgap::admission::CallOutcome;
 use sassafrasgap::admission::Completion;
-use sassafrasgap::admission::Offer;
+use sassafrasgap::admission::OfferDecision;
 use sassafrasgap::admission::OfferedCall;
 use sassafrasgap::core::Priority;
 use sassafrasgap::core::TimeMs;
@@ -83,9 +83,9 @@
             deadline: TimeMs(now + 5_000),
         };
         match self.admission.offer(TimeMs(now), call) {
-            Offer::Run => self.start(now, ticket),
-            Offer::Wait => {}
-            Offer::Refuse(_) => self.refused(ticket),
+            OfferDecision::Run => self.start(now, ticket),
+            OfferDecision::Wait => {}
+            OfferDecision::Refuse(_) => self.refused(ticket),
         }
     }
 
--- a/tests/admission_guard.rs
+++ b/tests/admission_guard.rs
@@ -3,7 +3,7 @@
 use sassafrasgap::admission::Action;
 use sassafrasgap::admission::Admission;
 use sassafrasgap::admission::AdmissionConf;
-use sassafrasgap::admission::Offer;
+use sassafrasgap::admission::OfferDecision;
 use sassafrasgap::admission::OfferedCall;
 use sassafrasgap::core::Priority;
 use sassafrasgap::core::RefusalReason;
@@ -34,9 +34,9 @@
     };
     let mut guard = Admission::new(conf, 7);
     guard.set_slots(1);
-    assert_eq!(guard.offer(NOW, call(0, 2)), Offer::Run);
-    assert_eq!(guard.offer(NOW, call(1, 2)), Offer::Wait);
-    assert_eq!(guard.offer(NOW, call(2, 2)), Offer::Wait);
+    assert_eq!(guard.offer(NOW, call(0, 2)), OfferDecision::Run);
+    assert_eq!(guard.offer(NOW, call(1, 2)), OfferDecision::Wait);
+    assert_eq!(guard.offer(NOW, call(2, 2)), OfferDecision::Wait);
     guard
 }
 
@@ -45,7 +45,7 @@
 #[test]
 fn a_more_important_call_takes_the_place_of_the_least_important() {
     let mut guard = full_guard();
-    assert_eq!(guard.offer(NOW, call(3, 0)), Offer::Wait);
+    assert_eq!(guard.offer(NOW, call(3, 0)), OfferDecision::Wait);
     let actions = guard.poll(NOW);
     let [Action::Refuse(2, refusal)] = actions[..] else {
         panic!("{actions:?}");
@@ -56,7 +56,10 @@
 #[test]
 fn a_less_important_call_is_refused_at_once_when_the_queue_is_full() {
     let mut guard = full_guard();
-    assert!(matches!(guard.offer(NOW, call(3, 3)), Offer::Refuse(_)));
+    assert!(matches!(
+        guard.offer(NOW, call(3, 3)),
+        OfferDecision::Refuse(_)
+    ));
     assert!(guard.poll(NOW).is_empty());
 }
 
@@ -89,9 +92,9 @@
     };
     let mut guard = Admission::new(conf, 7);
     guard.set_slots(1);
-    assert_eq!(guard.offer(NOW, call(0, 2)), Offer::Run);
-    assert_eq!(guard.offer(NOW, call(1, 0)), Offer::Wait);
+    assert_eq!(guard.offer(NOW, call(0, 2)), OfferDecision::Run);
+    assert_eq!(guard.offer(NOW, call(1, 0)), OfferDecision::Wait);
     guard.set_slots(8);
-    assert_eq!(guard.offer(NOW, call(2, 3)), Offer::Wait);
+    assert_eq!(guard.offer(NOW, call(2, 3)), OfferDecision::Wait);
     assert_eq!(guard.poll(NOW)[0], Action::Start(1));
 }
--- a/tests/admission_invariants.rs
+++ b/tests/admission_invariants.rs
@@ -10,7 +10,7 @@
 use sassafrasgap::admission::AdmissionConf;
 use sassafrasgap::admission::CallOutcome;
 use sassafrasgap::admission::Completion;
-use sassafrasgap::admission::Offer;
+use sassafrasgap::admission::OfferDecision;
 use sassafrasgap::admission::OfferedCall;
 use sassafrasgap::core::Priority;
 use sassafrasgap::core::TimeMs;
@@ -165,12 +165,12 @@
                     };
                     calls.insert(ticket, call);
                     let state = match admission.offer(now, call) {
-                        Offer::Run => {
+                        OfferDecision::Run => {
                             prop_assert!(running_before < limit_before);
                             State::Running
                         }
-                        Offer::Wait => State::Waiting(call, now),
-                        Offer::Refuse(_) => State::Refused,
+                        OfferDecision::Wait => State::Waiting(call, now),
+                        OfferDecision::Refuse(_) => State::Refused,
                     };
                     model.states.insert(ticket, state);
                 }
--- a/tests/admission_rate_limit.rs
+++ b/tests/admission_rate_limit.rs
@@ -11,7 +11,7 @@
 use sassafrasgap::admission::AdmissionConf;
 use sassafrasgap::admission::CallOutcome;
 use sassafrasgap::admission::Completion;
-use sassafrasgap::admission::Offer;
+use sassafrasgap::admission::OfferDecision;
 use sassafrasgap::admission::OfferedCall;
 use sassafrasgap::core::Priority;
 use sassafrasgap::core::Refusal;
@@ -79,9 +79,9 @@
         self.next_ticket += 1;
         let ticket = self.next_ticket;
         match self.admission.offer(now, call(ticket, 1, now)) {
-            Offer::Run => self.start(now, ticket),
-            Offer::Refuse(refusal) => self.refused.push(refusal),
-            Offer::Wait => {}
+            OfferDecision::Run => self.start(now, ticket),
+            OfferDecision::Refuse(refusal) => self.refused.push(refusal),
+            OfferDecision::Wait => {}
         }
     }
 
@@ -211,12 +211,15 @@
 fn a_call_retried_after_the_given_time_finds_a_token() {
     let mut admission = admission();
     admission.set_rate(START, Some(2.0));
-    let Offer::Refuse(refusal) = admission.offer(START, call(1, 1, START)) else {
+    let OfferDecision::Refuse(refusal) = admission.offer(START, call(1, 1, START)) else {
         panic!("an empty bucket let a call through");
     };
     assert_eq!(refusal.reason, RefusalReason::RateLimited);
     let later = START + refusal.retry_after_ms;
-    assert_eq!(admission.offer(later, call(2, 1, later)), Offer::Run);
+    assert_eq!(
+        admission.offer(later, call(2, 1, later)),
+        OfferDecision::Run
+    );
 }
 
 /// Guards against calls that were queued for slots when the rate was first advertised, and then
@@ -225,9 +228,15 @@
 fn queued_calls_beyond_a_new_rate_are_refused() {
     let mut admission = admission();
     admission.set_slots(1);
-    assert_eq!(admission.offer(START, call(1, 1, START)), Offer::Run);
+    assert_eq!(
+        admission.offer(START, call(1, 1, START)),
+        OfferDecision::Run
+    );
     for ticket in 2..20 {
-        assert_eq!(admission.offer(START, call(ticket, 1, START)), Offer::Wait);
+        assert_eq!(
+            admission.offer(START, call(ticket, 1, START)),
+            OfferDecision::Wait
+        );
     }
     admission.set_rate(START, Some(10.0));
     let refused = admission.poll(START).len();
@@ -241,12 +250,15 @@
     admission.set_rate(START, Some(1.0));
     assert!(matches!(
         admission.offer(START, call(1, 1, START)),
-        Offer::Refuse(_)
+        OfferDecision::Refuse(_)
     ));
     assert_eq!(admission.rate_limited_calls(), 1);
     admission.set_rate(START, None);
     for ticket in 2..50 {
-        assert_eq!(admission.offer(START, call(ticket, 1, START)), Offer::Run);
+        assert_eq!(
+            admission.offer(START, call(ticket, 1, START)),
+            OfferDecision::Run
+        );
     }
 }
 
@@ -277,14 +289,20 @@
 fn without_a_rate_no_call_is_refused_for_it() {
     let mut admission = admission();
     admission.set_slots(1);
-    assert_eq!(admission.offer(START, call(1, 1, START)), Offer::Run);
-    assert_eq!(admission.offer(START, call(2, 1, START)), Offer::Wait);
+    assert_eq!(
+        admission.offer(START, call(1, 1, START)),
+        OfferDecision::Run
+    );
+    assert_eq!(
+        admission.offer(START, call(2, 1, START)),
+        OfferDecision::Wait
+    );
     admission.complete(START, 1, RAN);
     // A slot is free, and the first queued call waits for the next poll.
     let hurried = OfferedCall {
         wait_ms: 0,
         ..call(3, 2, START + 1)
     };
-    assert_eq!(admission.offer(START, hurried), Offer::Wait);
+    assert_eq!(admission.offer(START, hurried), OfferDecision::Wait);
     assert_eq!(admission.rate_limited_calls(), 0);
 }
--- a/tests/fake_chain/chain.rs
+++ b/tests/fake_chain/chain.rs
@@ -15,7 +15,7 @@
 use sassafrasgap::admission::CallOutcome;
 use sassafrasgap::admission::Dependencies;
 use sassafrasgap::admission::Levels;
-use sassafrasgap::admission::Offer;
+use sassafrasgap::admission::OfferDecision;
 use sassafrasgap::admission::OfferedCall;
 use sassafrasgap::core::Name;
 use sassafrasgap::core::Priority;
@@ -310,9 +310,9 @@
             },
         );
         match offer {
-            Offer::Run => self.start(index),
-            Offer::Wait => self.poll(service, target),
-            Offer::Refuse(refusal) => self.refuse(index, refusal.retry_after_ms),
+            OfferDecision::Run => self.start(index),
+            OfferDecision::Wait => self.poll(service, target),
+            OfferDecision::Refuse(refusal) => self.refuse(index, refusal.retry_after_ms),
         }
     }
 
--- a/tests/traffic_rate_fleet.rs
+++ b/tests/traffic_rate_fleet.rs
@@ -10,7 +10,7 @@
 use sassafrasgap::admission::AdvertisedRate;
 use sassafrasgap::admission::CallOutcome;
 use sassafrasgap::admission::Completion;
-use sassafrasgap::admission::Offer;
+use sassafrasgap::admission::OfferDecision;
 use sassafrasgap::admission::OfferedCall;
 use sassafrasgap::core::Name;
 use sassafrasgap::core::Priority;
@@ -186,14 +186,14 @@
             deadline: now + 3_000,
         };
         match self.guard.admission.offer(now, call) {
-            Offer::Run => {
+            OfferDecision::Run => {
                 self.guard.calls.insert(ticket, (entry, None));
                 self.start(ticket);
             }
-            Offer::Wait => {
+            OfferDecision::Wait => {
                 self.guard.calls.insert(ticket, (entry, None));
             }
-            Offer::Refuse(_) => {
+            OfferDecision::Refuse(_) => {
                 let word = self.guard.local.word();
                 self.at(WAY_MS, Event::Returns(entry, word, false));
             }
