--- a/src/node/keyed_forward.rs
+++ b/src/node/keyed_forward.rs
@@ -215,7 +215,7 @@
     let hint = node.slot_router().route(&call.service, key);
     call.owner_stamp = hint.as_ref().map_or(0, |hint| hint.stamp);
     let Some(hint) = hint else {
-        return choose(node, call, &search.asked()).or_else(|| choose(node, call, &[]));
+        return choose(node, call, &search.tried()).or_else(|| choose(node, call, &[]));
     };
     if !search.may_be_owner(&hint.node) {
         return None;
@@ -232,7 +232,7 @@
             // Another guard knows of a take-over; if it names the same owner, that is the end.
             node.slot_router().forget(&call.service, key);
             search.note_unreachable(hint.node);
-            choose(node, call, &search.asked())
+            choose(node, call, &search.tried())
         }
     }
 }
--- a/src/routing/owner_search.rs
+++ b/src/routing/owner_search.rs
@@ -31,7 +31,7 @@
     }
 
     /// All targets asked without success. While no owner is named, others are tried first.
-    pub fn asked(&self) -> Vec<Name> {
+    pub fn tried(&self) -> Vec<Name> {
         self.unreachable
             .iter()
             .chain(&self.without_owner)
--- a/tests/routing_owner_search.rs
+++ b/tests/routing_owner_search.rs
@@ -16,5 +16,5 @@
     search.note_unreachable(gone.clone());
     assert!(search.may_be_owner(&next));
     assert!(!search.may_be_owner(&gone));
-    assert_eq!(search.asked(), [gone, next]);
+    assert_eq!(search.tried(), [gone, next]);
 }
