--- a/src/admission/admission.rs
+++ b/src/admission/admission.rs
@@ -28,7 +28,7 @@
 const MIN_RETRY_AFTER_MS: u64 = 50;
 const MAX_RETRY_AFTER_MS: u64 = 5_000;
 
-/// A trial of the limit is abandoned when a call has waited for this long while less important
+/// A trial of a lower limit is abandoned when a call has waited for this long while less important
 /// calls wait as well. A trial may delay only the least important calls.
 const MAX_WAIT_DURING_TRIAL_MS: u64 = 50;
 
@@ -48,8 +48,9 @@
 
 /// The calls that run at the local backend server and the calls that wait for it.
 ///
-/// Every ticket gets exactly one decision. It runs ([`OfferDecision::Run`] or [`Action::Start`]) or it is
-/// refused. The number of running calls never exceeds the limit at the time a call starts.
+/// Every ticket gets exactly one decision, unless it is cancelled while it waits. It runs
+/// ([`OfferDecision::Run`] or [`Action::Start`]) or it is refused. The number of running calls
+/// never exceeds the limit at the time a call starts.
 #[derive(Clone, Debug)]
 pub struct Admission {
     conf: AdmissionConf,
@@ -99,7 +100,7 @@
     /// called at once, because a less important call may have been evicted for it.
     pub fn offer(&mut self, now: TimeMs, call: OfferedCall) -> OfferDecision {
         self.level.note_offer(call.priority);
-        self.arrival_ratio.arrive(now);
+        self.arrival_ratio.note_arrival(now);
         self.latency_limit.note_objective(call.due.since(now));
         self.refill(now);
         if !self.deadline_can_be_met(&call, now) {
@@ -136,7 +137,7 @@
             return;
         };
         self.drain_rate.note(now);
-        self.arrival_ratio.end(now);
+        self.arrival_ratio.note_completion(now);
         self.limit.note(&completion, now);
         if completion.outcome == CallOutcome::Ok {
             let cap = self.limit.get();
@@ -213,13 +214,13 @@
     pub fn pressure_permille(&self) -> u32 {
         let limit = u64::from(self.limit().max(1));
         let wait_us = self.wait_us();
-        let mut taken = self.running.len() as u64 * 1_000 / limit;
-        taken = taken.max(self.rate.map_or(0, |rate| rate.taken_permille()));
+        let mut utilization = self.running.len() as u64 * 1_000 / limit;
+        utilization = utilization.max(self.rate.map_or(0, |rate| rate.taken_permille()));
         if self.queue.len() as u64 > u64::from(self.usable_limit()) / PERSISTENT_QUEUE_PART {
-            taken = (taken as f32 * self.arrival_ratio.ratio()) as u64;
+            utilization = (utilization as f32 * self.arrival_ratio.ratio()) as u64;
         }
-        let waiting = wait_us / FULL_WAIT_MS;
-        u32::try_from(taken + waiting).map_or(MAX_PRESSURE_PERMILLE, |permille| {
+        let queueing = wait_us / FULL_WAIT_MS;
+        u32::try_from(utilization + queueing).map_or(MAX_PRESSURE_PERMILLE, |permille| {
             permille.min(MAX_PRESSURE_PERMILLE)
         })
     }
@@ -376,7 +377,7 @@
         }
     }
 
-    /// A refusal whose Retry-After is the time at which the rate has admitted the calls that wait
+    /// A refusal whose Retry-After is the time that the rate needs to admit the calls that wait
     /// now, plus a jitter of up to half. Without the jitter, calls refused together would be
     /// retried together.
     fn rate_limit_refusal(&mut self) -> Refusal {
@@ -388,8 +389,9 @@
         Refusal::not_run(RefusalReason::RateLimited, jittered_ms)
     }
 
-    /// A refusal whose Retry-After is the time in which the queue drains, with a jitter of half
-    /// either way. Without the jitter, calls refused together would be retried together.
+    /// A refusal whose Retry-After is the time in which the queue drains, with a jitter of up to
+    /// half of it in either direction. Without the jitter, calls refused together would be retried
+    /// together.
     fn refusal(&mut self, reason: RefusalReason, now: TimeMs) -> Refusal {
         let ahead = self.queue.len() as u64 + 1;
         let drained_ms = self.drain_rate.time_for_ms(ahead, now);
--- a/src/admission/arrival_ratio.rs
+++ b/src/admission/arrival_ratio.rs
@@ -10,34 +10,35 @@
 const MIN_RATIO: f32 = 0.2;
 const MAX_RATIO: f32 = 3.0;
 
-/// Arrivals and completions, counted over short spans and smoothed.
+/// Arrivals and completions of calls, counted over short spans and smoothed.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ArrivalRatio {
     since: TimeMs,
     arrived: u32,
-    ended: u32,
-    arriving: f32,
-    ending: f32,
+    completed: u32,
+    /// Smoothed over the earlier spans.
+    arrivals_per_span: f32,
+    completions_per_span: f32,
 }
 
 impl ArrivalRatio {
-    pub fn arrive(&mut self, now: TimeMs) {
+    pub fn note_arrival(&mut self, now: TimeMs) {
         self.roll(now);
         self.arrived += 1;
     }
 
-    pub fn end(&mut self, now: TimeMs) {
+    pub fn note_completion(&mut self, now: TimeMs) {
         self.roll(now);
-        self.ended += 1;
+        self.completed += 1;
     }
 
     /// Arrivals per completion. While calls are always queued, this is the ratio of demand to
     /// capacity.
     pub fn ratio(&self) -> f32 {
-        if self.ending < 1.0 {
+        if self.completions_per_span < 1.0 {
             return 1.0;
         }
-        (self.arriving / self.ending).clamp(MIN_RATIO, MAX_RATIO)
+        (self.arrivals_per_span / self.completions_per_span).clamp(MIN_RATIO, MAX_RATIO)
     }
 
     fn roll(&mut self, now: TimeMs) {
@@ -47,10 +48,12 @@
         }
         let spans = span_ms as f32 / SPAN_MS as f32;
         let kept = (1.0 - WEIGHT).powf(spans);
-        self.arriving = self.arriving * kept + self.arrived as f32 / spans * (1.0 - kept);
-        self.ending = self.ending * kept + self.ended as f32 / spans * (1.0 - kept);
+        self.arrivals_per_span =
+            self.arrivals_per_span * kept + self.arrived as f32 / spans * (1.0 - kept);
+        self.completions_per_span =
+            self.completions_per_span * kept + self.completed as f32 / spans * (1.0 - kept);
         self.arrived = 0;
-        self.ended = 0;
+        self.completed = 0;
         self.since = now;
     }
 }
--- a/src/admission/concurrency_limit.rs
+++ b/src/admission/concurrency_limit.rs
@@ -6,7 +6,8 @@
 use crate::admission::Completion;
 use crate::core::TimeMs;
 
-/// A trial is started when the own service time exceeds this percentage of its baseline.
+/// A trial is started when the own service time exceeds this percentage of its baseline. The own
+/// service time leaves out the time in which child calls are outstanding.
 const SLOW_PERCENT: u64 = 150;
 /// The limit may rise while the own service time is at most this percentage of its baseline.
 const RAISE_MAX_PERCENT: u64 = 125;
@@ -21,16 +22,17 @@
 const INITIAL_CAP_PART: u32 = 4;
 /// A window needs this many calls while the limit is first being found.
 const MIN_STARTUP_SAMPLES: u64 = 4;
-/// The baseline of a trial needs this many calls.
-const MIN_BASELINE_SAMPLES: u64 = 80;
+/// The throughput before a trial is measured over at least this many calls.
+const MIN_SAMPLES_BEFORE_TRIAL: u64 = 80;
 /// A trial that shows a lower throughput needs this many calls. It costs goodput while it lasts.
 const MIN_SAMPLES_TO_RESTORE: u64 = 40;
 /// A trial that shows an unchanged throughput needs this many calls. It costs nothing, but lowering
 /// the limit by mistake would.
 const MIN_SAMPLES_TO_LOWER: u64 = 160;
-/// How often the limit is raised a little in two cases: after the backend server has shed calls,
-/// when the limit stays below the point where shedding began, and while calls wait only at times,
-/// so that no trial is possible. A limit that was lowered by mistake recovers in this way.
+/// How often the limit is raised a little while it would otherwise stay where it is. One case is a
+/// limit just below the point where the backend server shed calls. The other is a slow backend
+/// server for which calls wait only at times, so that no trial is possible. A limit that was
+/// lowered by mistake recovers in this way.
 const PROBE_INTERVAL_MS: u64 = 1_000;
 /// The limit is raised by one part in this.
 const PROBE_PART: u32 = 20;
@@ -68,8 +70,8 @@
 /// The state before a trial, with which its result is compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Trial {
-    baseline_limit: u32,
-    baseline_per_second: u64,
+    limit_before: u32,
+    per_second_before: u64,
 }
 
 /// The state of the limit's adaptation.
@@ -78,7 +80,7 @@
     /// The own service time is close to its baseline.
     Steady,
     /// The own service time is long. The throughput under the current limit is being measured.
-    MeasuringBaseline,
+    MeasuringCurrent,
     /// The limit has been lowered. Calls started under the old limit are being completed.
     Draining(Trial),
     /// The throughput under the lowered limit is being measured.
@@ -88,12 +90,12 @@
 /// A concurrency limit that rises while service times are ordinary, and falls when a trial shows
 /// that a lower limit gives the same throughput.
 ///
-/// Guards against two failures that both increase the service time. A backend server that is given
-/// more calls than it can run queues the rest inside, where nothing orders or refuses them. A
-/// backend server that has become slow needs every slot. A limit that follows the service time
-/// alone turns the second failure into an outage. The limit is therefore lowered for a short trial.
-/// If the throughput stays the same, calls were queued inside. If it falls as well, the longer
-/// service time becomes the new baseline.
+/// Guards against two failures that look alike, because both increase the service time. In the
+/// first, a backend server is given more calls than it can run and queues the rest inside, where
+/// nothing orders or refuses them. In the second, a backend server has become slow and needs every
+/// slot. A limit that follows the service time alone turns the second failure into an outage. The
+/// limit is therefore lowered for a short trial. If the throughput stays the same, calls were
+/// queued inside. If it falls as well, the longer service time becomes the new baseline.
 #[derive(Clone, Debug)]
 pub(super) struct ConcurrencyLimit {
     limit: u32,
@@ -104,11 +106,17 @@
     window: SampleWindow,
     trial: SampleWindow,
     phase: Phase,
+    /// The usual own service time; 0 before the first window.
     baseline_us: u64,
+    /// The limit is first being found. It doubles in each window in which calls waited for room.
     starting: bool,
+    /// A call had to wait for room in this window.
     was_full: bool,
+    /// Calls shed by the backend server in this window.
     sheds: u64,
+    /// The limit after calls were last shed, raised by each probe. Only probes go beyond it.
     shed_limit: u32,
+    /// When the limit was last raised by a probe, or lowered after calls were shed.
     probed_at: TimeMs,
 }
 
@@ -153,7 +161,7 @@
     pub fn abandon_trial(&mut self) {
         if let Phase::Draining(trial) | Phase::MeasuringLowered(trial) = self.phase {
             self.phase = Phase::Steady;
-            self.limit = trial.baseline_limit.min(self.cap);
+            self.limit = trial.limit_before.min(self.cap);
         }
     }
 
@@ -220,7 +228,7 @@
         }
         match self.phase {
             Phase::Steady => self.steady(mean_us, now),
-            Phase::MeasuringBaseline => self.measure_baseline(mean_us, now),
+            Phase::MeasuringCurrent => self.measure_current(mean_us, now),
             Phase::Draining(trial) => self.wait_for_drain(trial, now),
             Phase::MeasuringLowered(trial) => self.evaluate(trial, now),
         }
@@ -231,7 +239,7 @@
         if percent > SLOW_PERCENT {
             self.starting = false;
             if self.was_full {
-                self.phase = Phase::MeasuringBaseline;
+                self.phase = Phase::MeasuringCurrent;
                 self.trial = SampleWindow::new(now);
             }
             return;
@@ -269,7 +277,7 @@
         self.probed_at = now;
     }
 
-    fn measure_baseline(&mut self, mean_us: u64, now: TimeMs) {
+    fn measure_current(&mut self, mean_us: u64, now: TimeMs) {
         if mean_us * 100 / self.baseline_us <= SLOW_PERCENT {
             self.phase = Phase::Steady;
             return;
@@ -279,12 +287,12 @@
             self.probe_higher(now);
             return;
         }
-        if self.trial.samples < MIN_BASELINE_SAMPLES {
+        if self.trial.samples < MIN_SAMPLES_BEFORE_TRIAL {
             return;
         }
         self.phase = Phase::Draining(Trial {
-            baseline_limit: self.limit,
-            baseline_per_second: self.trial.per_second(now),
+            limit_before: self.limit,
+            per_second_before: self.trial.per_second(now),
         });
         // Rounded up, so that a trial takes one of 4 slots and not two.
         let lowered = (self.limit * TRIAL_PERCENT).div_ceil(100);
@@ -293,7 +301,7 @@
     }
 
     fn wait_for_drain(&mut self, trial: Trial, now: TimeMs) {
-        if self.trial.samples >= u64::from(trial.baseline_limit) {
+        if self.trial.samples >= u64::from(trial.limit_before) {
             self.phase = Phase::MeasuringLowered(trial);
             self.trial = SampleWindow::new(now);
         }
@@ -301,7 +309,7 @@
 
     fn evaluate(&mut self, trial: Trial, now: TimeMs) {
         let per_second = self.trial.per_second(now);
-        let same = per_second * 100 >= trial.baseline_per_second * UNCHANGED_PERCENT;
+        let same = per_second * 100 >= trial.per_second_before * UNCHANGED_PERCENT;
         let needed = if same {
             MIN_SAMPLES_TO_LOWER
         } else {
@@ -314,7 +322,7 @@
         if self.trial.full && same {
             return;
         }
-        self.limit = trial.baseline_limit;
+        self.limit = trial.limit_before;
         if self.trial.full {
             self.baseline_us = self.trial.mean_us();
         }
--- a/src/admission/dependencies.rs
+++ b/src/admission/dependencies.rs
@@ -8,9 +8,9 @@
 
 /// A dependency that has not been used for this long is ignored.
 const FORGET_AFTER_MS: u64 = 10_000;
-/// The most routes that are tracked.
+/// The most routes that are tracked. Beyond it, unused ones are evicted, or all if none is unused.
 const MAX_ROUTES: usize = 512;
-/// The most child services and routes that are tracked per route.
+/// The most child services and routes that are tracked per route. Further ones are ignored.
 const MAX_CHILDREN: usize = 32;
 
 #[derive(Clone, Debug)]
@@ -54,8 +54,8 @@
         }
     }
 
-    /// The level to piggyback on an answer to a call on `route`: the guard's own level, or that of
-    /// a downstream service if it is lower.
+    /// The level to piggyback on an answer to a call on `route`: the strictest of the guard's own
+    /// level and those of the downstream services.
     pub fn level(&self, now: TimeMs, route: &str, own: Priority, levels: &Levels) -> Priority {
         let children = self.children.get(route).map_or(&[][..], Vec::as_slice);
         children
--- a/src/admission/event_interval.rs
+++ b/src/admission/event_interval.rs
@@ -5,9 +5,9 @@
 /// The smoothed interval between events of one kind.
 ///
 /// Guards against fixed time-outs that suit only busy entries. With hundreds of nodes an entry sees
-/// a few requests per second, and most windows bring no report at all. When that counted as
-/// silence, entries admitted everything while the deep service was full, and its levels were lost
-/// again and again. The length of silence that counts is therefore derived from the usual interval.
+/// a few requests per second, and most windows bring no report at all. When every such window
+/// counted as a missing report, entries admitted everything while the deep service was full, and
+/// its levels were lost again and again. Time-outs are therefore derived from the usual interval.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EventInterval {
     last: TimeMs,
--- a/src/admission/latency_limit.rs
+++ b/src/admission/latency_limit.rs
@@ -8,8 +8,8 @@
 /// The percentage of the latency objective that a run may take. The rest is for the time before and
 /// after it.
 const RUN_PERCENT: u64 = 40;
-/// The most by which the limit is multiplied in one span, in percent.
-const MAX_INCREASE_PERCENT: u64 = 150;
+/// The factor by which the limit is raised in one span, in percent.
+const RAISE_PERCENT: u64 = 150;
 /// The limit never falls below the concurrency limit divided by this. A stall with another cause
 /// must not shut off the backend server.
 const MIN_PART: u32 = 8;
@@ -34,7 +34,7 @@
     limit: u32,
     since: TimeMs,
     ended: u64,
-    run_us: u64,
+    total_run_us: u64,
     was_full: bool,
     objective_ms: u64,
     is_downstream_overloaded: bool,
@@ -46,7 +46,7 @@
             limit: u32::MAX,
             since: TimeMs(0),
             ended: 0,
-            run_us: 0,
+            total_run_us: 0,
             was_full: false,
             objective_ms: 0,
             is_downstream_overloaded: false,
@@ -79,7 +79,7 @@
     /// Records a call that ran to its end. `cap` is the concurrency limit.
     pub fn note_end(&mut self, now: TimeMs, run_us: u64, cap: u32) {
         self.ended += 1;
-        self.run_us += run_us;
+        self.total_run_us += run_us;
         let span_ms = now.since(self.since);
         if span_ms >= SPAN_MS {
             self.roll(now, span_ms, cap);
@@ -87,7 +87,7 @@
     }
 
     fn roll(&mut self, now: TimeMs, span_ms: u64, cap: u32) {
-        let mean_ms = self.run_us / self.ended.max(1) / 1_000;
+        let mean_ms = self.total_run_us / self.ended.max(1) / 1_000;
         let target_ms = (self.objective_ms * RUN_PERCENT / 100).max(1);
         let in_force = self.limit.min(cap);
         if mean_ms > target_ms && self.is_downstream_overloaded {
@@ -96,7 +96,7 @@
             let floor = (cap / MIN_PART).max(1);
             self.limit = lowered.clamp(floor, in_force.max(floor));
         } else if self.was_full || self.limit < cap {
-            let raised = u64::from(in_force) * MAX_INCREASE_PERCENT / 100 + 1;
+            let raised = u64::from(in_force) * RAISE_PERCENT / 100 + 1;
             self.limit = u32::try_from(raised).unwrap_or(u32::MAX);
         }
         if self.limit >= cap {
@@ -104,7 +104,7 @@
         }
         self.since = now;
         self.ended = 0;
-        self.run_us = 0;
+        self.total_run_us = 0;
         self.was_full = false;
     }
 }
--- a/src/admission/level_control.rs
+++ b/src/admission/level_control.rs
@@ -12,7 +12,7 @@
 const BUCKET_BITS: u32 = 8;
 /// The weight of earlier windows in the smoothed demand. The present window has the rest.
 const DEMAND_MEMORY: f32 = 0.7;
-/// The demand admitted after an overload, as a share of the calls that were run.
+/// When the level is lowered, this share of the calls that were run is admitted of the demand.
 const ADMITTED_SHARE: f32 = 1.0;
 /// The level is not lowered for fewer queued calls than this, however slowly they run: they can be
 /// a chance burst.
@@ -24,11 +24,11 @@
 /// The largest such share.
 const MAX_STEP: f32 = 2.0;
 /// There is spare capacity if at least this share of calls was started without waiting.
-const IDLE_START_SHARE: f32 = 0.9;
+const MIN_AT_ONCE_SHARE: f32 = 0.9;
 
-/// A window with fewer starts is extended, because it holds too little data.
+/// A window with fewer starts holds too little data and is extended, up to [`MAX_WINDOWS`].
 const MIN_STARTS: u32 = 12;
-/// The longest window, in ordinary windows.
+/// The longest extended window, in ordinary windows. At 1 no window is extended.
 const MAX_WINDOWS: u64 = 1;
 
 /// Figures of one window.
@@ -48,8 +48,8 @@
 }
 
 /// Counts offered calls by priority, and moves the level so that the admitted calls fit what can be
-/// run. The level falls at once to where the offered calls fit. It rises in steps, which double
-/// only while there is spare capacity.
+/// run. A lower level admits fewer calls. The level falls at once to where the offered calls fit.
+/// It rises in steps, which double only while there is spare capacity.
 #[derive(Clone, Debug)]
 pub(super) struct LevelControl {
     window_ms: u64,
@@ -61,8 +61,9 @@
     window: Window,
     run_per_window: f32,
     /// Buckets below this index are admitted.
-    open: usize,
-    end: usize,
+    admitted_buckets: usize,
+    /// Buckets below this index belong to a class of the preset in force.
+    total_buckets: usize,
     step: f32,
 }
 
@@ -77,29 +78,30 @@
             new_demand: vec![0.0; total],
             window: Window::NEW,
             run_per_window: 0.0,
-            open: total,
-            end: total,
+            admitted_buckets: total,
+            total_buckets: total,
             step: MIN_STEP,
         }
     }
 
     /// Bounds the level by the number of classes of the preset in force.
     pub fn set_classes(&mut self, classes: usize) {
-        let was_open = self.open >= self.end;
-        self.end = classes.clamp(1, CLASSES) * BUCKETS;
-        self.open = if was_open {
-            self.end
+        let admitted_all = self.admitted_buckets >= self.total_buckets;
+        self.total_buckets = classes.clamp(1, CLASSES) * BUCKETS;
+        self.admitted_buckets = if admitted_all {
+            self.total_buckets
         } else {
-            self.open.min(self.end)
+            self.admitted_buckets.min(self.total_buckets)
         };
     }
 
     /// The lowest priority admitted at present.
     pub fn level(&self) -> Priority {
-        if self.open >= self.end {
+        if self.admitted_buckets >= self.total_buckets {
             return Priority::LOWEST;
         }
-        let first_shed = ((self.open / BUCKETS) << 16) | ((self.open % BUCKETS) << BUCKET_BITS);
+        let first_shed = ((self.admitted_buckets / BUCKETS) << 16)
+            | ((self.admitted_buckets % BUCKETS) << BUCKET_BITS);
         Priority((first_shed as u32).saturating_sub(1))
     }
 
@@ -160,18 +162,18 @@
     fn lower(&mut self) {
         let room = self.run_per_window * ADMITTED_SHARE;
         let mut sum = 0.0;
-        let mut open = 0;
-        while open < self.open && sum + self.demand[open] <= room {
-            sum += self.demand[open];
-            open += 1;
+        let mut admitted = 0;
+        while admitted < self.admitted_buckets && sum + self.demand[admitted] <= room {
+            sum += self.demand[admitted];
+            admitted += 1;
         }
-        self.open = open.max(1);
+        self.admitted_buckets = admitted.max(1);
         self.step = MIN_STEP;
     }
 
     fn raise(&mut self) {
         let window = &self.window;
-        let spare = window.at_once as f32 >= window.started as f32 * IDLE_START_SHARE;
+        let spare = window.at_once as f32 >= window.started as f32 * MIN_AT_ONCE_SHARE;
         self.step = if spare {
             (self.step * 2.0).min(MAX_STEP)
         } else {
@@ -180,10 +182,10 @@
         let most_buckets = (self.step * BUCKETS as f32).max(1.0) as usize;
         let added = self.run_per_window * self.step;
         let mut sum = 0.0;
-        let end = self.end.min(self.open + most_buckets);
-        while self.open < end && sum <= added {
-            sum += self.demand[self.open];
-            self.open += 1;
+        let end = self.total_buckets.min(self.admitted_buckets + most_buckets);
+        while self.admitted_buckets < end && sum <= added {
+            sum += self.demand[self.admitted_buckets];
+            self.admitted_buckets += 1;
         }
     }
 }
--- a/src/admission/levels.rs
+++ b/src/admission/levels.rs
@@ -9,7 +9,8 @@
 const FRESH_MS: u64 = 500;
 /// How often one call is sent to probe a route whose calls are all shed.
 const PROBE_INTERVAL_MS: u64 = 1_000;
-/// The most services and routes that are tracked. Beyond it, stale ones are evicted.
+/// The most services and routes that are tracked. Beyond it, stale ones are evicted, or all if none
+/// is stale.
 const MAX_ENTRIES: usize = 4_096;
 
 /// The part of a path by which levels are kept: its first segment. Calls with the same first
@@ -23,7 +24,7 @@
 #[derive(Clone, Copy, Debug)]
 struct KnownLevel {
     level: Priority,
-    at: TimeMs,
+    reported_at: TimeMs,
     probed_at: TimeMs,
 }
 
@@ -44,7 +45,7 @@
     pub fn note(&mut self, now: TimeMs, service: &Name, route: &str, level: Priority) {
         let reported = KnownLevel {
             level,
-            at: now,
+            reported_at: now,
             probed_at: now,
         };
         let routes = self.reported.entry(service.clone()).or_default();
@@ -77,7 +78,7 @@
             .and_then(|routes| routes.get_mut(route));
         match reported {
             Some(reported)
-                if now.since(reported.at.max(reported.probed_at)) > PROBE_INTERVAL_MS =>
+                if now.since(reported.reported_at.max(reported.probed_at)) > PROBE_INTERVAL_MS =>
             {
                 reported.probed_at = now;
                 true
@@ -88,15 +89,15 @@
 
     /// The lowest priority that the service and its downstream services on this route admit.
     ///
-    /// Guards against a class with a route of its own that all nodes admit at once whenever the
-    /// level of the route expires. While the class is shed, no answer renews that level. Recent
-    /// levels of the same service on other routes are used meanwhile. The most lenient one is
+    /// Guards against a class with a route of its own that is admitted by all nodes at once. While
+    /// the class is shed, no answer renews the level of its route, so the level expires. Recent
+    /// levels of the same service on other routes are then used instead. The most lenient one is
     /// taken, because this route's downstream services may be less loaded than those of the others.
     pub fn level(&self, now: TimeMs, service: &str, route: &str) -> Priority {
         let Some(routes) = self.reported.get(service) else {
             return Priority::LOWEST;
         };
-        let is_fresh = |reported: &&KnownLevel| now.since(reported.at) <= FRESH_MS;
+        let is_fresh = |reported: &&KnownLevel| now.since(reported.reported_at) <= FRESH_MS;
         if let Some(reported) = routes.get(route).filter(is_fresh) {
             return reported.level;
         }
@@ -109,7 +110,7 @@
 
     fn evict(&mut self, now: TimeMs) {
         for routes in self.reported.values_mut() {
-            routes.retain(|_, reported| now.since(reported.at) <= FRESH_MS);
+            routes.retain(|_, reported| now.since(reported.reported_at) <= FRESH_MS);
         }
         self.reported.retain(|_, routes| !routes.is_empty());
         self.entries = self.reported.values().map(FastMap::len).sum();
--- a/src/admission/offered_call.rs
+++ b/src/admission/offered_call.rs
@@ -12,7 +12,7 @@
     pub priority: Priority,
     /// Depth in the call chain: 0 for the caller's own call.
     pub depth: u8,
-    /// The longest time in the queue that the preset allows.
+    /// The longest time that the call may wait in the queue, as set by the preset.
     pub wait_ms: u32,
     /// When the answer should be there. The call due first is started first; calls due at the same
     /// time are ordered by importance.
--- a/src/admission/origins_by_domain.rs
+++ b/src/admission/origins_by_domain.rs
@@ -11,7 +11,7 @@
 /// calls. Requests of callers stay in their domain, so a route with hardly any call from the own
 /// domain has no callers there.
 const OWN_DOMAIN_PART: f32 = 12.0;
-/// The share of calls from the own domain is used only after this many calls.
+/// The share of calls from the own domain is not evaluated before this many calls.
 const MIN_CALLS: f32 = 64.0;
 /// Counts are halved when they reach this, so that old calls lose weight.
 const MAX_COUNT: f32 = 1_024.0;
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ObservedCall<'a> {
     pub route: &'a Name,
-    /// The service beside which the call began.
+    /// The service of the node that sent the call.
     pub caller_service: &'a Name,
     /// The call comes from the guard's own failure domain.
     pub same_domain: bool,
@@ -30,7 +30,7 @@
     pub reported_origin: Option<RouteOrigin>,
 }
 
-/// The services beside which calls may begin.
+/// The services whose nodes may send calls.
 #[derive(Clone, Copy, Debug)]
 pub struct CallingServices<'a> {
     /// Those of the guard's own failure domain.
@@ -47,10 +47,11 @@
 
 /// Two classifications of each route: by the calls of the own failure domain, and by all calls.
 ///
-/// Guards against a route of backend servers that is never classified. The only target of a deep
-/// service may be in a domain without a node of the service that calls it, so no call comes from
-/// the own domain. Callers' requests are then not refused on behalf of that service, and fail deep
-/// in the chain. The calls that count are therefore chosen by where calls come from.
+/// Guards against a route that is used by backend servers and is never classified as such. The only
+/// target of a deep service may be in a domain without a node of the service that calls it, so no
+/// call comes from the own domain. Callers' requests are then not refused on behalf of that
+/// service, and fail deep in the chain. A route with hardly any call from the own domain is
+/// therefore classified by all calls.
 #[derive(Clone, Debug, Default)]
 pub struct OriginsByDomain {
     own_domain: RouteOrigins,
--- a/src/admission/pressures.rs
+++ b/src/admission/pressures.rs
@@ -8,25 +8,26 @@
 
 /// Pressure that has not been reported for this long is ignored.
 const FRESH_MS: u64 = 500;
-/// Weight of a new report: one part in this. Single reports vary with every queued call.
+/// The least weight of a new report, and the weight of the first one: one part in this. Single
+/// reports vary with every queued call.
 const WEIGHT: u64 = 8;
-/// A report replaces the smoothed value when the last report is this old, in milliseconds. The
-/// weight of a younger report is in proportion to its age. Guards against pressure that outlives
-/// its cause: with fewer requests admitted there are fewer answers, and a weight per answer would
-/// keep the old value for too long.
+/// A new report replaces the smoothed value if the previous report is at least this old, in
+/// milliseconds. Otherwise its weight is proportional to that age. Guards against pressure that
+/// outlives its cause: with fewer requests admitted there are fewer answers, and a fixed weight per
+/// answer would keep the old value for too long.
 const FULL_WEIGHT_AGE_MS: u64 = 400;
-/// The most routes that are tracked. Beyond it, stale ones are evicted.
+/// The most routes that are tracked. Beyond it, stale ones are evicted, or all if none is stale.
 const MAX_ROUTES: usize = 4_096;
 
 #[derive(Clone, Debug)]
 struct KnownPressure {
     service: Name,
     permille: u32,
-    at: TimeMs,
+    reported_at: TimeMs,
 }
 
-/// The most overloaded service downstream of each route: of the services that calls are sent to,
-/// and of the local service.
+/// The most overloaded service downstream of each route. The routes are those of the services that
+/// calls are sent to, and those of the local service.
 ///
 /// Backend servers do not forward any context, so a deep call cannot be matched to its root
 /// request. What can be learnt is which routes lead to which calls, and so which deep service a
@@ -39,7 +40,8 @@
 }
 
 impl Pressures {
-    /// Records the pressure piggybacked on an answer of `service` on `route`.
+    /// Records the pressure piggybacked on an answer of `service` on `route`. An answer without
+    /// pressure counts as a report of 0.
     pub fn note(&mut self, now: TimeMs, service: &Name, route: &str, pressure: Option<&Pressure>) {
         let known = self
             .reported
@@ -60,7 +62,7 @@
         let reported = KnownPressure {
             service: pressure.service.clone(),
             permille: pressure.permille / WEIGHT as u32,
-            at: now,
+            reported_at: now,
         };
         let routes = self.reported.entry(service.clone()).or_default();
         routes.insert(Name::from(route), reported);
@@ -75,7 +77,7 @@
     /// The most overloaded service downstream of calls to `service` on `route`.
     pub fn downstream(&self, now: TimeMs, service: &str, route: &str) -> Option<Pressure> {
         let reported = self.reported.get(service)?.get(route)?;
-        let is_fresh = now.since(reported.at) <= FRESH_MS && reported.permille > 0;
+        let is_fresh = now.since(reported.reported_at) <= FRESH_MS && reported.permille > 0;
         is_fresh.then(|| Pressure {
             service: reported.service.clone(),
             permille: reported.permille,
@@ -123,7 +125,7 @@
 
     fn evict(&mut self, now: TimeMs) {
         for routes in self.reported.values_mut() {
-            routes.retain(|_, reported| now.since(reported.at) <= FRESH_MS);
+            routes.retain(|_, reported| now.since(reported.reported_at) <= FRESH_MS);
         }
         self.reported.retain(|_, routes| !routes.is_empty());
         self.routes = self.reported.values().map(FastMap::len).sum();
@@ -135,9 +137,10 @@
 }
 
 impl KnownPressure {
-    /// Another service replaces the known one at once if its pressure is higher.
+    /// Another service replaces the known one at once if its pressure is higher, or if the known
+    /// one is stale. Otherwise its report counts as 0 for the known one.
     fn update(&mut self, now: TimeMs, pressure: &Pressure) {
-        let is_stale = now.since(self.at) > FRESH_MS;
+        let is_stale = now.since(self.reported_at) > FRESH_MS;
         if self.service != pressure.service && (is_stale || pressure.permille > self.permille) {
             self.service = pressure.service.clone();
         }
@@ -154,10 +157,10 @@
     }
 
     fn smooth(&mut self, now: TimeMs, value: u32) {
-        let by_age = now.since(self.at).min(FULL_WEIGHT_AGE_MS);
+        let by_age = now.since(self.reported_at).min(FULL_WEIGHT_AGE_MS);
         let weight = by_age.max(FULL_WEIGHT_AGE_MS / WEIGHT);
         let kept = u64::from(self.permille) * (FULL_WEIGHT_AGE_MS - weight);
         self.permille = ((kept + u64::from(value) * weight) / FULL_WEIGHT_AGE_MS) as u32;
-        self.at = now;
+        self.reported_at = now;
     }
 }
--- a/src/admission/rate_limit_state.rs
+++ b/src/admission/rate_limit_state.rs
@@ -9,7 +9,7 @@
 /// the last answer with a rate.
 const ANSWERS_TO_END: u32 = 3;
 
-/// What one answer says about the rate limit.
+/// The rate limit as advertised in one answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AdvertisedRate {
     /// No rate is advertised.
@@ -55,7 +55,7 @@
     Changes {
         per_s: f64,
     },
-    /// Requests are no longer limited.
+    /// Requests are no longer limited, after `held_ms` with a limit.
     Ends {
         held_ms: u64,
     },
@@ -92,8 +92,8 @@
         self.active.map(|active| active.per_s)
     }
 
-    /// Adopts a rate that a peer was told, perhaps before this process started. What this process
-    /// has received itself takes precedence.
+    /// Adopts a rate that a peer has received, perhaps before this process started. What this
+    /// process has received itself takes precedence.
     pub fn adopt(&mut self, now: TimeMs, per_s: f64) -> RateChange {
         if self.active.is_some() || self.answers_without >= ANSWERS_TO_END {
             return RateChange::Unchanged;
@@ -101,7 +101,7 @@
         self.activate(now, per_s)
     }
 
-    /// Records what an answer to a request sent at `sent_at` says about the rate.
+    /// Records the advertised rate of an answer to a request that was sent at `sent_at`.
     pub fn note(&mut self, now: TimeMs, sent_at: TimeMs, advertised: AdvertisedRate) -> RateChange {
         match advertised {
             AdvertisedRate::PerSecond(per_s) => self.activate(now, per_s),
--- a/src/admission/root_control.rs
+++ b/src/admission/root_control.rs
@@ -48,7 +48,7 @@
 
     /// The services on whose behalf requests are refused at present.
     pub fn overloaded(&self) -> impl Iterator<Item = OverloadedService> {
-        let overloaded = self.levels.iter().filter(|(_, level)| !level.is_open());
+        let overloaded = self.levels.iter().filter(|(_, level)| !level.admits_all());
         overloaded.map(|(service, level)| OverloadedService {
             service: service.clone(),
             pressure_permille: level.pressure_permille(),
@@ -59,7 +59,7 @@
     fn level(&mut self, now: TimeMs, service: &Name) -> Option<&mut RootLevel> {
         if !self.levels.contains_key(service) {
             if self.levels.len() >= MAX_SERVICES {
-                self.levels.retain(|_, level| !level.is_open());
+                self.levels.retain(|_, level| !level.admits_all());
             }
             if self.levels.len() >= MAX_SERVICES {
                 return None;
--- a/src/admission/root_level.rs
+++ b/src/admission/root_level.rs
@@ -21,9 +21,9 @@
 const ADJUST_PART: f32 = 0.6;
 /// After a decrease to less than this factor, the next decrease has to wait for a window.
 const HOLD_BELOW: f32 = 0.9;
-/// The largest decrease and increase in one window.
-const MAX_DECREASE: f32 = 0.7;
-const MAX_INCREASE: f32 = 1.25;
+/// Bounds of the factor by which the admitted demand changes in one window.
+const MIN_FACTOR: f32 = 0.7;
+const MAX_FACTOR: f32 = 1.25;
 /// The part of the pressure that is kept after a window without reports.
 const PRESSURE_KEPT_WITHOUT_REPORTS: f32 = 0.5;
 /// An increase is a part of the admitted demand, or of this part of the total demand if that is
@@ -33,15 +33,15 @@
 /// many times its usual interval, if that is longer.
 const STALE_MS: u64 = 1_000;
 const STALE_INTERVALS: f32 = 4.0;
-/// No report for this many times the usual interval counts as silence.
-const SILENT_INTERVALS: f32 = 4.0;
+/// A report is overdue after this many times the usual interval.
+const OVERDUE_INTERVALS: f32 = 4.0;
 /// How long demand is remembered, in milliseconds; or this many usual intervals, if that is longer.
 const DEMAND_MEMORY_MS: f32 = WINDOW_MS as f32 / (1.0 - DEMAND_MEMORY);
 const DEMAND_MEMORY_INTERVALS: f32 = 8.0;
-/// A step after a longer time counts for this many windows at most.
+/// An adjustment corrects for the windows since the last one, but for this many at most.
 const MAX_WINDOWS: f32 = 5.0;
 /// At least this part of the most important class is always admitted.
-const MIN_OPEN: f32 = 1.0 / 64.0;
+const MIN_LEVEL: f32 = 1.0 / 64.0;
 /// A smaller demand counts as none, because the admitted share of it is not meaningful.
 const MIN_DEMAND: f32 = 0.01;
 
@@ -51,15 +51,13 @@
     since: TimeMs,
     /// When the level was last adjusted.
     adjusted_at: TimeMs,
-    /// Interval between requests.
-    requests: EventInterval,
-    /// Interval between reports.
-    report_times: EventInterval,
+    request_interval: EventInterval,
+    report_interval: EventInterval,
     /// Requests per window and class that load the service, smoothed.
     demand: [f32; CLASSES],
     new_demand: [f32; CLASSES],
     /// Classes below this are admitted, and the class at it in part.
-    open: f32,
+    level: f32,
     /// The last window brought a large decrease, and its effect has to show before the next one.
     decrease_on_hold: bool,
     /// Pressure as last reported, where 1 is a full limit; it decays without reports.
@@ -75,11 +73,11 @@
         Self {
             since: now,
             adjusted_at: now,
-            requests: EventInterval::new(now),
-            report_times: EventInterval::new(now),
+            request_interval: EventInterval::new(now),
+            report_interval: EventInterval::new(now),
             demand: [0.0; CLASSES],
             new_demand: [0.0; CLASSES],
-            open: all_classes(),
+            level: all_classes(),
             decrease_on_hold: false,
             pressure: 0.0,
             pressure_sum: 0,
@@ -90,10 +88,10 @@
     /// Decides about a request, and counts it in the demand.
     pub fn may_pass(&mut self, now: TimeMs, priority: Priority) -> bool {
         self.roll_if_due(now);
-        self.requests.note(now);
+        self.request_interval.note(now);
         let (class, part) = class_and_part(priority);
         self.new_demand[class] += 1.0;
-        (class as f32) + part < self.open
+        (class as f32) + part < self.level
     }
 
     /// Records the reported pressure on the service.
@@ -101,12 +99,12 @@
         self.pressure_sum += u64::from(permille);
         self.reports += 1;
         self.roll_if_due(now);
-        self.report_times.note(now);
+        self.report_interval.note(now);
     }
 
     /// Whether everything is admitted.
-    pub fn is_open(&self) -> bool {
-        self.open >= all_classes()
+    pub fn admits_all(&self) -> bool {
+        self.level >= all_classes()
     }
 
     /// The pressure on the service, in thousandths.
@@ -116,8 +114,8 @@
 
     /// The admitted percentage of the demand.
     pub fn admitted_percent(&self) -> u32 {
-        let wanted: f32 = self.demand.iter().sum();
-        let admitted = self.admitted_demand() / wanted.max(MIN_DEMAND);
+        let total: f32 = self.demand.iter().sum();
+        let admitted = self.admitted_demand() / total.max(MIN_DEMAND);
         (admitted * 100.0) as u32
     }
 
@@ -129,10 +127,10 @@
         self.since = now;
         self.update_demand(span_ms);
         if span_ms as f32 >= self.stale_ms() {
-            self.reopen();
+            self.admit_all();
             return;
         }
-        if self.reports == 0 && !self.is_silent(now) {
+        if self.reports == 0 && !self.is_report_overdue(now) {
             // There is no new information since the last step.
             return;
         }
@@ -144,23 +142,26 @@
 
     /// The time without any event after which the level is stale.
     fn stale_ms(&self) -> f32 {
-        let interval_ms = self.requests.mean_ms.min(self.report_times.mean_ms);
+        let interval_ms = self
+            .request_interval
+            .mean_ms
+            .min(self.report_interval.mean_ms);
         (interval_ms * STALE_INTERVALS).max(STALE_MS as f32)
     }
 
     /// Whether a report is overdue.
-    fn is_silent(&self, now: TimeMs) -> bool {
-        self.report_times.since_last_ms(now) >= self.report_times.mean_ms * SILENT_INTERVALS
+    fn is_report_overdue(&self, now: TimeMs) -> bool {
+        self.report_interval.since_last_ms(now) >= self.report_interval.mean_ms * OVERDUE_INTERVALS
     }
 
-    /// Admits everything again.
+    /// Raises the level until everything is admitted.
     ///
     /// Guards against a level that outlives its pressure. Once another service is the most
     /// overloaded one on a route, this level gets neither requests nor reports and stays as low as
     /// it was. When its service becomes the most overloaded one again seconds later, nearly
     /// everything would be refused until the level has risen.
-    fn reopen(&mut self) {
-        self.open = all_classes();
+    fn admit_all(&mut self) {
+        self.level = all_classes();
         self.decrease_on_hold = false;
         self.pressure = 0.0;
         self.pressure_sum = 0;
@@ -179,7 +180,7 @@
 
     fn update_demand(&mut self, span_ms: u64) {
         let windows = span_ms as f32 / WINDOW_MS as f32;
-        let longer = self.requests.mean_ms * DEMAND_MEMORY_INTERVALS / DEMAND_MEMORY_MS;
+        let longer = self.request_interval.mean_ms * DEMAND_MEMORY_INTERVALS / DEMAND_MEMORY_MS;
         let memory = DEMAND_MEMORY.powf(windows / longer.max(1.0));
         for (demand, new_demand) in self.demand.iter_mut().zip(&mut self.new_demand) {
             *demand = *demand * memory + *new_demand / windows * (1.0 - memory);
@@ -189,12 +190,12 @@
 
     /// Moves the admitted demand towards the target pressure.
     fn adjust(&mut self, windows: f32) {
-        if self.pressure <= TARGET_PRESSURE && self.is_open() {
+        if self.pressure <= TARGET_PRESSURE && self.admits_all() {
             return;
         }
         let part = 1.0 - (1.0 - ADJUST_PART).powf(windows);
         let factor = (TARGET_PRESSURE / self.pressure.max(0.1)).powf(part);
-        let factor = factor.clamp(MAX_DECREASE.powf(windows), MAX_INCREASE.powf(windows));
+        let factor = factor.clamp(MIN_FACTOR.powf(windows), MAX_FACTOR.powf(windows));
         let admitted = self.admitted_demand();
         if factor < 1.0 {
             if self.decrease_on_hold {
@@ -202,30 +203,30 @@
                 return;
             }
             self.decrease_on_hold = factor < HOLD_BELOW;
-            self.open = self.open_for_demand(admitted * factor);
+            self.level = self.level_for_demand(admitted * factor);
             return;
         }
         self.decrease_on_hold = false;
         let total: f32 = self.demand.iter().sum();
         let more = admitted.max(total * MIN_INCREASE_BASE) * (factor - 1.0);
-        self.open = self.open_for_demand(admitted + more).max(self.open);
+        self.level = self.level_for_demand(admitted + more).max(self.level);
     }
 
-    /// The admitted part of the demand.
+    /// The admitted part of the demand, in requests per window.
     fn admitted_demand(&self) -> f32 {
-        let whole = self.open as usize;
+        let whole = self.level as usize;
         let sum: f32 = self.demand.iter().take(whole).sum();
-        let part = self.open - whole as f32;
+        let part = self.level - whole as f32;
         sum + self.demand.get(whole).map_or(0.0, |demand| demand * part)
     }
 
-    /// The level up to which the demand sums up to `wanted`.
-    fn open_for_demand(&self, wanted: f32) -> f32 {
+    /// The level that admits `admitted` of the demand, in requests per window.
+    fn level_for_demand(&self, admitted: f32) -> f32 {
         let mut sum = 0.0;
         for (class, demand) in self.demand.iter().enumerate() {
-            if sum + demand > wanted {
-                let part = (wanted - sum) / demand;
-                return (class as f32 + part).max(MIN_OPEN);
+            if sum + demand > admitted {
+                let part = (admitted - sum) / demand;
+                return (class as f32 + part).max(MIN_LEVEL);
             }
             sum += demand;
         }
--- a/src/admission/route_origins.rs
+++ b/src/admission/route_origins.rs
@@ -4,12 +4,12 @@
 use crate::core::Name;
 use crate::core::RouteOrigin;
 
-/// A service without calls proves that callers do not use the route if this many calls from it were
-/// to be expected by now. The proof is wrong by chance in one of some 160,000 cases. It has to be
-/// that rare, because every guard evaluates every route anew after each start.
+/// If callers used the route, this many calls from a service would be expected by now. If none has
+/// come, callers do not use the route. The proof is wrong by chance in one of some 160,000 cases.
+/// It has to be that rare, because every guard evaluates every route anew after each start.
 const MIN_EXPECTED_CALLS: f32 = 12.0;
 /// The same for a route that is known to be used by callers. An entry that refuses nearly all of
-/// them is silent as well, for as long as an overload lasts.
+/// them sends no calls either, for as long as an overload lasts.
 const MIN_EXPECTED_CALLS_TO_CHANGE: f32 = 200.0;
 /// A route that is known to be used by backend servers stays so until this many calls have come. A
 /// guard that has just started may not know all services yet.
@@ -21,7 +21,7 @@
 /// The most routes that are tracked. Beyond it, all are dropped and learnt anew.
 const MAX_ROUTES: usize = 4_096;
 
-/// A service beside whose backend servers calls may begin.
+/// A service whose nodes may send calls.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallingService {
     pub service: Name,
@@ -39,12 +39,12 @@
     verdict: Option<RouteOrigin>,
 }
 
-/// Calls by route and by the service beside which they began.
+/// Calls by route and by the service of the node that sent them.
 ///
 /// Backend servers do not forward any context, and their calls reach the node over the same
-/// listener as those of callers. Callers are beside every backend server, whatever its service.
-/// Calls of backend servers come only from services that make calls, and every chain has a service
-/// that makes none.
+/// listener as those of callers. Requests of callers are sent by nodes of every service. Calls of
+/// backend servers are sent only by nodes of services that make calls, and every chain has a
+/// service that makes none.
 #[derive(Clone, Debug, Default)]
 pub struct RouteOrigins {
     routes: FastMap<Name, RouteCalls>,
@@ -53,14 +53,15 @@
 impl RouteOrigins {
     /// Counts a call. `services` are those of the nodes whose calls are counted.
     ///
-    /// Guards against taking the silence of a service for proof when its callers could not be seen
-    /// at all: its nodes in this failure domain are gone or restarting, and calls stay in their
-    /// domain. The route is then classified as callers' and as backend servers' by turns, and
-    /// callers' requests are admitted without bound. The calls of the guard's own domain are
+    /// Guards against a wrong verdict when a service sends no calls because its nodes in this
+    /// failure domain are gone or restarting. Calls stay in their domain, so none of its callers
+    /// are seen. The route is then classified by turns as used by callers and by backend servers,
+    /// and callers' requests are admitted without bound. The calls of the guard's own domain are
     /// therefore counted separately ([`crate::admission::OriginsByDomain`]), against the services
-    /// of that domain, and a service with a missing node is not used as evidence. A guard that
-    /// knows nothing yet adopts what the sender reports. Changing a known origin takes far more
-    /// evidence than learning it.
+    /// of that domain, and a service with a missing node is not used as evidence.
+    ///
+    /// A guard without a verdict adopts the origin that the sender reports. Changing a known origin
+    /// takes far more evidence than a first verdict.
     pub fn note(
         &mut self,
         route: &Name,
@@ -100,8 +101,8 @@
         }
     }
 
-    /// Only a service from which calls would certainly have come by now counts as evidence by its
-    /// silence.
+    /// The absence of calls from a service is evidence only if calls from it would almost certainly
+    /// have come by now.
     fn evaluate(&mut self, services: &[CallingService]) {
         let min_expected = match self.verdict {
             Some(RouteOrigin::Callers) => MIN_EXPECTED_CALLS_TO_CHANGE,
--- a/src/admission/service_time.rs
+++ b/src/admission/service_time.rs
@@ -6,8 +6,8 @@
 const CLASSES: usize = 16;
 /// Weight of a new sample: one part in this.
 const WEIGHT: u64 = 8;
-/// An estimate is halved for every such time without a sample.
-const FORGET_AFTER_MS: u64 = 1_000;
+/// An estimate is halved for every period of this length without a sample.
+const HALVE_AFTER_MS: u64 = 1_000;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Estimate {
@@ -24,7 +24,7 @@
 
 impl ServiceTime {
     pub fn note(&mut self, class: u8, service_us: u64, now: TimeMs) {
-        let estimate = &mut self.by_class[place(class)];
+        let estimate = &mut self.by_class[index_of(class)];
         estimate.mean_us = if estimate.mean_us == 0 {
             service_us
         } else {
@@ -39,12 +39,12 @@
     /// refused for good after one slow period, because no call runs any more that could lower the
     /// estimate. The estimate is therefore halved for every second without a sample.
     pub fn at_least_ms(&self, class: u8, now: TimeMs) -> u64 {
-        let estimate = &self.by_class[place(class)];
-        let idle_seconds = now.since(estimate.updated) / FORGET_AFTER_MS;
-        (estimate.mean_us / 2_000) >> idle_seconds.min(32)
+        let estimate = &self.by_class[index_of(class)];
+        let halvings = now.since(estimate.updated) / HALVE_AFTER_MS;
+        (estimate.mean_us / 2_000) >> halvings.min(32)
     }
 }
 
-fn place(class: u8) -> usize {
+fn index_of(class: u8) -> usize {
     usize::from(class).min(CLASSES - 1)
 }
--- a/src/admission/token_bucket.rs
+++ b/src/admission/token_bucket.rs
@@ -2,7 +2,7 @@
 
 use crate::core::TimeMs;
 
-/// The lowest rate in use, whatever is advertised. Without any request, no answer could show that
+/// A lower advertised rate is replaced by this one. Without any request, no answer could show that
 /// the limit has ended.
 const MIN_PER_S: f64 = 0.25;
 /// How long unused tokens accumulate, in seconds.
--- a/src/routing/domain_reachability.rs
+++ b/src/routing/domain_reachability.rs
@@ -5,7 +5,7 @@
 use crate::core::TimeMs;
 
 /// A domain counts as unreachable after this many calls in a row have been lost without an answer
-/// in between. A few calls are lost whenever a single node ends.
+/// in between. A few calls are lost whenever a single node stops.
 const MIN_LOST_CALLS: u32 = 3;
 /// The calls also have to be lost to this many nodes of the domain. One node that is gone says
 /// nothing about its domain.
@@ -30,12 +30,13 @@
 
 /// Calls lost on the way to each other failure domain since its last answer.
 ///
-/// Guards against calls that go on being sent across a network partition. Each waits for a
-/// connection, and whole call trees fail although their own side could run them. Gossip takes
-/// seconds of silence to detect the partition. Many calls cross at any time, so failed connections
-/// to several nodes without an answer from any show it within half a second. One call per interval
-/// probes the domain, so its return is seen at once. Silence alone is no evidence: a domain whose
-/// backend servers are slow is silent too.
+/// Guards against calls that are sent across a network partition for as long as it lasts. Each
+/// waits for a connection and then fails because its peer is lost. Whole call trees fail although
+/// their own side could run them. Gossip detects the partition only after seconds without messages.
+/// Many calls cross at any time, so failed connections to several nodes without an answer from any
+/// show it within half a second. One call per interval probes the domain, so its return is seen at
+/// once. Missing answers alone are no evidence: a domain whose backend servers are slow does not
+/// answer either.
 #[derive(Clone, Debug, Default)]
 pub struct DomainReachability {
     domains: FastMap<Name, Domain>,
--- a/src/routing/owner_search.rs
+++ b/src/routing/owner_search.rs
@@ -30,7 +30,7 @@
         !self.unreachable.contains(node)
     }
 
-    /// All targets asked without success. While no owner is named, others are tried first.
+    /// All targets asked without success. While no owner is named, other targets are tried first.
     pub fn tried(&self) -> Vec<Name> {
         self.unreachable
             .iter()
--- a/src/routing/picker.rs
+++ b/src/routing/picker.rs
@@ -9,7 +9,7 @@
 use crate::routing::TargetStats;
 
 /// A target with this failure rate or more is avoided if others fail less, in thousandths. Some
-/// failures are ordinary, and a few more do less harm than the bytes sent to another target.
+/// failures are ordinary, and a few more cost less than the traffic to another target.
 const AVOID_FROM_PERMILLE: u32 = 250;
 /// An avoided target must also have this many times the failure rate of the best target.
 const AVOID_RATIO: u32 = 3;
@@ -21,7 +21,7 @@
 /// From this load per slot on, in thousandths, a target's speed is ignored.
 const FULL_PERMILLE: u64 = 900;
 
-/// When a call goes to another failure domain although a target of its own takes work.
+/// When a call goes to another failure domain although a target in its own accepts calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SpillPolicy {
     /// From this load per slot on, in thousandths, if the other target is less loaded.
@@ -68,7 +68,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Pick {
     Take(Arc<Target>),
-    /// Targets exist, but none takes work now.
+    /// Targets exist, but none accepts calls now.
     NoneAvailable,
     /// The service is not known.
     Unknown,
@@ -79,6 +79,7 @@
     pub targets: &'a [Arc<Target>],
     pub stats: &'a FastMap<Name, TargetStats>,
     pub own_domain: &'a str,
+    /// Unreachable domains, to which no calls are sent now.
     pub cut_off_domains: &'a [Name],
     /// Nodes already tried by this call.
     pub tried: &'a [Name],
@@ -97,14 +98,14 @@
         return Pick::Unknown;
     }
     let available = available_targets(context, conf, now);
-    let Some(usual) = least_loaded(&available, context, conf, now, &mut random) else {
+    let Some(usual) = best_target(&available, context, conf, now, &mut random) else {
         return Pick::NoneAvailable;
     };
     let healthy = healthy_targets(&available, context, now);
     if healthy.len() == available.len() || healthy.contains(&usual) || random(PROBE_PART) == 0 {
         return Pick::Take(usual);
     }
-    match least_loaded(&healthy, context, conf, now, &mut random) {
+    match best_target(&healthy, context, conf, now, &mut random) {
         Some(other) if has_room(&other, context, now) => Pick::Take(other),
         _ => Pick::Take(usual),
     }
@@ -141,8 +142,9 @@
     load < ROOM_PERMILLE
 }
 
-/// The best of a few targets, of the own failure domain unless another one is worth the distance.
-fn least_loaded(
+/// The best of a few targets. It is in the own failure domain unless that has none, or the spill
+/// policy prefers one in another domain.
+fn best_target(
     available: &[Arc<Target>],
     context: &PickContext<'_>,
     conf: &PickerConf,
@@ -153,8 +155,8 @@
         .iter()
         .cloned()
         .partition(|target| &*target.domain == context.own_domain);
-    let best_local = least_of_few(&local, context, conf, now, &mut random);
-    let mut best_remote = || least_of_few(&remote, context, conf, now, &mut random);
+    let best_local = best_of_sample(&local, context, conf, now, &mut random);
+    let mut best_remote = || best_of_sample(&remote, context, conf, now, &mut random);
     match best_local {
         None => best_remote().map(|(target, _)| target),
         Some((target, load)) if !may_spill(context, conf, now, &target, load) => Some(target),
@@ -187,7 +189,7 @@
     }
 }
 
-/// Whether the remote target is worth the distance.
+/// Whether the remote target is enough better than the local one. Each is given with its load.
 fn is_worth_spilling(
     context: &PickContext<'_>,
     conf: &PickerConf,
@@ -208,7 +210,7 @@
     stats.map_or(0, |stats| stats.wait_ms(target.slots, now))
 }
 
-/// Targets that take work, without the ejected ones. If too many are ejected, the cause is more
+/// Targets that accept calls, without the ejected ones. If too many are ejected, the cause is more
 /// likely at this node than at them, and ejection is ignored.
 fn available_targets(
     context: &PickContext<'_>,
@@ -240,7 +242,7 @@
         .collect()
 }
 
-fn least_of_few(
+fn best_of_sample(
     targets: &[Arc<Target>],
     context: &PickContext<'_>,
     conf: &PickerConf,
@@ -257,7 +259,7 @@
     });
     let best = scored.reduce(|best, other| {
         let is_other = match (best.1, other.1) {
-            (Some(one), Some(two)) => is_sooner((two, other.2), (one, best.2)),
+            (Some(one), Some(two)) => ends_sooner((two, other.2), (one, best.2)),
             _ => other.2 < best.2,
         };
         if is_other { other } else { best }
@@ -284,7 +286,7 @@
 /// Guards against calls that miss their objective at a slow backend server while a fast one beside
 /// it idles: targets of one service differ in speed by up to three times. The expected time grows
 /// as a target fills, and from [`FULL_PERMILLE`] on only the load counts.
-fn is_sooner(one: (u64, u64), other: (u64, u64)) -> bool {
+fn ends_sooner(one: (u64, u64), other: (u64, u64)) -> bool {
     if one.1.max(other.1) >= FULL_PERMILLE {
         return one.1 < other.1;
     }
@@ -293,7 +295,8 @@
 }
 
 /// The load of a target, plus a surcharge while it is new. A cold backend server that gets its full
-/// share at once answers late, and its callers retry.
+/// share at once answers late, and its callers retry. Without a time in `first_seen` a target is
+/// not new.
 fn effective_load(
     target: &Target,
     context: &PickContext<'_>,
@@ -308,6 +311,6 @@
     if age_ms >= conf.slow_start_ms || stats.first_seen == TimeMs(0) {
         return load;
     }
-    let handicap = (conf.slow_start_ms - age_ms) * 1_000 / conf.slow_start_ms;
-    load + load * handicap / 1_000 + handicap / 4
+    let surcharge = (conf.slow_start_ms - age_ms) * 1_000 / conf.slow_start_ms;
+    load + load * surcharge / 1_000 + surcharge / 4
 }
--- a/src/routing/target_stats.rs
+++ b/src/routing/target_stats.rs
@@ -24,7 +24,7 @@
 /// The same for pressure, which affects more than one call.
 const PRESSURE_FRESH_MS: u64 = 500;
 /// The greatest age at which a reported failure rate counts, in milliseconds: about as long as the
-/// target's guard remembers failures.
+/// target's guard counts failures ([`crate::routing::FailureRate`]).
 const FAILING_FRESH_MS: u64 = 2_000;
 
 /// Calls in flight from here, the latest report of the target, and its consecutive failures.
@@ -88,7 +88,7 @@
         self.latency_us / 1_000
     }
 
-    /// Records a call that ran well in `took_us`, when calls of its route usually take `usual_us`.
+    /// Records a call that succeeded in `took_us`, when calls of its route usually take `usual_us`.
     pub fn note_run(&mut self, took_us: u64, usual_us: u64) {
         let ratio = took_us * 1_000 / usual_us.max(1);
         let ratio = ratio.clamp(1, MAX_SLOWNESS_PERMILLE);
@@ -111,7 +111,8 @@
     }
 
     /// The expected queueing time of a call sent now, in milliseconds. Calls beyond the limit wait
-    /// for those before them, each of which takes the usual latency.
+    /// for those before them, each of which takes the usual latency. `limit_hint` is as for
+    /// [`Self::load_permille`].
     pub fn wait_ms(&self, limit_hint: u32, now: TimeMs) -> u64 {
         let load_permille = self.load_permille(limit_hint, now);
         load_permille.saturating_sub(1_000) * self.latency_ms() / 1_000
@@ -146,7 +147,7 @@
     }
 
     /// Load per slot in thousandths: the larger of the calls in flight from here and the reported
-    /// load.
+    /// load. `limit_hint` is the number of slots while there is no fresh report.
     pub fn load_permille(&self, limit_hint: u32, now: TimeMs) -> u64 {
         let fresh = now.since(self.reported_at) <= REPORT_FRESH_MS && self.report.limit > 0;
         let limit = if fresh { self.report.limit } else { limit_hint };
--- a/tests/admission_chain.rs
+++ b/tests/admission_chain.rs
@@ -52,7 +52,7 @@
 }
 
 // The deep service becomes three times as slow while demand surges. Callers resend ten times, 100
-// ms apart, whatever they are told. Without control hardly a request completes, even long after the
+// ms apart, and ignore Retry-After. Without control hardly a request completes, even long after the
 // cause is gone, because every hop works for requests that fail deeper.
 #[rstest]
 #[case(2)]
@@ -100,8 +100,8 @@
     assert_eq!(report.lost_percent(0, &story), 0.0);
 }
 
-// As before, but the backend servers refuse what exceeds their slots. Guards against calls that are
-// shed regardless of their importance after every hop above has worked for them.
+// As in the test above, but the backend servers refuse what exceeds their slots. Guards against
+// calls that are shed regardless of their importance after every hop above has worked for them.
 #[test]
 fn a_backend_server_that_sheds_lowers_its_limit() {
     let story = Story {
--- a/tests/admission_classes.rs
+++ b/tests/admission_classes.rs
@@ -14,9 +14,9 @@
 
 const SLOTS: u32 = 4;
 const MEAN_SERVICE_MS: f64 = 40.0;
-/// Four times as much as the slots can run.
+/// Less important calls per millisecond: four times as many as the slots can run.
 const OTHER_PER_MS: f64 = 0.4;
-const LASTS_MS: u64 = 30_000;
+const DURATION_MS: u64 = 30_000;
 
 /// A backend server with few slots behind the code under test, and the refusals of important calls.
 struct Overload {
@@ -114,7 +114,7 @@
 #[rstest]
 fn a_trial_with_few_slots_leaves_room_for_important_calls(#[values(1, 2, 3, 4, 5, 6)] seed: u64) {
     let mut overload = Overload::new(seed, 0.05);
-    for now in 1..=LASTS_MS {
+    for now in 1..=DURATION_MS {
         overload.step(now);
     }
     assert!(overload.important.len() > 1_000);
@@ -125,16 +125,15 @@
     );
 }
 
-/// The same with so many jobs that three of the four slots are hardly enough. During a trial the
-/// jobs wait behind each other while the notebooks do not pay for it, so the trial has to end as
-/// soon as jobs wait for long. A few refusals remain by chance, because a slot becomes free only
-/// when its call ends.
+/// The same with so many jobs that three of the four slots are hardly enough. A trial may delay
+/// only notebooks. Here it makes jobs wait for each other, so it has to end as soon as jobs wait
+/// for long. A few refusals remain by chance, because a slot becomes free only when its call ends.
 #[test]
 fn important_calls_are_not_delayed_by_trials() {
     let mut refused = 0;
     for seed in 1..=6 {
         let mut overload = Overload::new(seed, 0.07);
-        for now in 1..=LASTS_MS {
+        for now in 1..=DURATION_MS {
             overload.step(now);
         }
         refused += overload.important_refused;
--- a/tests/admission_invariants.rs
+++ b/tests/admission_invariants.rs
@@ -33,7 +33,7 @@
         which: usize,
     },
     Slots(u32),
-    Pass(u64),
+    Advance(u64),
 }
 
 fn event() -> impl Strategy<Value = Event> {
@@ -54,7 +54,7 @@
         ),
         1 => any::<usize>().prop_map(|which| Event::Cancel { which }),
         1 => (0u32..40).prop_map(Event::Slots),
-        2 => (0u64..150).prop_map(Event::Pass),
+        2 => (0u64..150).prop_map(Event::Advance),
     ]
 }
 
@@ -190,7 +190,7 @@
                     }
                 }
                 Event::Slots(slots) => admission.set_slots(slots),
-                Event::Pass(ms) => now = now + ms,
+                Event::Advance(ms) => now = now + ms,
             }
             let running = model.count(|state| *state == State::Running);
             let actions = admission.poll(now);
--- a/tests/admission_origins.rs
+++ b/tests/admission_origins.rs
@@ -1,6 +1,6 @@
-//! Calls of backend servers and requests of callers reach a node over the same listener. If deep
-//! calls are taken for callers' requests, they are refused after work has been done for them. If
-//! callers' requests are taken for deep calls, they are admitted without bound.
+//! Calls of backend servers and requests of callers reach a node over the same listener. Deep calls
+//! that are classified as callers' requests are refused after work has been done for them. Callers'
+//! requests that are classified as deep calls are admitted without bound.
 
 use rstest::rstest;
 use sassafrasgap::admission::CallingService;
@@ -11,7 +11,8 @@
 use sassafrasgap::core::Name;
 use sassafrasgap::core::RouteOrigin;
 
-/// Draws the service beside which each call begins, weighted by the share of nodes.
+/// The origin after `calls` calls. The service that sends each call is drawn from `callers`,
+/// weighted by its share of the nodes.
 fn learnt_origin(
     shares: &[(Name, f32)],
     callers: &[usize],
@@ -21,25 +22,25 @@
     let mut random = fastrand::Rng::with_seed(seed);
     let mut origins = RouteOrigins::default();
     let route = Name::from("r");
-    let total: f32 = callers.iter().map(|place| shares[*place].1).sum();
-    let whole = |(name, share): &(Name, f32)| CallingService {
+    let total: f32 = callers.iter().map(|index| shares[*index].1).sum();
+    let all_serving = |(name, share): &(Name, f32)| CallingService {
         service: name.clone(),
         share: *share,
         all_serving: true,
     };
-    let services: Vec<CallingService> = shares.iter().map(whole).collect();
+    let services: Vec<CallingService> = shares.iter().map(all_serving).collect();
     let mut verdict = None;
     for _ in 0..calls {
         let mut draw = random.f32() * total;
-        let mut place = callers[0];
+        let mut index = callers[0];
         for each in callers {
-            place = *each;
+            index = *each;
             draw -= shares[*each].1;
             if draw <= 0.0 {
                 break;
             }
         }
-        verdict = origins.note(&route, &shares[place].0, None, &services);
+        verdict = origins.note(&route, &shares[index].0, None, &services);
     }
     verdict
 }
@@ -56,12 +57,12 @@
 
 /// The same services, with all their nodes up.
 fn all_serving_services() -> Vec<CallingService> {
-    let whole = |(service, share)| CallingService {
+    let all_serving = |(service, share)| CallingService {
         service,
         share,
         all_serving: true,
     };
-    shares().into_iter().map(whole).collect()
+    shares().into_iter().map(all_serving).collect()
 }
 
 #[rstest]
@@ -161,14 +162,14 @@
         let same_domain = local_every > 0 && step % local_every == 0;
         // From other domains only one service calls; in the own domain, callers beside both
         // services do.
-        let place = if same_domain {
+        let index = if same_domain {
             step / local_every % 2
         } else {
             1
         };
         let call = ObservedCall {
             route: &route,
-            caller_service: &services[place].service,
+            caller_service: &services[index].service,
             same_domain,
             reported_origin: None,
         };
--- a/tests/admission_rate_limit.rs
+++ b/tests/admission_rate_limit.rs
@@ -90,7 +90,7 @@
         self.running.push_back((now + 20, ticket));
     }
 
-    fn pass(&mut self, now: TimeMs) {
+    fn advance(&mut self, now: TimeMs) {
         while self.running.front().is_some_and(|(ends, _)| *ends <= now) {
             let (_, ticket) = self.running.pop_front().unwrap();
             self.admission.complete(now, ticket, RAN);
@@ -136,12 +136,12 @@
         for (gap_ms, count) in bursts {
             for _ in 0..gap_ms / 10 {
                 now = now + 10;
-                simulation.pass(now);
+                simulation.advance(now);
             }
             for _ in 0..count {
                 simulation.arrive(now);
             }
-            simulation.pass(now);
+            simulation.advance(now);
         }
         let most = simulation.most_in_a_window(START) as f64;
         prop_assert!(most <= allowed(per_s), "{most} of {}", allowed(per_s));
@@ -164,7 +164,7 @@
                 for _ in 0..5 {
                     simulation.arrive(now);
                 }
-                simulation.pass(now);
+                simulation.advance(now);
             }
         }
         for first in &simulation.sent {
@@ -180,7 +180,8 @@
     }
 }
 
-/// Guards against a bucket so shallow that a backend server gets far less than it asked for.
+/// Guards against a bucket so shallow that a backend server gets far less than the rate that it
+/// advertises.
 #[rstest]
 #[case(0.5)]
 #[case(25.0)]
@@ -194,7 +195,7 @@
         for _ in 0..20 {
             simulation.arrive(now);
         }
-        simulation.pass(now);
+        simulation.advance(now);
     }
     let per_20_s = per_s * 20.0;
     assert!(
@@ -271,14 +272,14 @@
     for _ in 0..500 {
         now = now + 10;
         simulation.arrive(now);
-        simulation.pass(now);
+        simulation.advance(now);
     }
     assert!(simulation.admission.pressure_permille() < 200);
     simulation.admission.set_rate(now, Some(25.0));
     for _ in 0..200 {
         now = now + 10;
         simulation.arrive(now);
-        simulation.pass(now);
+        simulation.advance(now);
     }
     assert_eq!(simulation.admission.load().limit, 1);
     assert!(simulation.admission.pressure_permille() >= 1_000);
@@ -299,10 +300,10 @@
     );
     admission.complete(START, 1, RAN);
     // A slot is free, and the first queued call waits for the next poll.
-    let hurried = OfferedCall {
+    let without_wait = OfferedCall {
         wait_ms: 0,
         ..call(3, 2, START + 1)
     };
-    assert_eq!(admission.offer(START, hurried), OfferDecision::Wait);
+    assert_eq!(admission.offer(START, without_wait), OfferDecision::Wait);
     assert_eq!(admission.rate_limited_calls(), 0);
 }
--- a/tests/admission_roots.rs
+++ b/tests/admission_roots.rs
@@ -15,8 +15,8 @@
 const WAIT_PART: f64 = 2.0;
 /// Calls that the deep service runs per second, in the smallest simulation.
 const CAPACITY_PER_S: f64 = 2_800.0;
-/// Requests per second to each entry at least, at load 1: those of a fleet with 33,000 calls per
-/// second at 720 nodes.
+/// The least requests per second to each entry, at load 1. This is the load of a fleet of 720 nodes
+/// with 33,000 calls per second.
 const PER_ENTRY_S: f64 = 6.0;
 
 /// The requests offered in the smallest simulation: class, requests per second over all entries,
@@ -211,8 +211,8 @@
     assert!(share > 0.97, "{share}");
 }
 
-/// Guards against a level that stays closed: a service was overloaded once and sends no reports any
-/// more.
+/// A service was overloaded, and then no reports of it arrive any more. Guards against a level that
+/// stays as low as it was.
 #[rstest]
 fn a_level_reopens_without_reports() {
     let mut control = RootControl::default();
--- a/tests/admission_usable_slots.rs
+++ b/tests/admission_usable_slots.rs
@@ -4,8 +4,8 @@
 use sassafrasgap::admission::usable_slots;
 
 /// Three backend servers with 45 slots each limit the throughput of a call chain. They slow down by
-/// a third from 95% of their slots on. With 43 slots in use, they did less the more was asked of
-/// them.
+/// a third from 95% of their slots on. With 43 slots in use, their throughput fell as the load
+/// rose.
 #[rstest]
 fn no_backend_server_is_filled_to_where_it_slows_down() {
     for slots in 5..2_000 {
--- a/tests/routing_failing.rs
+++ b/tests/routing_failing.rs
@@ -21,12 +21,12 @@
 const CALLS: u32 = 2_000;
 
 /// The number of calls from domain `a` that go to each target, by the failure rate of the targets.
-fn spread(targets: &[(&str, &str, u32)]) -> FastMap<Name, u32> {
-    spread_with_load(targets, 2)
+fn calls_by_target(targets: &[(&str, &str, u32)]) -> FastMap<Name, u32> {
+    calls_by_target_with_load(targets, 2)
 }
 
 /// The same while `in_flight` of the ten slots of each target are in use.
-fn spread_with_load(targets: &[(&str, &str, u32)], in_flight: u32) -> FastMap<Name, u32> {
+fn calls_by_target_with_load(targets: &[(&str, &str, u32)], in_flight: u32) -> FastMap<Name, u32> {
     let mut stats = FastMap::default();
     for (name, _, failing_permille) in targets {
         let mut known = TargetStats::new(TimeMs(0));
@@ -51,8 +51,8 @@
     sent
 }
 
-fn sent(spread: &FastMap<Name, u32>, name: &str) -> u32 {
-    spread.get(name).copied().unwrap_or(0)
+fn sent(calls: &FastMap<Name, u32>, name: &str) -> u32 {
+    calls.get(name).copied().unwrap_or(0)
 }
 
 /// One target refuses or breaks nearly half of its calls. It answers fast and so looks idle, and it
@@ -60,8 +60,8 @@
 /// recovered.
 #[rstest]
 fn a_failing_target_is_avoided_but_probed() {
-    let spread = spread(&[("a1", "a", 450), ("b1", "b", 4), ("c1", "c", 0)]);
-    let tried = sent(&spread, "a1");
+    let calls = calls_by_target(&[("a1", "a", 450), ("b1", "b", 4), ("c1", "c", 0)]);
+    let tried = sent(&calls, "a1");
     assert!(tried > 0 && tried < CALLS / 12, "{tried}");
 }
 
@@ -69,42 +69,42 @@
 /// and calls stay in their domain.
 #[rstest]
 fn targets_that_fail_alike_share_the_calls() {
-    let spread = spread(&[("a1", "a", 550), ("b1", "b", 400), ("c1", "c", 610)]);
-    assert_eq!(sent(&spread, "a1"), CALLS);
+    let calls = calls_by_target(&[("a1", "a", 550), ("b1", "b", 400), ("c1", "c", 610)]);
+    assert_eq!(sent(&calls, "a1"), CALLS);
 }
 
 /// All targets are busy, and one of them fails nearly half of its calls. Avoiding it would take its
 /// remaining successes from a service without spare capacity, so calls are spread as usual.
 #[rstest]
 fn without_room_elsewhere_none_is_avoided() {
-    let spread = spread_with_load(&[("a1", "a", 450), ("b1", "b", 4), ("c1", "c", 0)], 9);
-    assert_eq!(sent(&spread, "a1"), CALLS);
+    let calls = calls_by_target_with_load(&[("a1", "a", 450), ("b1", "b", 4), ("c1", "c", 0)], 9);
+    assert_eq!(sent(&calls, "a1"), CALLS);
 }
 
 /// Some calls always fail. That is no reason to leave a target of the own domain.
 #[rstest]
 fn ordinary_failures_do_no_harm() {
-    let spread = spread(&[("a1", "a", 60), ("b1", "b", 0)]);
-    assert_eq!(sent(&spread, "a1"), CALLS);
+    let calls = calls_by_target(&[("a1", "a", 60), ("b1", "b", 0)]);
+    assert_eq!(sent(&calls, "a1"), CALLS);
 }
 
 /// A few calls give no failure rate. Old calls lose weight, so that a target without calls stops
 /// counting as a failing one.
 #[rstest]
 fn a_failure_rate_needs_calls_and_decays() {
-    let mut share = FailureRate::default();
+    let mut rate = FailureRate::default();
     for _ in 0..5 {
-        share.note(TimeMs(1_000), true);
+        rate.note(TimeMs(1_000), true);
     }
-    assert_eq!(share.permille(TimeMs(1_000)), 0);
+    assert_eq!(rate.permille(TimeMs(1_000)), 0);
     for _ in 0..15 {
-        share.note(TimeMs(1_000), false);
+        rate.note(TimeMs(1_000), false);
     }
-    assert_eq!(share.permille(TimeMs(1_000)), 250);
-    assert_eq!(share.permille(TimeMs(6_000)), 0);
+    assert_eq!(rate.permille(TimeMs(1_000)), 250);
+    assert_eq!(rate.permille(TimeMs(6_000)), 0);
     for _ in 0..20 {
-        share.note(TimeMs(6_000), false);
+        rate.note(TimeMs(6_000), false);
     }
-    let later = share.permille(TimeMs(6_000));
+    let later = rate.permille(TimeMs(6_000));
     assert!(later < 50, "{later}");
 }
--- a/tests/routing_owner_search.rs
+++ b/tests/routing_owner_search.rs
@@ -4,10 +4,10 @@
 use sassafrasgap::core::Name;
 use sassafrasgap::routing::OwnerSearch;
 
-/// A node is stopped as planned on a busy machine. A call reaches the next owner of its slot before
-/// that has read the row, and then the former owner, which names the next owner by now. Guards
-/// against a refusal because the next owner has been asked already. A target that cannot be reached
-/// is still ruled out.
+/// A node is stopped as planned on a busy machine. A call first asks the next owner of its slot,
+/// which has not read the row yet and knows of no owner. It then asks the former owner, which names
+/// the next one. Guards against a refusal of the call because the next owner has been asked
+/// already. A target that cannot be reached is still ruled out.
 #[rstest]
 fn a_target_that_knew_no_owner_may_be_named_as_one_later() {
     let mut search = OwnerSearch::default();
