--- a/src/admission/root_level.rs
+++ b/src/admission/root_level.rs
@@ -220,12 +220,12 @@
         sum + self.demand.get(whole).map_or(0.0, |demand| demand * part)
     }
 
-    /// The level that admits `admitted` of the demand, in requests per window.
-    fn level_for_demand(&self, admitted: f32) -> f32 {
+    /// The level that admits up to `max_demand` requests per window.
+    fn level_for_demand(&self, max_demand: f32) -> f32 {
         let mut sum = 0.0;
         for (class, demand) in self.demand.iter().enumerate() {
-            if sum + demand > admitted {
-                let part = (admitted - sum) / demand;
+            if sum + demand > max_demand {
+                let part = (max_demand - sum) / demand;
                 return (class as f32 + part).max(MIN_LEVEL);
             }
             sum += demand;
--- a/src/admission/route_origins.rs
+++ b/src/admission/route_origins.rs
@@ -5,8 +5,8 @@
 use crate::core::RouteOrigin;
 
 /// If callers used the route, this many calls from a service would be expected by now. If none has
-/// come, callers do not use the route. The proof is wrong by chance in one of some 160,000 cases.
-/// It has to be that rare, because every guard evaluates every route anew after each start.
+/// come, callers do not use the route. This conclusion is wrong by chance in one of some 160,000
+/// cases. That has to be so rare, because every guard evaluates every route anew after each start.
 const MIN_EXPECTED_CALLS: f32 = 12.0;
 /// The same for a route that is known to be used by callers. An entry that refuses nearly all of
 /// them sends no calls either, for as long as an overload lasts.
--- a/tests/admission_origins.rs
+++ b/tests/admission_origins.rs
@@ -23,12 +23,12 @@
     let mut origins = RouteOrigins::default();
     let route = Name::from("r");
     let total: f32 = callers.iter().map(|index| shares[*index].1).sum();
-    let all_serving = |(name, share): &(Name, f32)| CallingService {
+    let to_service = |(name, share): &(Name, f32)| CallingService {
         service: name.clone(),
         share: *share,
         all_serving: true,
     };
-    let services: Vec<CallingService> = shares.iter().map(all_serving).collect();
+    let services: Vec<CallingService> = shares.iter().map(to_service).collect();
     let mut verdict = None;
     for _ in 0..calls {
         let mut draw = random.f32() * total;
@@ -57,12 +57,12 @@
 
 /// The same services, with all their nodes up.
 fn all_serving_services() -> Vec<CallingService> {
-    let all_serving = |(service, share)| CallingService {
+    let to_service = |(service, share)| CallingService {
         service,
         share,
         all_serving: true,
     };
-    shares().into_iter().map(all_serving).collect()
+    shares().into_iter().map(to_service).collect()
 }
 
 #[rstest]
@@ -160,8 +160,8 @@
     let mut verdict = None;
     for step in 0..2_000 {
         let same_domain = local_every > 0 && step % local_every == 0;
-        // From other domains only one service calls; in the own domain, callers beside both
-        // services do.
+        // From other domains only one service calls. In the own domain, callers call through
+        // nodes of both services.
         let index = if same_domain {
             step / local_every % 2
         } else {
