--- a/src/node/gate.rs
+++ b/src/node/gate.rs
@@ -11,8 +11,8 @@
 use crate::admission::Admission;
 use crate::admission::AdmissionConf;
 use crate::admission::Completion;
-use crate::admission::Offer;
-use crate::admission::QueuedCall;
+use crate::admission::OfferDecision;
+use crate::admission::OfferedCall;
 use crate::core::Clock;
 use crate::core::FastMap;
 use crate::core::Priority;
@@ -76,7 +76,7 @@
     ///
     /// # Errors
     /// The refusal, at once when admission decides so.
-    pub(crate) async fn admit(self: &Arc<Self>, mut call: QueuedCall) -> Word {
+    pub(crate) async fn admit(self: &Arc<Self>, mut call: OfferedCall) -> Word {
         let (_waiting, word) = {
             let mut state = self.lock();
             state.next_ticket += 1;
@@ -85,9 +85,9 @@
                 return Ok(self.permit(&mut state, call.ticket));
             }
             match state.admission.offer(self.clock.now(), call) {
-                Offer::Run => return Ok(self.permit(&mut state, call.ticket)),
-                Offer::Refuse(refusal) => return Err(refusal),
-                Offer::Wait => {}
+                OfferDecision::Run => return Ok(self.permit(&mut state, call.ticket)),
+                OfferDecision::Refuse(refusal) => return Err(refusal),
+                OfferDecision::Wait => {}
             }
             let (tell, told) = oneshot::channel();
             let class = call.priority.class();
@@ -141,7 +141,7 @@
 
     /// Calls turned away for the rate of the backend server so far.
     pub(crate) fn turned_away(&self) -> u64 {
-        self.lock().admission.turned_away()
+        self.lock().admission.rate_limited_calls()
     }
 
     /// Takes over how many classes the preset in force has.
@@ -165,8 +165,8 @@
     }
 
     /// Says whether a service that the backend server calls is the bottleneck.
-    pub(crate) fn set_deep_pressed(&self, is_pressed: bool) {
-        self.lock().admission.set_deep_pressed(is_pressed);
+    pub(crate) fn set_downstream_overloaded(&self, is_pressed: bool) {
+        self.lock().admission.set_downstream_overloaded(is_pressed);
     }
 
     /// First-hand figures.
--- a/src/traffic/root_admission.rs
+++ b/src/traffic/root_admission.rs
@@ -4,7 +4,7 @@
 use std::sync::MutexGuard;
 use std::sync::PoisonError;
 
-use crate::admission::PressedService;
+use crate::admission::OverloadedService;
 use crate::admission::Pressure;
 use crate::admission::Pressures;
 use crate::admission::RootControl;
@@ -45,7 +45,8 @@
                 learnt.control.note(now, service, permille);
             }
             None => {
-                if let Some(service) = learnt.pressures.pressed_service(service, route).cloned() {
+                if let Some(service) = learnt.pressures.overloaded_service(service, route).cloned()
+                {
                     learnt.control.note(now, &service, 0);
                 }
             }
@@ -78,38 +79,38 @@
         priority: Priority,
     ) -> bool {
         let mut learnt = self.lock();
-        let Some(pressed) = learnt.pressures.pressed_service(service, route).cloned() else {
+        let Some(pressed) = learnt.pressures.overloaded_service(service, route).cloned() else {
             return true;
         };
         learnt.control.may_pass(now, &pressed, priority)
     }
 
     /// The service for whose sake requests on a route are refused; `None` while all are let in.
-    pub(super) fn pressed_behind(&self, service: &str, route: &str) -> Option<PressedService> {
+    pub(super) fn pressed_behind(&self, service: &str, route: &str) -> Option<OverloadedService> {
         let learnt = self.lock();
-        let behind = learnt.pressures.pressed_service(service, route)?;
-        let mut pressed = learnt.control.pressed();
+        let behind = learnt.pressures.overloaded_service(service, route)?;
+        let mut pressed = learnt.control.overloaded();
         pressed.find(|pressed| pressed.service == *behind)
     }
 
     /// All services for whose sake requests are refused.
-    pub(super) fn pressed(&self) -> Vec<PressedService> {
-        self.lock().control.pressed().collect()
+    pub(super) fn pressed(&self) -> Vec<OverloadedService> {
+        self.lock().control.overloaded().collect()
     }
 
     /// The pressure to tell with an answer on `route` of the local service.
     pub(super) fn on_answer(&self, now: TimeMs, route: &str, own: Pressure) -> Option<Pressure> {
-        self.lock().pressures.on_answer(now, route, own)
+        self.lock().pressures.for_answer(now, route, own)
     }
 
     /// The services that work on `route` of the local service may call.
     pub(super) fn services_behind(&self, now: TimeMs, route: &str) -> Vec<Name> {
-        self.lock().pressures.services_behind(now, route)
+        self.lock().pressures.downstream_services(now, route)
     }
 
     /// The highest pressure behind any of these routes of the local service.
     pub(super) fn deepest_permille(&self, now: TimeMs, routes: &[Name]) -> u32 {
-        self.lock().pressures.deepest_permille(now, routes)
+        self.lock().pressures.max_downstream_permille(now, routes)
     }
 
     /// Logs for whose sake requests are refused at present.
--- a/src/traffic/traffic.rs
+++ b/src/traffic/traffic.rs
@@ -26,9 +26,9 @@
 use crate::metrics::Metrics;
 use crate::node::gate::Gate;
 use crate::node::targets::Targets;
-use crate::routing::FailingShare;
+use crate::routing::FailureRate;
 use crate::routing::PickerConf;
-use crate::routing::Spill;
+use crate::routing::SpillPolicy;
 use crate::traffic::DesiredInForce;
 use crate::traffic::KnownServer;
 use crate::traffic::LiveSettings;
@@ -73,9 +73,9 @@
 
 fn admission_conf() -> AdmissionConf {
     AdmissionConf {
-        learns_from_time: false,
+        adapts_limit: false,
         queue_percent: QUEUE_PERCENT,
-        queue_least: 128,
+        min_queue: 128,
         wait_target_ms: WAIT_TARGET_MS,
         ..AdmissionConf::default()
     }
@@ -83,11 +83,11 @@
 
 fn picker_conf() -> PickerConf {
     PickerConf {
-        spill: Spill::ByWait {
+        spill: SpillPolicy::ByWait {
             wait_ms: SPILL_WAIT_MS,
             large_wait_ms: SPILL_LARGE_WAIT_MS,
         },
-        by_finish: true,
+        by_completion_time: true,
         ..PickerConf::default()
     }
 }
@@ -152,7 +152,7 @@
     live: Published<LiveSettings>,
     local: Mutex<LocalServer>,
     told_words: Mutex<ToldWords>,
-    failing: Mutex<FailingShare>,
+    failing: Mutex<FailureRate>,
     requests: AtomicUsize,
     /// The version of the desired state by which the gate is bounded.
     bounded_at: AtomicU64,
@@ -262,7 +262,7 @@
         self.failing().permille(now)
     }
 
-    fn failing(&self) -> MutexGuard<'_, FailingShare> {
+    fn failing(&self) -> MutexGuard<'_, FailureRate> {
         self.failing.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/tests/traffic_rate_fleet.rs
+++ b/tests/traffic_rate_fleet.rs
@@ -7,11 +7,11 @@
 use sassafrasgap::admission::Action;
 use sassafrasgap::admission::Admission;
 use sassafrasgap::admission::AdmissionConf;
+use sassafrasgap::admission::AdvertisedRate;
+use sassafrasgap::admission::CallOutcome;
 use sassafrasgap::admission::Completion;
-use sassafrasgap::admission::Offer;
-use sassafrasgap::admission::QueuedCall;
-use sassafrasgap::admission::RateWord;
-use sassafrasgap::admission::Verdict;
+use sassafrasgap::admission::OfferDecision;
+use sassafrasgap::admission::OfferedCall;
 use sassafrasgap::core::Name;
 use sassafrasgap::core::Priority;
 use sassafrasgap::core::TimeMs;
@@ -55,7 +55,7 @@
 impl Guard {
     fn started(now: TimeMs, seed: u64) -> Self {
         let conf = AdmissionConf {
-            learns_from_time: false,
+            adapts_limit: false,
             ..AdmissionConf::default()
         };
         let mut admission = Admission::new(conf, seed);
@@ -177,7 +177,7 @@
         }
         self.next_ticket += 1;
         let ticket = self.next_ticket;
-        let call = QueuedCall {
+        let call = OfferedCall {
             ticket,
             priority: Priority::new(1, 0),
             depth: 0,
@@ -186,14 +186,14 @@
             deadline: now + 3_000,
         };
         match self.guard.admission.offer(now, call) {
-            Offer::Run => {
+            OfferDecision::Run => {
                 self.guard.calls.insert(ticket, (entry, None));
                 self.start(ticket);
             }
-            Offer::Wait => {
+            OfferDecision::Wait => {
                 self.guard.calls.insert(ticket, (entry, None));
             }
-            Offer::Refuse(_) => {
+            OfferDecision::Refuse(_) => {
                 let word = self.guard.local.word();
                 self.at(WAY_MS, Event::Returns(entry, word, false));
             }
@@ -231,9 +231,9 @@
             return;
         };
         let word = if self.names_rate() {
-            RateWord::PerS(self.per_s)
+            AdvertisedRate::PerSecond(self.per_s)
         } else {
-            RateWord::Absent
+            AdvertisedRate::Absent
         };
         let incarnation = Name::from("i-1");
         self.guard.local.note_rate(now, &incarnation, sent_at, word);
@@ -242,7 +242,7 @@
         let completion = Completion {
             service_us: RUN_MS * 1_000,
             child_us: 0,
-            verdict: Verdict::Ok,
+            outcome: CallOutcome::Ok,
         };
         admission.complete(now, ticket, completion);
         let word = self.guard.local.word();
