--- a/src/control/command.rs
+++ b/src/control/command.rs
@@ -9,7 +9,7 @@
 use crate::core::RouteOrigin;
 use crate::core::Target;
 use crate::core::TargetState;
-use crate::membership::ExchangeAsk;
+use crate::membership::ExchangeRequest;
 
 /// One request, handled in the order of arrival.
 #[derive(Debug)]
@@ -44,7 +44,7 @@
     AddSeeds(Vec<SocketAddr>),
     /// A peer asks for what it lacks of the members.
     Exchange {
-        ask: ExchangeAsk,
+        ask: ExchangeRequest,
         answer: oneshot::Sender<Vec<Target>>,
     },
     /// The answer to an exchange that this node asked for.
--- a/src/control/peer_clients.rs
+++ b/src/control/peer_clients.rs
@@ -30,7 +30,7 @@
 use crate::core::Target;
 use crate::core::TimeMs;
 use crate::errors::PeerCallError;
-use crate::membership::ExchangeAsk;
+use crate::membership::ExchangeRequest;
 
 /// Connections kept; the one unused for longest goes first.
 const MAX_CLIENTS: usize = 32;
@@ -86,7 +86,7 @@
     pub async fn exchange_members(
         &self,
         address: SocketAddr,
-        ask: ExchangeAsk,
+        ask: ExchangeRequest,
     ) -> Result<Vec<Target>, PeerCallError> {
         self.call(address, CALL_TIMEOUT_MS, move |client, context| {
             let ask = ask.clone();
--- a/src/control/peer_server.rs
+++ b/src/control/peer_server.rs
@@ -25,7 +25,7 @@
 use super::peer_transport;
 use crate::core::AttemptId;
 use crate::core::Target;
-use crate::membership::ExchangeAsk;
+use crate::membership::ExchangeRequest;
 
 /// Requests of one connection that are worked on at once; further ones wait in the socket.
 const MAX_CONCURRENT_CALLS: usize = 32;
@@ -68,7 +68,7 @@
 }
 
 impl PeerControl for PeerServer {
-    async fn exchange_members(self, _: Context, ask: ExchangeAsk) -> Vec<Target> {
+    async fn exchange_members(self, _: Context, ask: ExchangeRequest) -> Vec<Target> {
         let (answer, answered) = oneshot::channel();
         let command = Command::Exchange { ask, answer };
         if self.commands.send(command).is_err() {
--- a/src/control/peer_service.rs
+++ b/src/control/peer_service.rs
@@ -6,7 +6,7 @@
 use crate::core::AttemptId;
 use crate::core::Name;
 use crate::core::Target;
-use crate::membership::ExchangeAsk;
+use crate::membership::ExchangeRequest;
 use crate::poison::CrashReport;
 
 /// What a guard knows of an attempt, when its sender asks over a new connection because the old
@@ -83,7 +83,7 @@
 #[tarpc::service]
 pub trait PeerControl {
     /// Tells what is known of members where the caller holds something else.
-    async fn exchange_members(ask: ExchangeAsk) -> Vec<Target>;
+    async fn exchange_members(ask: ExchangeRequest) -> Vec<Target>;
     /// The configuration in force here, if its version is higher than `above`.
     async fn config_above(above: u64) -> Option<ConfigDocument>;
     /// What became of an attempt; an attempt that was never seen is revoked by asking.
--- a/src/membership/exchange.rs
+++ b/src/membership/exchange.rs
@@ -32,7 +32,7 @@
 /// the square of the nodes. It holds because only what differs is told, by buckets of members.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct ExchangeAsk {
+pub struct ExchangeRequest {
     /// What the asker says of itself.
     pub own: Target,
     /// How many members the asker takes to be alive.
@@ -43,8 +43,8 @@
 
 impl Membership {
     /// What to ask a peer with for an exchange.
-    pub fn exchange_ask(&self) -> ExchangeAsk {
-        ExchangeAsk {
+    pub fn exchange_ask(&self) -> ExchangeRequest {
+        ExchangeRequest {
             own: self.own.clone(),
             members: self.table.alive() as u32,
             digests: self.table.buckets().to_vec(),
@@ -57,7 +57,7 @@
         &mut self,
         now: TimeMs,
         from: SocketAddr,
-        ask: &ExchangeAsk,
+        ask: &ExchangeRequest,
     ) -> (Vec<Target>, Vec<Action>) {
         let ours = self.table.buckets();
         let differs = |member: &&Member| {
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -37,7 +37,7 @@
 pub use datagram::Header;
 pub use datagram::HeardDomain;
 pub use datagram::Update;
-pub use exchange::ExchangeAsk;
+pub use exchange::ExchangeRequest;
 pub use member::Member;
 pub use member::Standing;
 pub use member_table::Applied;
--- a/tests/membership_net/mod.rs
+++ b/tests/membership_net/mod.rs
@@ -22,7 +22,7 @@
 use sassafrasgap::core::TimeMs;
 use sassafrasgap::membership::Action;
 use sassafrasgap::membership::Datagram;
-use sassafrasgap::membership::ExchangeAsk;
+use sassafrasgap::membership::ExchangeRequest;
 use sassafrasgap::membership::Membership;
 use sassafrasgap::membership::MembershipSettings;
 use sassafrasgap::membership::encode_datagram;
@@ -41,7 +41,7 @@
 enum Event {
     Tick(usize),
     Deliver(usize, SocketAddr, Box<Datagram>),
-    AskExchange(usize, SocketAddr, ExchangeAsk),
+    AskExchange(usize, SocketAddr, ExchangeRequest),
     AnswerExchange(usize, SocketAddr, Vec<Target>),
 }
 
