--- a/src/control/control_loop.rs
+++ b/src/control/control_loop.rs
@@ -241,7 +241,7 @@
     }
 
     fn exchange(&self, with: SocketAddr) {
-        let ask = self.membership.exchange_ask();
+        let ask = self.membership.exchange_request();
         let clients = self.clients.clone();
         let commands = self.own_commands.clone();
         tokio::spawn(async move {
--- a/src/membership/exchange.rs
+++ b/src/membership/exchange.rs
@@ -43,7 +43,7 @@
 
 impl Membership {
     /// What to ask a peer with for an exchange.
-    pub fn exchange_ask(&self) -> ExchangeRequest {
+    pub fn exchange_request(&self) -> ExchangeRequest {
         ExchangeRequest {
             own: self.own.clone(),
             members: self.table.alive() as u32,
--- a/tests/membership_bounds.rs
+++ b/tests/membership_bounds.rs
@@ -170,11 +170,11 @@
     let own = target(1, TargetState::Starting);
     let settings = MembershipSettings::default();
     let mut restarted = Membership::new(own, Vec::new(), settings, Rng::with_seed(5), START);
-    let ask = restarted.exchange_ask();
+    let ask = restarted.exchange_request();
     let (told, _) = peer.answer_exchange(START, address_of(1), &ask);
     restarted.merge(START, address_of(0), &told);
     assert!(restarted.own().incarnation > 1 << 40);
-    let (told, _) = peer.answer_exchange(START, address_of(1), &restarted.exchange_ask());
+    let (told, _) = peer.answer_exchange(START, address_of(1), &restarted.exchange_request());
     assert!(
         told.iter()
             .all(|target| target.node != restarted.own().node)
--- a/tests/membership_net/mod.rs
+++ b/tests/membership_net/mod.rs
@@ -343,7 +343,7 @@
                     self.nodes[index].member.view();
                 }
                 Action::Exchange { with } => {
-                    let ask = self.nodes[index].member.exchange_ask();
+                    let ask = self.nodes[index].member.exchange_request();
                     self.send_call(index, with, ask, Event::AskExchange);
                 }
                 Action::ConfigNews { from, version, .. } => {
