--- a/src/capacity/gossip_cost.rs
+++ b/src/capacity/gossip_cost.rs
@@ -14,7 +14,7 @@
 use crate::membership::Body;
 use crate::membership::Datagram;
 use crate::membership::Header;
-use crate::membership::HeardDomain;
+use crate::membership::DomainContact;
 use crate::membership::Membership;
 use crate::membership::MembershipSettings;
 use crate::membership::encode_datagram;
@@ -178,7 +178,7 @@
         }
         let mut header = datagram.header.clone();
         for heard in &mut header.heard {
-            *heard = HeardDomain {
+            *heard = DomainContact {
                 age_tenths: HEARD_TENTHS,
                 ..*heard
             };
--- a/src/capacity/protocol_sizes.rs
+++ b/src/capacity/protocol_sizes.rs
@@ -14,7 +14,7 @@
 use crate::membership::Datagram;
 use crate::membership::FixedDigest;
 use crate::membership::Header;
-use crate::membership::HeardDomain;
+use crate::membership::DomainContact;
 use crate::membership::Update;
 use crate::membership::encode_datagram;
 use crate::membership::encoded_bytes;
@@ -82,7 +82,7 @@
 }
 
 fn datagram(body: Body, heard_domains: usize) -> Vec<u8> {
-    let heard = HeardDomain {
+    let heard = DomainContact {
         domain_hash: 1,
         age_tenths: 10,
     };
--- a/src/membership/datagram.rs
+++ b/src/membership/datagram.rs
@@ -40,13 +40,13 @@
     #[serde(with = "postcard::fixint::le")]
     pub slot_maps_digest: u32,
     /// How long ago each failure domain last answered; only sent inside a failure domain.
-    pub heard: Vec<HeardDomain>,
+    pub heard: Vec<DomainContact>,
 }
 
 /// How long ago a failure domain answered somebody of the sender's own domain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct HeardDomain {
+pub struct DomainContact {
     /// The hash of the domain's name: two bytes do, as there are few domains.
     #[serde(with = "postcard::fixint::le")]
     pub domain_hash: u16,
--- a/src/membership/domain_watch.rs
+++ b/src/membership/domain_watch.rs
@@ -1,6 +1,6 @@
 //! When each failure domain was last known to answer.
 
-use super::HeardDomain;
+use super::DomainContact;
 use super::age_tenths::age_tenths;
 use super::age_tenths::moment_of;
 use super::digest::domain_hash;
@@ -65,7 +65,7 @@
 
     /// Takes in what a member of the own domain knows. Returns the domains that had not answered
     /// for longer than `silent_ms`.
-    pub fn merge(&mut self, heard: &[HeardDomain], now: TimeMs, silent_ms: u64) -> Vec<Name> {
+    pub fn merge(&mut self, heard: &[DomainContact], now: TimeMs, silent_ms: u64) -> Vec<Name> {
         let mut heard_again = Vec::new();
         for (domain, watched) in &mut self.domains {
             let mut about_it = heard.iter().filter(|h| h.domain_hash == watched.hash);
@@ -86,11 +86,11 @@
     }
 
     /// The ages to send to members of the own domain.
-    pub fn ages(&self, now: TimeMs) -> Vec<HeardDomain> {
+    pub fn ages(&self, now: TimeMs) -> Vec<DomainContact> {
         self.domains
             .values()
             .filter_map(|watched| {
-                watched.answered.map(|answered| HeardDomain {
+                watched.answered.map(|answered| DomainContact {
                     domain_hash: watched.hash,
                     age_tenths: age_tenths(answered, now),
                 })
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -35,7 +35,7 @@
 pub use datagram::Datagram;
 pub use datagram::FixedDigest;
 pub use datagram::Header;
-pub use datagram::HeardDomain;
+pub use datagram::DomainContact;
 pub use datagram::Update;
 pub use exchange::ExchangeRequest;
 pub use member::Member;
