--- a/src/control/control_loop.rs
+++ b/src/control/control_loop.rs
@@ -186,7 +186,7 @@
                 Action::Send { to, datagram } => self.send(to, &datagram),
                 Action::Publish => self.publish(),
                 Action::Exchange { with } => self.exchange(with),
-                Action::ConfigNews {
+                Action::NewerConfig {
                     from,
                     version,
                     is_near,
--- a/src/membership/action.rs
+++ b/src/membership/action.rs
@@ -17,7 +17,7 @@
     /// Exchange all members with this node over a control call and merge the answer.
     Exchange { with: SocketAddr },
     /// The node at this address, of the own failure domain or not, has a newer configuration in force.
-    ConfigNews {
+    NewerConfig {
         from: SocketAddr,
         version: u64,
         is_near: bool,
--- a/src/membership/receive.rs
+++ b/src/membership/receive.rs
@@ -201,7 +201,7 @@
             return;
         }
         *last = now;
-        actions.push(Action::ConfigNews {
+        actions.push(Action::NewerConfig {
             from,
             version: header.config_version,
             is_near,
--- a/tests/membership_net/mod.rs
+++ b/tests/membership_net/mod.rs
@@ -346,7 +346,7 @@
                     let ask = self.nodes[index].member.exchange_request();
                     self.send_call(index, with, ask, Event::AskExchange);
                 }
-                Action::ConfigNews { from, version, .. } => {
+                Action::NewerConfig { from, version, .. } => {
                     self.nodes[index].config_news.push((from, version));
                     // Fetching the configuration is a call that succeeds.
                     self.nodes[index].member.set_config_version(version);
