--- a/src/control/control_loop.rs
+++ b/src/control/control_loop.rs
@@ -192,7 +192,7 @@
                     is_near,
                 } => (self.handlers.config_news)(from, version, is_near),
                 Action::StoreEra { era } => (self.handlers.store_era)(era),
-                Action::SlotMapNews {
+                Action::NewerSlotMap {
                     from,
                     service,
                     version,
--- a/src/membership/action.rs
+++ b/src/membership/action.rs
@@ -25,7 +25,7 @@
     /// The store has a newer era than was known here.
     StoreEra { era: u64 },
     /// The node at this address knows a newer slot map of a service.
-    SlotMapNews {
+    NewerSlotMap {
         from: SocketAddr,
         service: Name,
         version: u64,
--- a/src/membership/receive.rs
+++ b/src/membership/receive.rs
@@ -151,7 +151,7 @@
         now: TimeMs,
     ) -> Option<Action> {
         let is_news = self.slot_maps.take_news(service, version, now);
-        is_news.then(|| Action::SlotMapNews {
+        is_news.then(|| Action::NewerSlotMap {
             from,
             service: service.clone(),
             version,
--- a/tests/membership_net/mod.rs
+++ b/tests/membership_net/mod.rs
@@ -351,7 +351,7 @@
                     // Fetching the configuration is a call that succeeds.
                     self.nodes[index].member.set_config_version(version);
                 }
-                Action::SlotMapNews {
+                Action::NewerSlotMap {
                     service, version, ..
                 } => {
                     let node = &mut self.nodes[index];
