--- a/src/control/control_loop.rs
+++ b/src/control/control_loop.rs
@@ -146,7 +146,7 @@
                 self.membership.raise_store_era(era);
             }
             Command::TellAllowances { to, message } => {
-                let actions = self.membership.tell_allowances(&to, message, now);
+                let actions = self.membership.send_allowances(&to, message, now);
                 self.act(actions);
             }
             Command::AddSeeds(seeds) => self.join(&seeds),
--- a/src/membership/spread.rs
+++ b/src/membership/spread.rs
@@ -135,7 +135,7 @@
     }
 
     /// Tells a member of accounts' allowances; to one that is not known nothing is sent.
-    pub fn tell_allowances(
+    pub fn send_allowances(
         &mut self,
         to: &Name,
         message: AllowanceMessage,
