--- a/src/membership/exchange.rs
+++ b/src/membership/exchange.rs
@@ -8,7 +8,7 @@
 use super::Action;
 use super::Member;
 use super::Membership;
-use super::Standing;
+use super::Liveness;
 use super::Update;
 use super::digest::bucket_of;
 use crate::core::Target;
@@ -130,7 +130,7 @@
 /// What is told of a member.
 fn as_told(member: &Member) -> Target {
     let mut target = member.own.clone();
-    if member.standing == Standing::Dead {
+    if member.liveness == Liveness::Dead {
         target.state = TargetState::Dead;
     }
     target
--- a/src/membership/member.rs
+++ b/src/membership/member.rs
@@ -8,9 +8,9 @@
 
 /// What others say about a member, on top of what it says of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
+pub enum Liveness {
     /// Nobody doubts it.
-    Trusted,
+    Alive,
     /// It did not answer; the suspicion began at this time of the local clock. It is first hand
     /// when a probe of this node's own failed.
     Suspected { since: TimeMs, first_hand: bool },
@@ -23,10 +23,10 @@
 pub struct Member {
     /// What the node said of itself last.
     pub own: Target,
-    pub standing: Standing,
+    pub liveness: Liveness,
     /// When this record last changed here.
     pub changed: TimeMs,
-    /// The record as it is published: `own` with the state that follows from the standing.
+    /// The record as it is published: `own` with the state that follows from the liveness.
     pub published: Arc<Target>,
 }
 
@@ -36,19 +36,19 @@
         Self {
             published: Arc::new(own.clone()),
             own,
-            standing: Standing::Trusted,
+            liveness: Liveness::Alive,
             changed: now,
         }
     }
 
     /// Gone for good, as far as is known: dead, or departed by its own word.
     pub fn is_tombstone(&self) -> bool {
-        self.standing == Standing::Dead || self.own.state == TargetState::Left
+        self.liveness == Liveness::Dead || self.own.state == TargetState::Left
     }
 
-    /// Changes the standing and what is published with it.
-    pub fn set_standing(&mut self, standing: Standing, now: TimeMs) {
-        self.standing = standing;
+    /// Changes the liveness and what is published with it.
+    pub fn set_liveness(&mut self, liveness: Liveness, now: TimeMs) {
+        self.liveness = liveness;
         self.changed = now;
         let mut published = self.own.clone();
         published.state = self.effective_state();
@@ -58,10 +58,10 @@
     /// The state that others should act on. A suspect that said it drains is still draining:
     /// suspicion must not make it look as if it took work.
     fn effective_state(&self) -> TargetState {
-        match (self.standing, self.own.state) {
+        match (self.liveness, self.own.state) {
             (_, TargetState::Left) => TargetState::Left,
-            (Standing::Dead, _) => TargetState::Dead,
-            (Standing::Suspected { .. }, TargetState::Up) => TargetState::Suspect,
+            (Liveness::Dead, _) => TargetState::Dead,
+            (Liveness::Suspected { .. }, TargetState::Up) => TargetState::Suspect,
             (_, own) => own,
         }
     }
--- a/src/membership/member_table.rs
+++ b/src/membership/member_table.rs
@@ -2,7 +2,7 @@
 
 use super::Member;
 use super::MembershipSettings;
-use super::Standing;
+use super::Liveness;
 use super::Update;
 use super::digest::BUCKETS;
 use super::digest::bucket_of;
@@ -116,14 +116,14 @@
         match update {
             Update::Own(target) => self.apply_own(target, now, settings),
             Update::Suspect { node, incarnation } => {
-                let suspected = Standing::Suspected {
+                let suspected = Liveness::Suspected {
                     since: now,
                     first_hand: false,
                 };
-                self.apply_standing(node, *incarnation, suspected, now)
+                self.apply_liveness(node, *incarnation, suspected, now)
             }
             Update::Dead { node, incarnation } => {
-                self.apply_standing(node, *incarnation, Standing::Dead, now)
+                self.apply_liveness(node, *incarnation, Liveness::Dead, now)
             }
             Update::SlotMap { .. } | Update::RouteUse { .. } => Applied::Known,
         }
@@ -138,8 +138,8 @@
         match self.members.get(&own.node) {
             Some(held) if held.own.incarnation > own.incarnation => return Applied::Stale,
             Some(held) if held.own.incarnation == own.incarnation => {
-                return match held.standing {
-                    Standing::Dead => Applied::Stale,
+                return match held.liveness {
+                    Liveness::Dead => Applied::Stale,
                     _ => Applied::Known,
                 };
             }
@@ -150,11 +150,11 @@
         Applied::Newer
     }
 
-    fn apply_standing(
+    fn apply_liveness(
         &mut self,
         node: &str,
         incarnation: u64,
-        standing: Standing,
+        liveness: Liveness,
         now: TimeMs,
     ) -> Applied {
         let Some(held) = self.members.get(node) else {
@@ -166,20 +166,20 @@
         // A suspicion of an incarnation not heard of yet cannot be placed; the node's own word on
         // that incarnation will come.
         let departed = held.own.state == TargetState::Left;
-        if held.own.incarnation < incarnation || departed || held.standing == Standing::Dead {
+        if held.own.incarnation < incarnation || departed || held.liveness == Liveness::Dead {
             return Applied::Known;
         }
-        if standing != Standing::Dead && held.standing != Standing::Trusted {
+        if liveness != Liveness::Dead && held.liveness != Liveness::Alive {
             return Applied::Known;
         }
-        self.set_standing(node, standing, now);
+        self.set_liveness(node, liveness, now);
         Applied::Newer
     }
 
     /// Changes what is said of a member.
-    pub fn set_standing(&mut self, node: &str, standing: Standing, now: TimeMs) {
+    pub fn set_liveness(&mut self, node: &str, liveness: Liveness, now: TimeMs) {
         if let Some(mut member) = self.members.get(node).cloned() {
-            member.set_standing(standing, now);
+            member.set_liveness(liveness, now);
             self.replace(member, now);
         }
     }
@@ -188,7 +188,7 @@
     pub fn restart_suspicions(&mut self, now: TimeMs) {
         for node in &self.suspects {
             if let Some(member) = self.members.get_mut(node) {
-                member.standing = Standing::Suspected {
+                member.liveness = Liveness::Suspected {
                     since: now,
                     first_hand: false,
                 };
@@ -231,8 +231,8 @@
     fn replace(&mut self, member: Member, now: TimeMs) {
         let digest_before = self.digest;
         let node = member.own.node.clone();
-        match member.standing {
-            Standing::Suspected { .. } => self.suspects.insert(node.clone()),
+        match member.liveness {
+            Liveness::Suspected { .. } => self.suspects.insert(node.clone()),
             _ => self.suspects.remove(&node),
         };
         self.count(&member, 1);
@@ -269,7 +269,7 @@
 
 /// What is held of a member, to be told to somebody who holds less.
 pub fn record_of(member: &Member) -> Update {
-    if member.standing == Standing::Dead {
+    if member.liveness == Liveness::Dead {
         return Update::Dead {
             node: member.own.node.clone(),
             incarnation: member.own.incarnation,
--- a/src/membership/membership.rs
+++ b/src/membership/membership.rs
@@ -13,7 +13,7 @@
 use super::ProbeRing;
 use super::Probes;
 use super::SlotMapVersions;
-use super::Standing;
+use super::Liveness;
 use super::Update;
 use super::UpdateQueue;
 use super::ViewBuilder;
@@ -324,10 +324,10 @@
         self.queue.push(Update::Own(self.own.clone()), true);
     }
 
-    pub(super) fn set_standing(&mut self, member: &Member, standing: Standing, now: TimeMs) {
+    pub(super) fn set_liveness(&mut self, member: &Member, liveness: Liveness, now: TimeMs) {
         self.view
             .note(&member.own.node, [&member.own.service].into_iter());
-        self.table.set_standing(&member.own.node, standing, now);
+        self.table.set_liveness(&member.own.node, liveness, now);
     }
 
     /// A paused process heard nobody. Without this guard it would, on resuming, take everybody
@@ -348,7 +348,7 @@
     pub(super) fn is_usable(&self, member: &Member) -> bool {
         !member.is_tombstone()
             && member.own.node != self.own.node
-            && member.standing == Standing::Trusted
+            && member.liveness == Liveness::Alive
             && !self.is_silent(&member.own.domain)
     }
 
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -39,7 +39,7 @@
 pub use datagram::Update;
 pub use exchange::ExchangeRequest;
 pub use member::Member;
-pub use member::Standing;
+pub use member::Liveness;
 pub use member_table::Applied;
 pub use member_table::MemberTable;
 pub use membership::Membership;
--- a/src/membership/probing.rs
+++ b/src/membership/probing.rs
@@ -8,7 +8,7 @@
 use super::MemberTable;
 use super::Membership;
 use super::Receiver;
-use super::Standing;
+use super::Liveness;
 use super::Update;
 use super::membership::PROBE_CYCLE;
 use crate::core::Name;
@@ -118,7 +118,7 @@
             return;
         }
         let address = member.own.control_address;
-        let standing = member.standing;
+        let liveness = member.liveness;
         let incarnation = member.own.incarnation;
         let member_is_near = is_near(member, &self.own);
         let judges = !self.is_silent(&member.own.domain);
@@ -129,8 +129,8 @@
             return;
         };
         let node = node.clone();
-        let told = match standing {
-            Standing::Suspected { .. } => vec![Update::Suspect { node, incarnation }],
+        let told = match liveness {
+            Liveness::Suspected { .. } => vec![Update::Suspect { node, incarnation }],
             _ => Vec::new(),
         };
         let receiver = Receiver {
--- a/src/membership/receive.rs
+++ b/src/membership/receive.rs
@@ -9,7 +9,7 @@
 use super::Header;
 use super::Membership;
 use super::Receiver;
-use super::Standing;
+use super::Liveness;
 use super::Update;
 use super::age_tenths::moment_of;
 use super::member_table::record_of;
@@ -235,11 +235,11 @@
         }
         let node = held.own.node.clone();
         let incarnation = held.own.incarnation;
-        match held.standing {
-            Standing::Suspected { .. } => Some(Update::Suspect { node, incarnation }),
-            Standing::Dead => Some(record_of(held)),
-            Standing::Trusted if incarnation > header.incarnation => Some(record_of(held)),
-            Standing::Trusted => None,
+        match held.liveness {
+            Liveness::Suspected { .. } => Some(Update::Suspect { node, incarnation }),
+            Liveness::Dead => Some(record_of(held)),
+            Liveness::Alive if incarnation > header.incarnation => Some(record_of(held)),
+            Liveness::Alive => None,
         }
     }
 
--- a/src/membership/suspicion.rs
+++ b/src/membership/suspicion.rs
@@ -7,7 +7,7 @@
 use super::Member;
 use super::Membership;
 use super::Receiver;
-use super::Standing;
+use super::Liveness;
 use super::Update;
 use crate::core::FastMap;
 use crate::core::Name;
@@ -70,14 +70,14 @@
             if member.is_tombstone() || self.is_silent(&member.own.domain) {
                 continue;
             }
-            match member.standing {
-                Standing::Suspected { since, .. } if probe.is_last => {
+            match member.liveness {
+                Liveness::Suspected { since, .. } if probe.is_last => {
                     self.bury(&member, since, now);
                 }
-                Standing::Suspected { since, .. } => {
+                Liveness::Suspected { since, .. } => {
                     let first_hand = true;
-                    let standing = Standing::Suspected { since, first_hand };
-                    self.table.set_standing(&probe.node, standing, now);
+                    let liveness = Liveness::Suspected { since, first_hand };
+                    self.table.set_liveness(&probe.node, liveness, now);
                 }
                 _ => self.suspect(&member, now, actions),
             }
@@ -87,11 +87,11 @@
     pub(super) fn suspect(&mut self, member: &Member, now: TimeMs, actions: &mut Vec<Action>) {
         let node = member.own.node.clone();
         log::debug!("gossip: suspect node={node} domain={}", member.own.domain);
-        let standing = Standing::Suspected {
+        let liveness = Liveness::Suspected {
             since: now,
             first_hand: true,
         };
-        self.set_standing(member, standing, now);
+        self.set_liveness(member, liveness, now);
         let incarnation = member.own.incarnation;
         let update = Update::Suspect { node, incarnation };
         self.queue.push(update.clone(), false);
@@ -104,8 +104,8 @@
     /// back. Those who only heard of the suspicion leave this to those who raised it, unless they
     /// are gone too.
     pub(super) fn probe_overdue_suspects(&mut self, now: TimeMs, actions: &mut Vec<Action>) {
-        let overdue = |member: &&Member| match member.standing {
-            Standing::Suspected { since, first_hand } => {
+        let overdue = |member: &&Member| match member.liveness {
+            Liveness::Suspected { since, first_hand } => {
                 let patience = if first_hand { 1 } else { HEARSAY_PATIENCE };
                 now.since(since) >= patience * self.settings.suspicion_ms
             }
@@ -127,20 +127,20 @@
         }
         let node = member.own.node.clone();
         log::info!("gossip: dead node={node} domain={}", member.own.domain);
-        self.set_standing(member, Standing::Dead, now);
+        self.set_liveness(member, Liveness::Dead, now);
         let incarnation = member.own.incarnation;
         self.queue.push(Update::Dead { node, incarnation }, true);
     }
 
     /// Notes that a suspect answered. It was told of the suspicion and will refute it.
     pub(super) fn hear_suspect(&mut self, node: &Name, now: TimeMs) {
-        let held = self.table.get(node).map(|member| member.standing);
-        if let Some(Standing::Suspected { .. }) = held {
-            let standing = Standing::Suspected {
+        let held = self.table.get(node).map(|member| member.liveness);
+        if let Some(Liveness::Suspected { .. }) = held {
+            let liveness = Liveness::Suspected {
                 since: now,
                 first_hand: false,
             };
-            self.table.set_standing(node, standing, now);
+            self.table.set_liveness(node, liveness, now);
         }
     }
 
@@ -174,7 +174,7 @@
             .cloned()
             .collect();
         for member in cleared {
-            self.set_standing(&member, Standing::Trusted, now);
+            self.set_liveness(&member, Liveness::Alive, now);
         }
     }
 }
