--- a/src/membership/exchange.rs
+++ b/src/membership/exchange.rs
@@ -61,7 +61,7 @@
     ) -> (Vec<Target>, Vec<Action>) {
         let ours = self.table.buckets();
         let differs = |member: &&Member| {
-            let bucket = bucket_of(&member.own.node);
+            let bucket = bucket_of(&member.record.node);
             ask.digests.get(bucket) != Some(&ours[bucket])
         };
         // Of itself the asker is told only what overrides its own word: what is held of an earlier process.
@@ -129,7 +129,7 @@
 
 /// What is told of a member.
 fn as_told(member: &Member) -> Target {
-    let mut target = member.own.clone();
+    let mut target = member.record.clone();
     if member.liveness == Liveness::Dead {
         target.state = TargetState::Dead;
     }
--- a/src/membership/member.rs
+++ b/src/membership/member.rs
@@ -22,20 +22,20 @@
 #[derive(Clone, Debug)]
 pub struct Member {
     /// What the node said of itself last.
-    pub own: Target,
+    pub record: Target,
     pub liveness: Liveness,
     /// When this record last changed here.
     pub changed: TimeMs,
-    /// The record as it is published: `own` with the state that follows from the liveness.
+    /// The record as it is published: `record` with the state that follows from the liveness.
     pub published: Arc<Target>,
 }
 
 impl Member {
     /// A trusted member from what it says of itself.
-    pub fn new(own: Target, now: TimeMs) -> Self {
+    pub fn new(record: Target, now: TimeMs) -> Self {
         Self {
-            published: Arc::new(own.clone()),
-            own,
+            published: Arc::new(record.clone()),
+            record,
             liveness: Liveness::Alive,
             changed: now,
         }
@@ -43,14 +43,14 @@
 
     /// Gone for good, as far as is known: dead, or departed by its own word.
     pub fn is_tombstone(&self) -> bool {
-        self.liveness == Liveness::Dead || self.own.state == TargetState::Left
+        self.liveness == Liveness::Dead || self.record.state == TargetState::Left
     }
 
     /// Changes the liveness and what is published with it.
     pub fn set_liveness(&mut self, liveness: Liveness, now: TimeMs) {
         self.liveness = liveness;
         self.changed = now;
-        let mut published = self.own.clone();
+        let mut published = self.record.clone();
         published.state = self.effective_state();
         self.published = Arc::new(published);
     }
@@ -58,7 +58,7 @@
     /// The state that others should act on. A suspect that said it drains is still draining:
     /// suspicion must not make it look as if it took work.
     fn effective_state(&self) -> TargetState {
-        match (self.liveness, self.own.state) {
+        match (self.liveness, self.record.state) {
             (_, TargetState::Left) => TargetState::Left,
             (Liveness::Dead, _) => TargetState::Dead,
             (Liveness::Suspected { .. }, TargetState::Up) => TargetState::Suspect,
--- a/src/membership/member_table.rs
+++ b/src/membership/member_table.rs
@@ -136,8 +136,8 @@
             return Applied::Stale;
         }
         match self.members.get(&own.node) {
-            Some(held) if held.own.incarnation > own.incarnation => return Applied::Stale,
-            Some(held) if held.own.incarnation == own.incarnation => {
+            Some(held) if held.record.incarnation > own.incarnation => return Applied::Stale,
+            Some(held) if held.record.incarnation == own.incarnation => {
                 return match held.liveness {
                     Liveness::Dead => Applied::Stale,
                     _ => Applied::Known,
@@ -160,13 +160,13 @@
         let Some(held) = self.members.get(node) else {
             return Applied::Known;
         };
-        if held.own.incarnation > incarnation {
+        if held.record.incarnation > incarnation {
             return Applied::Stale;
         }
         // A suspicion of an incarnation not heard of yet cannot be placed; the node's own word on
         // that incarnation will come.
-        let departed = held.own.state == TargetState::Left;
-        if held.own.incarnation < incarnation || departed || held.liveness == Liveness::Dead {
+        let departed = held.record.state == TargetState::Left;
+        if held.record.incarnation < incarnation || departed || held.liveness == Liveness::Dead {
             return Applied::Known;
         }
         if liveness != Liveness::Dead && held.liveness != Liveness::Alive {
@@ -202,7 +202,7 @@
             .members
             .values()
             .filter(|member| member.is_tombstone())
-            .map(|member| (member.changed, member.own.node.clone()))
+            .map(|member| (member.changed, member.record.node.clone()))
             .collect();
         tombstones.sort_unstable();
         let surplus = tombstones.len().saturating_sub(settings.max_tombstones);
@@ -223,14 +223,14 @@
     pub fn bucket_updates(&self, bucket: usize) -> Vec<Update> {
         self.members
             .values()
-            .filter(|member| bucket_of(&member.own.node) == bucket)
+            .filter(|member| bucket_of(&member.record.node) == bucket)
             .map(record_of)
             .collect()
     }
 
     fn replace(&mut self, member: Member, now: TimeMs) {
         let digest_before = self.digest;
-        let node = member.own.node.clone();
+        let node = member.record.node.clone();
         match member.liveness {
             Liveness::Suspected { .. } => self.suspects.insert(node.clone()),
             _ => self.suspects.remove(&node),
@@ -248,11 +248,11 @@
         if member.is_tombstone() {
             return;
         }
-        let digest = entry_digest(&member.own.node, member.own.incarnation);
+        let digest = entry_digest(&member.record.node, member.record.incarnation);
         self.digest ^= digest;
-        self.buckets[bucket_of(&member.own.node)] ^= digest;
+        self.buckets[bucket_of(&member.record.node)] ^= digest;
         self.alive = self.alive.saturating_add_signed(sign);
-        let domain = &member.own.domain;
+        let domain = &member.record.domain;
         let in_domain = self.alive_in(domain).saturating_add_signed(sign);
         match in_domain {
             0 => self.alive_by_domain.remove(domain),
@@ -271,9 +271,9 @@
 pub fn record_of(member: &Member) -> Update {
     if member.liveness == Liveness::Dead {
         return Update::Dead {
-            node: member.own.node.clone(),
-            incarnation: member.own.incarnation,
+            node: member.record.node.clone(),
+            incarnation: member.record.incarnation,
         };
     }
-    Update::Own(member.own.clone())
+    Update::Own(member.record.clone())
 }
--- a/src/membership/membership.rs
+++ b/src/membership/membership.rs
@@ -316,7 +316,7 @@
 
     fn put_own(&mut self, now: TimeMs) {
         let before = self.table.get(&self.own.node);
-        let service_before = before.map(|member| member.own.service.clone());
+        let service_before = before.map(|member| member.record.service.clone());
         let services = service_before.iter().chain([&self.own.service]);
         self.view.note(&self.own.node, services);
         self.table.put(self.own.clone(), now);
@@ -326,8 +326,8 @@
 
     pub(super) fn set_liveness(&mut self, member: &Member, liveness: Liveness, now: TimeMs) {
         self.view
-            .note(&member.own.node, [&member.own.service].into_iter());
-        self.table.set_liveness(&member.own.node, liveness, now);
+            .note(&member.record.node, [&member.record.service].into_iter());
+        self.table.set_liveness(&member.record.node, liveness, now);
     }
 
     /// A paused process heard nobody. Without this guard it would, on resuming, take everybody
@@ -347,9 +347,9 @@
     /// Another member that can be expected to answer.
     pub(super) fn is_usable(&self, member: &Member) -> bool {
         !member.is_tombstone()
-            && member.own.node != self.own.node
+            && member.record.node != self.own.node
             && member.liveness == Liveness::Alive
-            && !self.is_silent(&member.own.domain)
+            && !self.is_silent(&member.record.domain)
     }
 
     /// Failure domains that cannot be reached from here. The own one is never among them: it can
--- a/src/membership/probing.rs
+++ b/src/membership/probing.rs
@@ -61,7 +61,7 @@
         let refill = || {
             names_of(table, |member| {
                 let is_far = is_other(member, own) && !is_near(member, own);
-                is_far && !silent.contains(&member.own.domain)
+                is_far && !silent.contains(&member.record.domain)
             })
         };
         self.other_ring.next(&mut self.rng, refill)
@@ -82,7 +82,7 @@
             if domain == self.own.domain || self.rng.f64() >= chance {
                 continue;
             }
-            let in_domain = |member: &Member| member.own.domain == domain;
+            let in_domain = |member: &Member| member.record.domain == domain;
             let names = names_of(&self.table, |member| {
                 in_domain(member) && !member.is_tombstone()
             });
@@ -117,11 +117,11 @@
         if member.is_tombstone() {
             return;
         }
-        let address = member.own.control_address;
+        let address = member.record.control_address;
         let liveness = member.liveness;
-        let incarnation = member.own.incarnation;
+        let incarnation = member.record.incarnation;
         let member_is_near = is_near(member, &self.own);
-        let judges = !self.is_silent(&member.own.domain);
+        let judges = !self.is_silent(&member.record.domain);
         let Some(sequence) = self
             .probes
             .start(node.clone(), address, judges, is_last, now)
@@ -168,14 +168,14 @@
     fn choose_lost(&mut self, now: TimeMs) -> Vec<SocketAddr> {
         let own = &self.own.node;
         let lost = self.table.iter().filter(|member| member.is_tombstone());
-        let lost: Vec<&Member> = lost.filter(|member| member.own.node != *own).collect();
+        let lost: Vec<&Member> = lost.filter(|member| member.record.node != *own).collect();
         let is_late = |member: &&Member| now.since(member.changed) < LATELY_LOST_MS;
         let lately: Vec<&Member> = lost.iter().copied().filter(is_late).collect();
         let mut chosen = self.rng.choose_multiple(lately, LATELY_LOST_TRIES);
         chosen.extend(self.rng.choice(&lost).copied());
         let mut addresses: Vec<SocketAddr> = chosen
             .into_iter()
-            .map(|member| member.own.control_address)
+            .map(|member| member.record.control_address)
             .filter(|address| !self.is_address_alive(*address))
             .collect();
         addresses.sort_unstable();
@@ -185,22 +185,22 @@
 
     pub(super) fn is_address_alive(&self, address: SocketAddr) -> bool {
         let mut alive = self.table.iter().filter(|member| !member.is_tombstone());
-        alive.any(|member| member.own.control_address == address)
+        alive.any(|member| member.record.control_address == address)
     }
 }
 
 fn is_other(member: &Member, own: &Target) -> bool {
-    member.own.node != own.node && !member.is_tombstone()
+    member.record.node != own.node && !member.is_tombstone()
 }
 
 fn is_near(member: &Member, own: &Target) -> bool {
-    member.own.domain == own.domain
+    member.record.domain == own.domain
 }
 
 fn names_of(table: &MemberTable, wanted: impl Fn(&Member) -> bool) -> Vec<Name> {
     table
         .iter()
         .filter(|member| wanted(member))
-        .map(|member| member.own.node.clone())
+        .map(|member| member.record.node.clone())
         .collect()
 }
--- a/src/membership/receive.rs
+++ b/src/membership/receive.rs
@@ -92,7 +92,7 @@
             return;
         }
         let node = node_of(update);
-        let before = self.table.get(node).map(|held| held.own.service.clone());
+        let before = self.table.get(node).map(|held| held.record.service.clone());
         if self.table.apply(update, now, &self.settings) != Applied::Newer {
             return;
         }
@@ -107,7 +107,7 @@
             "gossip: news node={node} state={:?}",
             member.published.state
         );
-        let services = before.iter().chain([&member.own.service]);
+        let services = before.iter().chain([&member.record.service]);
         self.view.note(node, services);
         if passes_on {
             let is_urgent = !matches!(update, Update::Suspect { .. });
@@ -140,7 +140,7 @@
             return false;
         };
         let member = self.table.get(node);
-        member.is_some_and(|member| self.is_silent(&member.own.domain))
+        member.is_some_and(|member| self.is_silent(&member.record.domain))
     }
 
     fn slot_map_news(
@@ -230,11 +230,11 @@
     /// higher incarnation of an earlier process.
     fn news_about_sender(&self, header: &Header) -> Option<Update> {
         let held = self.table.get(&header.from)?;
-        if held.own.incarnation < header.incarnation {
+        if held.record.incarnation < header.incarnation {
             return None;
         }
-        let node = held.own.node.clone();
-        let incarnation = held.own.incarnation;
+        let node = held.record.node.clone();
+        let incarnation = held.record.incarnation;
         match held.liveness {
             Liveness::Suspected { .. } => Some(Update::Suspect { node, incarnation }),
             Liveness::Dead => Some(record_of(held)),
@@ -310,7 +310,7 @@
         let Some(member) = self.table.get(&probe.node) else {
             return;
         };
-        let domain = member.own.domain.clone();
+        let domain = member.record.domain.clone();
         self.hear_suspect(&probe.node, now);
         if self.watch.note(&domain, now) > self.settings.quiet_ms {
             self.hear_again(&domain, now);
@@ -326,7 +326,7 @@
         actions: &mut Vec<Action>,
     ) {
         let held = self.table.get(&header.from);
-        let is_known = held.is_some_and(|held| held.own.incarnation >= header.incarnation);
+        let is_known = held.is_some_and(|held| held.record.incarnation >= header.incarnation);
         if is_known {
             return;
         }
--- a/src/membership/spread.rs
+++ b/src/membership/spread.rs
@@ -83,7 +83,7 @@
     /// Whether the node of this name is known to be of the own failure domain.
     pub(super) fn is_near(&self, node: &str) -> bool {
         let member = self.table.get(node);
-        member.is_some_and(|member| member.own.domain == self.own.domain)
+        member.is_some_and(|member| member.record.domain == self.own.domain)
     }
 
     /// Sends a message: `told` first, then as many waiting updates as size and budget allow.
@@ -145,7 +145,7 @@
         let Some(member) = self.table.get(to) else {
             return actions;
         };
-        let receiver = self.receiver(to, member.own.control_address);
+        let receiver = self.receiver(to, member.record.control_address);
         self.send_to(receiver, Body::Allowances(message), now, &mut actions);
         actions
     }
@@ -225,10 +225,10 @@
     fn choose_receivers(&mut self, crosses: bool) -> Vec<Receiver> {
         let fan_out = self.settings.rumor_fan_out;
         let own_domain = self.own.domain.clone();
-        let near = self.usable_addresses(|member| member.own.domain == own_domain);
+        let near = self.usable_addresses(|member| member.record.domain == own_domain);
         let crosses = crosses || near.len() < fan_out;
         let far = match crosses {
-            true => self.usable_addresses(|member| member.own.domain != own_domain),
+            true => self.usable_addresses(|member| member.record.domain != own_domain),
             false => Vec::new(),
         };
         let far_count = far.len().min(fan_out.div_ceil(2));
@@ -247,7 +247,7 @@
         self.table
             .iter()
             .filter(|member| self.is_usable(member) && wanted(member))
-            .map(|member| member.own.control_address)
+            .map(|member| member.record.control_address)
             .collect()
     }
 
--- a/src/membership/suspicion.rs
+++ b/src/membership/suspicion.rs
@@ -40,10 +40,10 @@
     pub(super) fn choose_helpers(&mut self, node: &Name) -> Vec<SocketAddr> {
         let mut by_domain: FastMap<Name, Vec<SocketAddr>> = FastMap::default();
         for member in self.table.iter() {
-            let is_helper = member.own.node != *node && self.is_usable(member);
+            let is_helper = member.record.node != *node && self.is_usable(member);
             if is_helper {
-                let addresses = by_domain.entry(member.own.domain.clone()).or_default();
-                addresses.push(member.own.control_address);
+                let addresses = by_domain.entry(member.record.domain.clone()).or_default();
+                addresses.push(member.record.control_address);
             }
         }
         let mut domains: Vec<Name> = by_domain.keys().cloned().collect();
@@ -67,7 +67,7 @@
             let Some(member) = self.table.get(&probe.node).cloned() else {
                 continue;
             };
-            if member.is_tombstone() || self.is_silent(&member.own.domain) {
+            if member.is_tombstone() || self.is_silent(&member.record.domain) {
                 continue;
             }
             match member.liveness {
@@ -85,18 +85,18 @@
     }
 
     pub(super) fn suspect(&mut self, member: &Member, now: TimeMs, actions: &mut Vec<Action>) {
-        let node = member.own.node.clone();
-        log::debug!("gossip: suspect node={node} domain={}", member.own.domain);
+        let node = member.record.node.clone();
+        log::debug!("gossip: suspect node={node} domain={}", member.record.domain);
         let liveness = Liveness::Suspected {
             since: now,
             first_hand: true,
         };
         self.set_liveness(member, liveness, now);
-        let incarnation = member.own.incarnation;
+        let incarnation = member.record.incarnation;
         let update = Update::Suspect { node, incarnation };
         self.queue.push(update.clone(), false);
         // The suspect hears of it first, so that it can refute.
-        self.send_updates(member.own.control_address, vec![update], now, actions);
+        self.send_updates(member.record.control_address, vec![update], now, actions);
     }
 
     /// Probes suspects that did not refute in time once more. Nobody is taken to be dead on old
@@ -112,7 +112,7 @@
             _ => false,
         };
         let overdue = self.table.suspects().filter(overdue);
-        let overdue: Vec<Name> = overdue.map(|member| member.own.node.clone()).collect();
+        let overdue: Vec<Name> = overdue.map(|member| member.record.node.clone()).collect();
         for node in overdue {
             self.probe(&node, true, now, actions);
         }
@@ -122,13 +122,13 @@
     /// suspected. Without this guard a domain cut off would be declared dead member by member on
     /// the other side, and healing would take thousands of refutations.
     pub(super) fn bury(&mut self, member: &Member, since: TimeMs, now: TimeMs) {
-        if self.watch.last_answer(&member.own.domain) <= Some(since) {
+        if self.watch.last_answer(&member.record.domain) <= Some(since) {
             return;
         }
-        let node = member.own.node.clone();
-        log::info!("gossip: dead node={node} domain={}", member.own.domain);
+        let node = member.record.node.clone();
+        log::info!("gossip: dead node={node} domain={}", member.record.domain);
         self.set_liveness(member, Liveness::Dead, now);
-        let incarnation = member.own.incarnation;
+        let incarnation = member.record.incarnation;
         self.queue.push(Update::Dead { node, incarnation }, true);
     }
 
@@ -170,7 +170,7 @@
         let cleared: Vec<Member> = self
             .table
             .suspects()
-            .filter(|member| member.own.domain == *domain)
+            .filter(|member| member.record.domain == *domain)
             .cloned()
             .collect();
         for member in cleared {
--- a/tests/membership_order.rs
+++ b/tests/membership_order.rs
@@ -102,7 +102,7 @@
 fn held(member: &Membership) -> Option<(u64, bool)> {
     let held = member.table().get("node-x")?;
     let is_dead = held.published.state == TargetState::Dead;
-    Some((held.own.incarnation, is_dead))
+    Some((held.record.incarnation, is_dead))
 }
 
 proptest! {
--- a/tests/membership_partitions.rs
+++ b/tests/membership_partitions.rs
@@ -83,7 +83,7 @@
         let held = node.member.table().get(&restarted);
         cut_off(node) == 0
             && node.sees(&drained) == Some(TargetState::Draining)
-            && held.is_some_and(|held| held.own.incarnation == reborn)
+            && held.is_some_and(|held| held.record.incarnation == reborn)
     });
     println!("cut known {seen_ms:?} ms, merged {merged_ms:?} ms after healing");
     assert!(merged_ms.is_some(), "not merged");
