--- a/src/membership/codec.rs
+++ b/src/membership/codec.rs
@@ -1,4 +1,4 @@
-//! Datagrams as bytes: one version byte, then header, body and updates in postcard.
+//! The encoding of datagrams: one version byte, then header, body and updates in postcard.
 
 use postcard::ser_flavors::Size;
 use serde::Serialize;
@@ -9,10 +9,10 @@
 use super::Update;
 use crate::errors::GossipError;
 
-/// The version of the datagrams; those of another version are counted and dropped.
+/// The version of the datagram format. Datagrams of another version are counted and dropped.
 pub const GOSSIP_VERSION: u8 = 5;
 
-/// Encodes a datagram. Updates follow each other to the end, so they need no count.
+/// Encodes a datagram. The updates run to the end of the datagram, so they need no count.
 pub fn encode_datagram(datagram: &Datagram) -> Vec<u8> {
     let bytes = vec![GOSSIP_VERSION];
     let bytes = append(&datagram.header, bytes);
@@ -26,7 +26,7 @@
 /// Decodes a datagram.
 ///
 /// # Errors
-/// When it is empty, of another version or malformed. Nothing of it may then be used.
+/// If the datagram is empty, of another version or malformed. No part of it may be used then.
 pub fn decode_datagram(bytes: &[u8]) -> Result<Datagram, GossipError> {
     let (&theirs, rest) = bytes.split_first().ok_or(GossipError::Empty)?;
     if theirs != GOSSIP_VERSION {
@@ -50,7 +50,7 @@
     })
 }
 
-/// The bytes that a part of a datagram takes.
+/// The encoded size of a part of a datagram.
 pub fn encoded_bytes<T: Serialize>(part: &T) -> usize {
     postcard::serialize_with_flavor(part, Size::default()).expect("plain structs always encode")
 }
--- a/src/membership/compare.rs
+++ b/src/membership/compare.rs
@@ -1,4 +1,4 @@
-//! Comparisons of member tables, bucket by bucket, when digests differ for long.
+//! Anti-entropy: compares member tables bucket by bucket when their digests stay different.
 
 use std::net::SocketAddr;
 
@@ -17,19 +17,19 @@
 use crate::core::Name;
 use crate::core::TimeMs;
 
-/// With more differing buckets than this, everything is exchanged over a control call.
+/// With more differing buckets than this, all members are exchanged over a control call.
 const MAX_DIFFERING_BUCKETS: usize = 16;
-/// How many buckets are answered at once; the next comparison finds the rest.
+/// The most buckets that are answered in one comparison. The following comparisons find the rest.
 const ANSWERED_BUCKETS: usize = 4;
-/// For so long after its start a node asks for what differs whenever it sees that something does.
+/// For this time after its start a node requests an exchange whenever it sees different digests.
 const CATCH_UP_MS: u64 = 10_000;
-/// After this many compare periods without equal digests, tables are compared although changes
-/// still come in.
-const PATIENT_PERIODS: u64 = 5;
+/// After this many compare periods without equal digests, tables are compared even though changes
+/// still arrive.
+const MAX_DEFERRED_PERIODS: u64 = 5;
 
 impl Membership {
-    /// Starts a comparison when the digests differ for long: just after a change they differ
-    /// anyway, until the update has gone round.
+    /// Starts a comparison if the digests have differed for long. Just after a change they always
+    /// differ, until the update has reached every member.
     pub(super) fn compare_members(
         &mut self,
         header: &Header,
@@ -42,14 +42,14 @@
             return;
         }
         if self.lacks_many(header.members) || self.is_catching_up(now) {
-            if self.is_near(&header.from) || self.asks_across() {
+            if self.is_near(&header.from) || self.requests_across_domains() {
                 self.start_exchange(from, now, actions);
             }
             return;
         }
         let period_ms = self.settings.compare_period_ms;
         let is_settled = now.since(self.table.last_change()) >= period_ms;
-        let is_overdue = now.since(self.schedule.last_equal) >= PATIENT_PERIODS * period_ms;
+        let is_overdue = now.since(self.schedule.last_equal) >= MAX_DEFERRED_PERIODS * period_ms;
         if now < self.schedule.next_compare || !(is_settled || is_overdue) {
             return;
         }
@@ -58,10 +58,13 @@
         self.send_to(Receiver::far(from), Body::Buckets { digests }, now, actions);
     }
 
-    /// Guards against a fleet that starts and still lacks its last members after 15 s: while news comes in,
-    /// digests differ anyway, so later on a comparison waits for them to settle. Asking for what differs
-    /// is cheap, and what a node that has just started is told first, it would ask for anyway. Cold start
-    /// of 180 members in virtual time: 16.8 s before, 3.9 s with it.
+    /// Whether this node started less than [`CATCH_UP_MS`] ago.
+    ///
+    /// Guards against a starting fleet in which nodes still lack the last members after 15 s. While
+    /// updates arrive, digests always differ, so a later comparison waits for them to settle. Just
+    /// after the start no such wait is needed: requesting what differs is cheap, and the node would
+    /// request the first members that it receives anyway. A cold start of 180 members in virtual
+    /// time took 16.8 s without this rule and 3.9 s with it.
     fn is_catching_up(&self, now: TimeMs) -> bool {
         now.since(self.started) < CATCH_UP_MS
     }
@@ -92,7 +95,7 @@
         }
     }
 
-    /// Sends back what is known better here than in the entries received.
+    /// Sends back the updates that are newer here than in the received entries.
     pub(super) fn answer_entries(
         &mut self,
         bucket: u16,
@@ -105,19 +108,19 @@
             .iter()
             .map(|update| (node_of(update), update))
             .collect();
-        let mut better = self.table.bucket_updates(bucket as usize % BUCKETS);
-        better.retain(|ours| {
+        let mut newer = self.table.bucket_updates(bucket as usize % BUCKETS);
+        newer.retain(|ours| {
             theirs
                 .get(node_of(ours))
                 .is_none_or(|theirs| is_newer(ours, theirs))
         });
-        if !better.is_empty() {
-            self.send_entries(bucket, better, false, from, now, actions);
+        if !newer.is_empty() {
+            self.send_entries(bucket, newer, false, from, now, actions);
         }
     }
 
-    /// A bucket that does not fit one datagram is sent in several; none of them is then complete,
-    /// so no reply is asked for.
+    /// Sends the updates of one bucket. A bucket that does not fit into one datagram is sent in
+    /// several. None of them is complete then, so no reply is requested.
     pub(super) fn send_entries(
         &mut self,
         bucket: u16,
@@ -140,12 +143,12 @@
     }
 }
 
-/// Whether `ours` overrides `theirs` about the same member.
+/// Whether `ours` takes precedence over `theirs` about the same member.
 fn is_newer(ours: &Update, theirs: &Update) -> bool {
-    order_of(ours) > order_of(theirs)
+    precedence_of(ours) > precedence_of(theirs)
 }
 
-fn order_of(update: &Update) -> (u64, u8) {
+fn precedence_of(update: &Update) -> (u64, u8) {
     match update {
         Update::Own(target) => (target.incarnation, 0),
         Update::Suspect { incarnation, .. } => (*incarnation, 1),
@@ -155,7 +158,7 @@
     }
 }
 
-/// Cuts updates into parts of at most `max_bytes`; an empty list is one empty part.
+/// Splits updates into parts of at most `max_bytes`. An empty list gives one empty part.
 fn split(updates: Vec<Update>, max_bytes: usize) -> Vec<Vec<Update>> {
     let mut parts = vec![Vec::new()];
     let mut bytes = 0;
--- a/src/membership/datagram.rs
+++ b/src/membership/datagram.rs
@@ -1,4 +1,4 @@
-//! What members send each other in one datagram.
+//! The gossip datagrams that members send each other.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
 use crate::core::RouteOrigin;
 use crate::core::Target;
 
-/// One gossip datagram: a header that every message carries, a body, and piggybacked updates.
+/// One gossip datagram: a header, a body, and piggybacked updates.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
     pub header: Header,
@@ -18,39 +18,39 @@
     pub updates: Vec<Update>,
 }
 
-/// Who sends, and short values by which the receiver sees whether one of the two lacks news.
+/// The sender, and short values that show the receiver whether either of the two lacks updates.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Header {
     pub from: Name,
     pub incarnation: u64,
-    /// Digest of the members that the sender takes to be alive.
+    /// Digest of the members that the sender considers alive.
     #[serde(with = "postcard::fixint::le")]
     pub members_digest: u32,
-    /// How many members the sender takes to be alive.
+    /// Number of members that the sender considers alive.
     pub members: u32,
-    /// The version of the configuration in force at the sender.
+    /// Version of the configuration in force at the sender.
     pub config_version: u64,
-    /// How long ago the store was last known to hold no newer version, in tenths of a second; the
-    /// highest value says longer ago, or never.
+    /// How long ago the store was last known to hold no newer version, in tenths of a second. The
+    /// highest value means longer ago, or never.
     pub confirmed_tenths: u8,
-    /// The newest era of the store that the sender has heard of.
+    /// The newest store era known to the sender.
     pub store_era: u64,
     /// Digest of the versions of all slot maps that the sender holds.
     #[serde(with = "postcard::fixint::le")]
     pub slot_maps_digest: u32,
-    /// How long ago each failure domain last answered; only sent inside a failure domain.
+    /// How long ago each failure domain last answered. Sent only within a failure domain.
     pub heard: Vec<DomainContact>,
 }
 
-/// How long ago a failure domain answered somebody of the sender's own domain.
+/// How long ago a failure domain last answered any member of the sender's own failure domain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct DomainContact {
-    /// The hash of the domain's name: two bytes do, as there are few domains.
+    /// Hash of the failure domain's name. Two bytes are enough, because there are few domains.
     #[serde(with = "postcard::fixint::le")]
     pub domain_hash: u16,
-    /// Tenths of a second, at most 255 of them.
+    /// Age in tenths of a second, at most 255.
     pub age_tenths: u8,
 }
 
@@ -58,34 +58,35 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Body {
-    /// Asks for an [`Body::Ack`] with the same number.
+    /// Requests a [`Body::Ack`] with the same sequence number.
     Ping { sequence: u32 },
     /// Answers a [`Body::Ping`].
     Ack { sequence: u32 },
-    /// Asks the receiver to ping `address` and to relay the answer.
+    /// Asks the receiver to ping `address` and to relay the answer (an indirect probe).
     PingRequest { sequence: u32, address: SocketAddr },
-    /// Says that the member of an earlier [`Body::PingRequest`] answered.
+    /// Reports that the member in an earlier [`Body::PingRequest`] answered.
     RelayedAck { sequence: u32 },
-    /// Carries updates and the header's news; not answered.
+    /// Carries updates and the values of the header. It is not answered.
     Rumor,
-    /// Asks what the receiver is: its record is unknown or older than its own datagrams.
+    /// Requests the receiver's record: the sender holds none, or one that is older than the
+    /// receiver's datagrams.
     WhoAreYou,
     /// Digests of the sender's members by bucket, for a comparison.
     Buckets { digests: Vec<FixedDigest> },
-    /// The updates are all that the sender knows in one bucket. When `reply` is set, the receiver
-    /// sends back what it knows better.
+    /// The updates are all that the sender holds in one bucket. If `reply` is set, the receiver
+    /// sends back what is newer on its side.
     Entries { bucket: u16, reply: bool },
-    /// What is used of accounts' allowances, for whoever keeps them.
+    /// Use of accounts' allowances, for the node that manages them.
     Allowances(AllowanceMessage),
 }
 
-/// A digest of fixed width on the wire.
+/// A digest that is encoded with a fixed width.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct FixedDigest(#[serde(with = "postcard::fixint::le")] pub u32);
 
 impl Body {
-    /// The kind's name, as a label of metrics.
+    /// The kind of message, as a label of metrics.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Ping { .. } => "ping",
@@ -101,18 +102,19 @@
     }
 }
 
-/// One piece of news.
+/// One update about a member, a slot map or a route.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Update {
-    /// What a node says of itself; its state is never `Suspect` or `Dead`.
+    /// The record that a node publishes of itself. Its state is never `Suspect` or `Dead`.
     Own(Target),
-    /// The node of this incarnation did not answer; it refutes by a higher incarnation.
+    /// The node of this incarnation did not answer. It refutes the suspicion with a higher
+    /// incarnation.
     Suspect { node: Name, incarnation: u64 },
-    /// The node of this incarnation is taken to be gone.
+    /// The node of this incarnation is considered dead.
     Dead { node: Name, incarnation: u64 },
     /// A newer version of a service's slot map exists.
     SlotMap { service: Name, version: u64 },
-    /// Who uses a route, as the first one to find out tells.
+    /// What uses a route, as determined by the first node that found out.
     RouteUse { route: Name, by: RouteOrigin },
 }
--- a/src/membership/digest.rs
+++ b/src/membership/digest.rs
@@ -1,14 +1,14 @@
-//! Digests by which two nodes see cheaply whether they hold the same.
+//! Digests that show two nodes cheaply whether they hold the same entries.
 
 use std::hash::Hasher;
 
 use rustc_hash::FxHasher;
 
-/// How many parts a member table is compared in.
+/// Number of buckets in which a member table is compared.
 pub const BUCKETS: usize = 64;
 
-/// The digest of one versioned name. Digests of a set are combined by exclusive or, so that
-/// members are added and taken away one by one.
+/// The digest of one versioned name. The digest of a set is the exclusive or of its entries, so
+/// that members can be added and removed one at a time.
 pub fn entry_digest(name: &str, version: u64) -> u32 {
     let mut hasher = FxHasher::default();
     hasher.write(name.as_bytes());
@@ -16,7 +16,7 @@
     (hasher.finish() >> 32) as u32
 }
 
-/// The part of the table in which a member is compared.
+/// The bucket of a member.
 pub fn bucket_of(name: &str) -> usize {
     entry_digest(name, 0) as usize % BUCKETS
 }
--- a/src/membership/spread.rs
+++ b/src/membership/dissemination.rs
@@ -15,30 +15,32 @@
 use crate::core::Name;
 use crate::core::TimeMs;
 
-/// Each update is sent this many times the number of decimal digits of the member count; that
-/// reaches all but a few in ten thousand, and comparisons of tables reach those.
+/// Each update is sent this many times the number of decimal digits of the member count. That
+/// reaches all but a few in ten thousand members, and comparisons of member tables reach those.
 const SENDS_PER_DIGIT: u32 = 3;
-/// Room in a datagram for short news that waits for nothing: a dozen routes.
-const PRESSING_BYTES: u64 = 300;
-/// Members of each failure domain that carry news of members into others at a time. It is the same at any
-/// size.
-const BRIDGES: f64 = 12.0;
-/// Members of each failure domain that ask others for what differs, at a time: more, for after a start of all
-/// nobody is served by nodes that are not known.
-const ASKING_BRIDGES: f64 = 24.0;
+/// Size in a datagram for short updates that are exempt from the byte budget: about a dozen routes.
+const BUDGET_EXEMPT_BYTES: u64 = 300;
+/// Members of each failure domain that carry updates about members into other domains at a time,
+/// whatever the size of the domain.
+const CROSS_DOMAIN_SENDERS: f64 = 12.0;
+/// Members of each failure domain that request exchanges across domains at a time. There are more
+/// of them, because after a start of all nodes no request can be served by nodes that are not known
+/// yet.
+const CROSS_DOMAIN_REQUESTERS: f64 = 24.0;
 /// IP and UDP headers, which count as control traffic too.
 pub(super) const PACKET_OVERHEAD_BYTES: u64 = 28;
 
-/// Whom a datagram goes to.
+/// The receiver of a datagram.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Receiver {
     pub address: SocketAddr,
-    /// Of the own failure domain: it gets what the domain knows of the others.
+    /// Whether the receiver is in this node's own failure domain. It then gets what the domain
+    /// knows of the other domains.
     pub is_near: bool,
 }
 
 impl Receiver {
-    /// Somebody of whom only the address matters.
+    /// A receiver whose failure domain does not matter.
     pub fn far(address: SocketAddr) -> Self {
         Self {
             address,
@@ -48,66 +50,73 @@
 }
 
 impl Membership {
-    /// How often an update is sent before it is dropped.
+    /// How many times an update is sent before it is dropped.
     pub(super) fn max_sends(&self) -> u32 {
         let members = self.table.alive().max(1) as u32;
         SENDS_PER_DIGIT * (members.ilog10() + 1)
     }
 
-    /// Whether this node, this time, carries into other failure domains what its own domain hears too.
+    /// Whether this node, for this datagram, carries updates into other failure domains.
     ///
-    /// Guards against news that crosses the border between two failure domains once for each node: bytes
-    /// that grow with the square of the nodes, and are the dearest. It holds because a handful of members of
-    /// each domain, others each time, carry each piece of news, and domains spread it within.
-    pub(super) fn is_bridge(&mut self) -> bool {
-        self.is_among(BRIDGES)
+    /// Guards against updates that cross the border between two failure domains once for each node.
+    /// The bytes would grow with the square of the number of nodes, and traffic between domains
+    /// costs the most. Instead a few members of each domain, chosen anew each time, carry each
+    /// update, and every domain spreads it within itself.
+    pub(super) fn sends_across_domains(&mut self) -> bool {
+        self.is_sampled(CROSS_DOMAIN_SENDERS)
     }
 
-    /// The same for exchanges of whole tables.
-    pub(super) fn asks_across(&mut self) -> bool {
-        self.is_among(ASKING_BRIDGES)
+    /// Whether this node, this time, may request an exchange of whole tables from another failure
+    /// domain.
+    pub(super) fn requests_across_domains(&mut self) -> bool {
+        self.is_sampled(CROSS_DOMAIN_REQUESTERS)
     }
 
-    /// Whether this node is among so many of its failure domain, which are others each time.
-    fn is_among(&mut self, members: f64) -> bool {
+    /// Whether this node is in a random sample of this size of its failure domain. Each call draws
+    /// a new sample.
+    fn is_sampled(&mut self, members: f64) -> bool {
         let near = self.table.alive_in(&self.own.domain) as f64;
         near <= members || self.rng.f64() * near < members
     }
 
-    /// The node of this name at this address, as somebody to send to.
+    /// The receiver for the node of this name at this address.
     pub(super) fn receiver(&self, node: &str, address: SocketAddr) -> Receiver {
         let is_near = self.is_near(node);
         Receiver { address, is_near }
     }
 
-    /// Whether the node of this name is known to be of the own failure domain.
+    /// Whether the node of this name is known to be in this node's own failure domain.
     pub(super) fn is_near(&self, node: &str) -> bool {
         let member = self.table.get(node);
         member.is_some_and(|member| member.record.domain == self.own.domain)
     }
 
-    /// Sends a message: `told` first, then as many waiting updates as size and budget allow.
-    pub(super) fn send_telling(
+    /// Sends a message with the `required` updates first, then as many queued updates as size and
+    /// budget allow.
+    pub(super) fn send_with_updates(
         &mut self,
         to: Receiver,
         body: Body,
-        told: Vec<Update>,
+        required: Vec<Update>,
         now: TimeMs,
         actions: &mut Vec<Action>,
     ) {
         let header = self.header(to.is_near, now);
         let fixed_bytes = encoded_bytes(&header) + encoded_bytes(&body) + 1;
-        let told_bytes: usize = told.iter().map(encoded_bytes).sum();
+        let required_bytes: usize = required.iter().map(encoded_bytes).sum();
         let room = self
             .settings
             .max_datagram_bytes
-            .saturating_sub(fixed_bytes + told_bytes)
+            .saturating_sub(fixed_bytes + required_bytes)
             .min(self.budget.available_bytes(now) as usize);
-        let carries = to.is_near || self.is_bridge();
-        let room = if carries { room } else { 0 };
+        let carries_updates = to.is_near || self.sends_across_domains();
+        let room = if carries_updates { room } else { 0 };
         let max_sends = self.max_sends();
-        let mut updates = told;
-        updates.extend(self.queue.take_pressing(PRESSING_BYTES as usize, max_sends));
+        let mut updates = required;
+        updates.extend(
+            self.queue
+                .take_budget_exempt(BUDGET_EXEMPT_BYTES as usize, max_sends),
+        );
         let taken = self.queue.take(room, max_sends);
         self.budget
             .spend(taken.iter().map(encoded_bytes).sum::<usize>() as u64);
@@ -131,10 +140,11 @@
         now: TimeMs,
         actions: &mut Vec<Action>,
     ) {
-        self.send_telling(to, body, Vec::new(), now, actions);
+        self.send_with_updates(to, body, Vec::new(), now, actions);
     }
 
-    /// Tells a member of accounts' allowances; to one that is not known nothing is sent.
+    /// Sends a message about accounts' allowances to a member. Nothing is sent to an unknown
+    /// member.
     pub fn send_allowances(
         &mut self,
         to: &Name,
@@ -150,7 +160,7 @@
         actions
     }
 
-    /// Sends just these updates.
+    /// Sends only these updates.
     pub(super) fn send_updates(
         &mut self,
         to: SocketAddr,
@@ -166,18 +176,19 @@
         actions.push(Action::Send { to, datagram });
     }
 
-    /// Pushes urgent news to a few members, who push it on when it is new to them: everybody has
-    /// it after a handful of steps. What the budget holds back goes in a later tick.
+    /// Pushes urgent updates to a few members. They push an update on if it is new to them, so that
+    /// all members have it after a few steps. What the budget holds back is sent in a later tick.
     pub(super) fn push_rumors(&mut self, now: TimeMs, actions: &mut Vec<Action>) {
         let is_for_all = self.queue.has_urgent() || self.header_is_urgent;
         if !is_for_all && !self.answers_are_urgent {
             return;
         }
-        // A new configuration has little time to be in force, and who uses a route is needed most when
-        // everything is new, so their few bytes wait for nothing: each member pushes each once.
-        let is_pressing = self.header_is_urgent || self.queue.has_pressing();
-        let crosses = is_pressing || self.is_bridge();
-        let mut receivers = self.choose_receivers(crosses);
+        // A new configuration has to be in force soon, and the use of a route is needed most when
+        // all nodes have just started. Their few bytes are therefore exempt from the budget: each
+        // member pushes each of them once.
+        let is_budget_exempt = self.header_is_urgent || self.queue.has_budget_exempt();
+        let crosses_domains = is_budget_exempt || self.sends_across_domains();
+        let mut receivers = self.choose_receivers(crosses_domains);
         if !is_for_all {
             receivers.retain(|receiver| receiver.is_near);
         }
@@ -188,18 +199,22 @@
         let copies = receivers.len() as u64;
         let fixed_bytes = encoded_bytes(&header) as u64 + 2 + PACKET_OVERHEAD_BYTES;
         let share_bytes = self.budget.available_bytes(now) / copies;
-        if share_bytes < fixed_bytes && !is_pressing {
+        if share_bytes < fixed_bytes && !is_budget_exempt {
             return;
         }
-        let least_bytes = if is_pressing { PRESSING_BYTES } else { 0 };
-        let room_bytes = share_bytes.saturating_sub(fixed_bytes).max(least_bytes);
+        let min_bytes = if is_budget_exempt {
+            BUDGET_EXEMPT_BYTES
+        } else {
+            0
+        };
+        let room_bytes = share_bytes.saturating_sub(fixed_bytes).max(min_bytes);
         let room = room_bytes.min(self.settings.max_datagram_bytes as u64);
         let max_sends = self.max_sends();
         let updates = self
             .queue
             .take_urgent(room as usize, max_sends, copies as u32);
-        let has_news = self.header_is_urgent || self.answers_are_urgent;
-        if updates.is_empty() && !has_news {
+        let has_header_update = self.header_is_urgent || self.answers_are_urgent;
+        if updates.is_empty() && !has_header_update {
             return;
         }
         self.header_is_urgent = false;
@@ -220,14 +235,14 @@
         }
     }
 
-    /// Half of the receivers are of the own failure domain and half of others, where there are; all are of
-    /// the own one unless news cross its border.
-    fn choose_receivers(&mut self, crosses: bool) -> Vec<Receiver> {
+    /// Chooses half of the receivers from this node's own failure domain and half from others, as
+    /// far as there are any. All are from its own domain if updates may not leave it.
+    fn choose_receivers(&mut self, crosses_domains: bool) -> Vec<Receiver> {
         let fan_out = self.settings.rumor_fan_out;
         let own_domain = self.own.domain.clone();
         let near = self.usable_addresses(|member| member.record.domain == own_domain);
-        let crosses = crosses || near.len() < fan_out;
-        let far = match crosses {
+        let crosses_domains = crosses_domains || near.len() < fan_out;
+        let far = match crosses_domains {
             true => self.usable_addresses(|member| member.record.domain != own_domain),
             false => Vec::new(),
         };
--- a/src/membership/domain_watch.rs
+++ b/src/membership/domain_watch.rs
@@ -1,25 +1,26 @@
-//! When each failure domain was last known to answer.
+//! The time at which each failure domain was last known to answer.
 
 use super::DomainContact;
 use super::age_tenths::age_tenths;
-use super::age_tenths::moment_of;
+use super::age_tenths::time_from_age;
 use super::digest::domain_hash;
 use crate::core::FastMap;
 use crate::core::Name;
 use crate::core::TimeMs;
 
-/// More failure domains than any deployment has; further ones are not watched.
+/// More failure domains than any deployment has. Further ones are not watched.
 const MAX_DOMAINS: usize = 256;
 
-/// What is known of one failure domain.
+/// The state of one failure domain.
 #[derive(Clone, Copy, Debug)]
 struct Watched {
-    /// The hash of the domain's name, kept because it is looked for in every datagram.
+    /// Hash of the failure domain's name, kept because every datagram is compared with it.
     hash: u16,
-    /// When this node began to watch. It counts for the own judgement only: passed on, it would
-    /// look like an answer, and a node that restarts would make cut-off domains look alive.
+    /// When this node began to watch the domain. Used only for this node's own judgement: if it
+    /// were sent to others, it would look like an answer, and a restarted node would make cut-off
+    /// domains look reachable.
     since: TimeMs,
-    /// The last answer to anybody of the own domain.
+    /// The last answer to any member of this node's own failure domain.
     answered: Option<TimeMs>,
 }
 
@@ -30,18 +31,18 @@
     }
 }
 
-/// The last answers from each failure domain, as far as this node's own domain knows.
+/// The last answer from each failure domain, as far as this node's own domain knows.
 ///
-/// One node asks another domain too rarely to judge it alone, so the members of a domain share
-/// their evidence. Only answers to probes count: where packets get through one way only, being
-/// sent something proves nothing about reaching the sender.
+/// One node probes another domain too rarely to judge it alone, so the members of a domain share
+/// their observations. Only answers to probes count. If packets pass in one direction only, a
+/// received datagram does not show that the sender can be reached.
 #[derive(Clone, Debug, Default)]
 pub struct DomainWatch {
     domains: FastMap<Name, Watched>,
 }
 
 impl DomainWatch {
-    /// Begins to watch a domain.
+    /// Begins to watch a failure domain.
     pub fn watch(&mut self, domain: &Name, now: TimeMs) {
         if self.domains.len() < MAX_DOMAINS && !self.domains.contains_key(domain) {
             let watched = Watched {
@@ -53,8 +54,8 @@
         }
     }
 
-    /// Notes an answer that came at `at`. Returns for how long there had been none.
-    pub fn note(&mut self, domain: &str, at: TimeMs) -> u64 {
+    /// Records an answer that arrived at `at`. Returns for how long there had been none.
+    pub fn record_answer(&mut self, domain: &str, at: TimeMs) -> u64 {
         let Some(watched) = self.domains.get_mut(domain) else {
             return 0;
         };
@@ -63,29 +64,29 @@
         silent_ms
     }
 
-    /// Takes in what a member of the own domain knows. Returns the domains that had not answered
-    /// for longer than `silent_ms`.
+    /// Merges the observations of a member of this node's own domain. Returns the domains that had
+    /// not answered for longer than `silent_ms` and now have.
     pub fn merge(&mut self, heard: &[DomainContact], now: TimeMs, silent_ms: u64) -> Vec<Name> {
-        let mut heard_again = Vec::new();
+        let mut reachable_again = Vec::new();
         for (domain, watched) in &mut self.domains {
-            let mut about_it = heard.iter().filter(|h| h.domain_hash == watched.hash);
-            let Some(theirs) = about_it.next() else {
+            let mut matching = heard.iter().filter(|h| h.domain_hash == watched.hash);
+            let Some(theirs) = matching.next() else {
                 continue;
             };
-            let answered = moment_of(theirs.age_tenths, now);
+            let answered = time_from_age(theirs.age_tenths, now);
             if watched.answered >= answered {
                 continue;
             }
             let before_ms = watched.silent_ms(now);
             watched.answered = answered;
             if before_ms > silent_ms && watched.silent_ms(now) <= silent_ms {
-                heard_again.push(domain.clone());
+                reachable_again.push(domain.clone());
             }
         }
-        heard_again
+        reachable_again
     }
 
-    /// The ages to send to members of the own domain.
+    /// The ages of the last answers, to send to members of this node's own domain.
     pub fn ages(&self, now: TimeMs) -> Vec<DomainContact> {
         self.domains
             .values()
@@ -98,12 +99,12 @@
             .collect()
     }
 
-    /// When the domain was last known to answer.
+    /// When the domain last answered, as far as known.
     pub fn last_answer(&self, domain: &str) -> Option<TimeMs> {
         self.domains.get(domain)?.answered
     }
 
-    /// Domains that did not answer for longer than `silent_ms`, in order of name.
+    /// The domains that have not answered for longer than `silent_ms`, ordered by name.
     pub fn silent(&self, now: TimeMs, silent_ms: u64) -> Vec<Name> {
         let mut silent: Vec<Name> = self
             .domains
@@ -115,12 +116,13 @@
         silent
     }
 
-    /// Stops watching domains of which no member is known.
+    /// Stops watching the domains for which `known` is false.
     pub fn retain(&mut self, known: impl Fn(&str) -> bool) {
         self.domains.retain(|domain, _| known(domain));
     }
 
-    /// Begins anew after this process was paused: the silence was its own.
+    /// Restarts all silence periods after a pause of this process, during which it could receive
+    /// nothing.
     pub fn restart(&mut self, now: TimeMs) {
         for watched in self.domains.values_mut() {
             watched.since = now;
--- a/src/membership/exchange.rs
+++ b/src/membership/exchange.rs
@@ -1,4 +1,4 @@
-//! Full exchanges of members over a control call, for a join or where much is missing.
+//! Full exchanges of members over a control call, for a join or when many members are missing.
 
 use std::net::SocketAddr;
 
@@ -6,43 +6,44 @@
 use serde::Serialize;
 
 use super::Action;
+use super::Liveness;
 use super::Member;
 use super::Membership;
-use super::Liveness;
 use super::Update;
 use super::digest::bucket_of;
 use crate::core::Target;
 use crate::core::TargetState;
 use crate::core::TimeMs;
 
-/// The least time between two full exchanges that this node starts.
+/// Minimum time between two full exchanges that this node starts.
 const EXCHANGE_PERIOD_MS: u64 = 500;
-/// More members than this from one exchange are not passed on one by one: others get them by exchanges
-/// and comparisons too. Passed on, the members of a fleet of hundreds that starts would fill the byte
-/// budget of news for minutes.
-const MAX_PASSED_ON: usize = 4;
-/// Another node has to know one part in this more members than this one does, and a few more than that,
-/// for an exchange.
-const MANY_PART: usize = 8;
-const MANY_LEAST: usize = 8;
+/// If one exchange brings more members than this, they are not forwarded as updates: other nodes
+/// receive them by exchanges and comparisons too. In a starting fleet of hundreds of nodes,
+/// forwarding them would use up the byte budget of updates for minutes.
+const MAX_FORWARDED: usize = 4;
+/// An exchange requires that the peer knows more members than this node: one eighth more, plus
+/// [`MISSING_MARGIN`].
+const MISSING_DIVISOR: usize = 8;
+const MISSING_MARGIN: usize = 8;
 
-/// What a node asks another with for an exchange of members.
+/// A request for an exchange of members.
 ///
-/// Guards against whole tables that are sent by everybody to several others when a fleet starts: bytes in
-/// the square of the nodes. It holds because only what differs is told, by buckets of members.
+/// Guards against bytes that grow with the square of the number of nodes. They would if, at the
+/// start of a fleet, every node sent its whole table to several others. With the digests, only the
+/// buckets that differ are sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ExchangeRequest {
-    /// What the asker says of itself.
+    /// The requester's own record.
     pub own: Target,
-    /// How many members the asker takes to be alive.
+    /// Number of members that the requester considers alive.
     pub members: u32,
-    /// Digests of the asker's members by bucket.
+    /// Digests of the requester's members by bucket.
     pub digests: Vec<u32>,
 }
 
 impl Membership {
-    /// What to ask a peer with for an exchange.
+    /// The request for an exchange with a peer.
     pub fn exchange_request(&self) -> ExchangeRequest {
         ExchangeRequest {
             own: self.own.clone(),
@@ -51,37 +52,40 @@
         }
     }
 
-    /// Answers an exchange: all that is known here where the asker holds something else. Takes in what the
-    /// asker says of itself, and asks back where it knows much more.
+    /// Answers an exchange with all members in the buckets that differ from the requester's. Merges
+    /// the requester's own record, and requests an exchange in return if the requester knows many
+    /// more members.
     pub fn answer_exchange(
         &mut self,
         now: TimeMs,
         from: SocketAddr,
-        ask: &ExchangeRequest,
+        request: &ExchangeRequest,
     ) -> (Vec<Target>, Vec<Action>) {
         let ours = self.table.buckets();
         let differs = |member: &&Member| {
             let bucket = bucket_of(&member.record.node);
-            ask.digests.get(bucket) != Some(&ours[bucket])
+            request.digests.get(bucket) != Some(&ours[bucket])
         };
-        // Of itself the asker is told only what overrides its own word: what is held of an earlier process.
-        let is_news = |target: &Target| {
-            target.node != ask.own.node || order_of_target(target) > order_of_target(&ask.own)
+        // About itself the requester receives only a record that overrides its own, such as one of
+        // an earlier process.
+        let is_newer = |target: &Target| {
+            target.node != request.own.node
+                || precedence_of_target(target) > precedence_of_target(&request.own)
         };
-        let differing = self.table.iter().filter(differs).map(as_told);
-        let answer = differing.filter(is_news).collect();
-        let mut actions = self.merge(now, from, std::slice::from_ref(&ask.own));
-        let may_ask = ask.own.domain == self.own.domain || self.asks_across();
-        if self.lacks_many(ask.members) && may_ask {
-            self.start_exchange(ask.own.control_address, now, &mut actions);
+        let differing = self.table.iter().filter(differs).map(advertised_record);
+        let answer = differing.filter(is_newer).collect();
+        let mut actions = self.merge(now, from, std::slice::from_ref(&request.own));
+        let may_request = request.own.domain == self.own.domain || self.requests_across_domains();
+        if self.lacks_many(request.members) && may_request {
+            self.start_exchange(request.own.control_address, now, &mut actions);
         }
         (answer, actions)
     }
 
-    /// Takes in what a full exchange brought from `from`.
+    /// Merges the members that a full exchange with `from` returned.
     pub fn merge(&mut self, now: TimeMs, from: SocketAddr, members: &[Target]) -> Vec<Action> {
         let mut actions = Vec::new();
-        let is_bulk = members.len() > MAX_PASSED_ON;
+        let is_bulk = members.len() > MAX_FORWARDED;
         for target in members {
             let (node, incarnation) = (target.node.clone(), target.incarnation);
             if target.state != TargetState::Dead {
@@ -94,11 +98,11 @@
                 );
                 continue;
             }
-            let mut own = target.clone();
-            own.state = TargetState::Starting;
+            let mut record = target.clone();
+            record.state = TargetState::Starting;
             let is_unknown = self.table.get(&node).is_none();
             if !is_unknown {
-                self.apply_from(&Update::Own(own), from, false, now, &mut actions);
+                self.apply_from(&Update::Own(record), from, false, now, &mut actions);
                 let dead = Update::Dead { node, incarnation };
                 self.apply_from(&dead, from, !is_bulk, now, &mut actions);
             }
@@ -107,11 +111,11 @@
         actions
     }
 
-    /// Whether a peer knows so many more members that comparing bucket by bucket is too slow; it
-    /// is so when everything starts at once.
+    /// Whether a peer knows so many more members that a comparison by buckets would be too slow.
+    /// This happens when all nodes start at once.
     pub(super) fn lacks_many(&self, their_members: u32) -> bool {
         let ours = self.table.alive();
-        their_members as usize > ours + ours / MANY_PART + MANY_LEAST
+        their_members as usize > ours + ours / MISSING_DIVISOR + MISSING_MARGIN
     }
 
     pub(super) fn start_exchange(
@@ -127,8 +131,8 @@
     }
 }
 
-/// What is told of a member.
-fn as_told(member: &Member) -> Target {
+/// The record that is sent to others about a member.
+fn advertised_record(member: &Member) -> Target {
     let mut target = member.record.clone();
     if member.liveness == Liveness::Dead {
         target.state = TargetState::Dead;
@@ -136,6 +140,6 @@
     target
 }
 
-fn order_of_target(target: &Target) -> (u64, bool) {
+fn precedence_of_target(target: &Target) -> (u64, bool) {
     (target.incarnation, target.state == TargetState::Dead)
 }
--- a/src/membership/incarnation.rs
+++ b/src/membership/incarnation.rs
@@ -1,15 +1,16 @@
-//! How incarnations are chosen without a disk or a wall clock.
+//! Selection of incarnations without a disk or a wall clock.
 
-/// The low bits tell two processes of one node apart that never heard of each other.
+/// The low bits distinguish two processes of one node that do not know of each other.
 const PROCESS_BITS: u32 = 16;
 
-/// The incarnation with which a process starts, before it has heard of an earlier one.
+/// The incarnation with which a process starts, before it hears of an earlier process.
 pub fn first_incarnation(random: u16) -> u64 {
     (1 << PROCESS_BITS) | u64::from(random)
 }
 
-/// The incarnation to take after `held`, which may be another process's: higher than it, and with
-/// the low bits of `own`, so that two processes of one node never use the same one.
+/// The incarnation that follows `held`, which may be another process's. It is higher than `held`
+/// and keeps the low bits of `own`, so that two processes of one node never use the same
+/// incarnation.
 pub fn incarnation_after(held: u64, own: u64) -> u64 {
     let process_mask = (1 << PROCESS_BITS) - 1;
     let round = (held >> PROCESS_BITS).max(own >> PROCESS_BITS) + 1;
--- a/src/membership/member.rs
+++ b/src/membership/member.rs
@@ -1,4 +1,4 @@
-//! What is known of one member.
+//! The state that is held about one member.
 
 use std::sync::Arc;
 
@@ -6,32 +6,33 @@
 use crate::core::TargetState;
 use crate::core::TimeMs;
 
-/// What others say about a member, on top of what it says of itself.
+/// The state of a member according to failure detection, in addition to the state that it publishes
+/// itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Liveness {
-    /// Nobody doubts it.
+    /// The member is not under suspicion.
     Alive,
-    /// It did not answer; the suspicion began at this time of the local clock. It is first hand
-    /// when a probe of this node's own failed.
-    Suspected { since: TimeMs, first_hand: bool },
-    /// It is taken to be gone.
+    /// A probe was not answered. `since` is the start of the suspicion on the local clock.
+    /// `is_local` is set if one of this node's own probes failed.
+    Suspected { since: TimeMs, is_local: bool },
+    /// The member is considered dead.
     Dead,
 }
 
 /// One member as this node holds it.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// What the node said of itself last.
+    /// The last record that the member published of itself.
     pub record: Target,
     pub liveness: Liveness,
-    /// When this record last changed here.
+    /// When this entry last changed here.
     pub changed: TimeMs,
-    /// The record as it is published: `record` with the state that follows from the liveness.
+    /// The record as it is published here: `record` with the state that results from the liveness.
     pub published: Arc<Target>,
 }
 
 impl Member {
-    /// A trusted member from what it says of itself.
+    /// A member that is alive, with the record that it published.
     pub fn new(record: Target, now: TimeMs) -> Self {
         Self {
             published: Arc::new(record.clone()),
@@ -41,12 +42,12 @@
         }
     }
 
-    /// Gone for good, as far as is known: dead, or departed by its own word.
+    /// Whether the member is dead or has left.
     pub fn is_tombstone(&self) -> bool {
         self.liveness == Liveness::Dead || self.record.state == TargetState::Left
     }
 
-    /// Changes the liveness and what is published with it.
+    /// Sets the liveness and updates the published record.
     pub fn set_liveness(&mut self, liveness: Liveness, now: TimeMs) {
         self.liveness = liveness;
         self.changed = now;
@@ -55,14 +56,14 @@
         self.published = Arc::new(published);
     }
 
-    /// The state that others should act on. A suspect that said it drains is still draining:
-    /// suspicion must not make it look as if it took work.
+    /// The state on which others should act. A suspected member that announced a drain is still
+    /// draining: the suspicion must not make it look as if it accepted work.
     fn effective_state(&self) -> TargetState {
         match (self.liveness, self.record.state) {
             (_, TargetState::Left) => TargetState::Left,
             (Liveness::Dead, _) => TargetState::Dead,
             (Liveness::Suspected { .. }, TargetState::Up) => TargetState::Suspect,
-            (_, own) => own,
+            (_, reported) => reported,
         }
     }
 }
--- a/src/membership/member_table.rs
+++ b/src/membership/member_table.rs
@@ -1,8 +1,8 @@
-//! All members this node knows, with digests kept as they change.
+//! The table of all members known to this node, with digests that are updated on each change.
 
+use super::Liveness;
 use super::Member;
 use super::MembershipSettings;
-use super::Liveness;
 use super::Update;
 use super::digest::BUCKETS;
 use super::digest::bucket_of;
@@ -14,33 +14,32 @@
 use crate::core::TargetState;
 use crate::core::TimeMs;
 
-/// What became of an update.
+/// The result of applying an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// It was newer than what was held.
+    /// The update was newer than what was held.
     Newer,
-    /// It says what is held already, or speaks of a member that is not known.
+    /// The update matches what is held, or is about an unknown member.
     Known,
-    /// What is held is newer.
+    /// What is held is newer than the update.
     Stale,
 }
 
-/// Members by name, this node among them.
+/// Members by name, including this node.
 #[derive(Clone, Debug)]
 pub struct MemberTable {
     members: FastMap<Name, Member>,
     digest: u32,
     buckets: [u32; BUCKETS],
     alive: usize,
-    /// How many of these are in each failure domain.
+    /// Number of members alive in each failure domain.
     alive_by_domain: FastMap<Name, usize>,
-    /// Members under suspicion, so that looking after them costs nothing while there are none.
+    /// Members under suspicion, kept so that checking them costs nothing if there are none.
     suspects: FastSet<Name>,
     last_change: TimeMs,
 }
 
 impl MemberTable {
-    /// A table without members.
     pub fn new() -> Self {
         Self {
             members: FastMap::default(),
@@ -76,18 +75,18 @@
             .filter_map(|node| self.members.get(node))
     }
 
-    /// Members that are neither dead nor departed.
+    /// The number of members that have neither died nor left.
     pub fn alive(&self) -> usize {
         self.alive
     }
 
-    /// The same of one failure domain.
+    /// The number of members of one failure domain that have neither died nor left.
     pub fn alive_in(&self, domain: &str) -> usize {
         self.alive_by_domain.get(domain).copied().unwrap_or(0)
     }
 
-    /// The digest of all members alive. Tombstones are left out, since nodes forget them at
-    /// different times; suspicions are, since they pass by themselves.
+    /// The digest of all members alive. Tombstones are left out because nodes remove them at
+    /// different times. Suspicions are left out because they end by themselves.
     pub fn digest(&self) -> u32 {
         self.digest
     }
@@ -101,12 +100,12 @@
         self.last_change
     }
 
-    /// Puts in what a node says of itself, whatever is held; for this node's own record.
-    pub fn put(&mut self, own: Target, now: TimeMs) {
-        self.replace(Member::new(own, now), now);
+    /// Stores a record regardless of what is held. Used for this node's own record.
+    pub fn put(&mut self, record: Target, now: TimeMs) {
+        self.replace(Member::new(record, now), now);
     }
 
-    /// Applies an update about another node, unless it is stale.
+    /// Applies an update about another node, unless the update is stale.
     pub fn apply(
         &mut self,
         update: &Update,
@@ -114,11 +113,11 @@
         settings: &MembershipSettings,
     ) -> Applied {
         match update {
-            Update::Own(target) => self.apply_own(target, now, settings),
+            Update::Own(target) => self.apply_record(target, now, settings),
             Update::Suspect { node, incarnation } => {
                 let suspected = Liveness::Suspected {
                     since: now,
-                    first_hand: false,
+                    is_local: false,
                 };
                 self.apply_liveness(node, *incarnation, suspected, now)
             }
@@ -129,15 +128,21 @@
         }
     }
 
-    /// A node speaks of itself once in each incarnation, so within the same incarnation what
-    /// others say of it (suspect, dead) is the later news.
-    fn apply_own(&mut self, own: &Target, now: TimeMs, settings: &MembershipSettings) -> Applied {
-        if matches!(own.state, TargetState::Suspect | TargetState::Dead) {
+    /// Applies the record that a node published of itself. A node publishes one record in each
+    /// incarnation, so within the same incarnation a suspicion or a death reported by others is
+    /// newer.
+    fn apply_record(
+        &mut self,
+        record: &Target,
+        now: TimeMs,
+        settings: &MembershipSettings,
+    ) -> Applied {
+        if matches!(record.state, TargetState::Suspect | TargetState::Dead) {
             return Applied::Stale;
         }
-        match self.members.get(&own.node) {
-            Some(held) if held.record.incarnation > own.incarnation => return Applied::Stale,
-            Some(held) if held.record.incarnation == own.incarnation => {
+        match self.members.get(&record.node) {
+            Some(held) if held.record.incarnation > record.incarnation => return Applied::Stale,
+            Some(held) if held.record.incarnation == record.incarnation => {
                 return match held.liveness {
                     Liveness::Dead => Applied::Stale,
                     _ => Applied::Known,
@@ -146,7 +151,7 @@
             None if self.members.len() >= settings.max_members => return Applied::Known,
             _ => {}
         }
-        self.replace(Member::new(own.clone(), now), now);
+        self.replace(Member::new(record.clone(), now), now);
         Applied::Newer
     }
 
@@ -163,8 +168,8 @@
         if held.record.incarnation > incarnation {
             return Applied::Stale;
         }
-        // A suspicion of an incarnation not heard of yet cannot be placed; the node's own word on
-        // that incarnation will come.
+        // The update cannot be applied if its incarnation is not known here yet. The node's own
+        // record of that incarnation follows.
         let departed = held.record.state == TargetState::Left;
         if held.record.incarnation < incarnation || departed || held.liveness == Liveness::Dead {
             return Applied::Known;
@@ -176,7 +181,7 @@
         Applied::Newer
     }
 
-    /// Changes what is said of a member.
+    /// Sets the liveness of a member.
     pub fn set_liveness(&mut self, node: &str, liveness: Liveness, now: TimeMs) {
         if let Some(mut member) = self.members.get(node).cloned() {
             member.set_liveness(liveness, now);
@@ -184,20 +189,20 @@
         }
     }
 
-    /// Begins all suspicions anew, after a pause in which no refutation could be heard.
+    /// Restarts the time of all suspicions, after a pause in which no refutation could be received.
     pub fn restart_suspicions(&mut self, now: TimeMs) {
         for node in &self.suspects {
             if let Some(member) = self.members.get_mut(node) {
                 member.liveness = Liveness::Suspected {
                     since: now,
-                    first_hand: false,
+                    is_local: false,
                 };
             }
         }
     }
 
-    /// Forgets tombstones that are old or too many. Returns what was forgotten.
-    pub fn forget_tombstones(&mut self, now: TimeMs, settings: &MembershipSettings) -> Vec<Name> {
+    /// Removes tombstones that are too old or too many. Returns the names that were removed.
+    pub fn remove_tombstones(&mut self, now: TimeMs, settings: &MembershipSettings) -> Vec<Name> {
         let mut tombstones: Vec<(TimeMs, Name)> = self
             .members
             .values()
@@ -207,19 +212,19 @@
         tombstones.sort_unstable();
         let surplus = tombstones.len().saturating_sub(settings.max_tombstones);
         let is_old = |changed: TimeMs| now.since(changed) > settings.tombstone_ms;
-        let forgotten: Vec<Name> = tombstones
+        let removed: Vec<Name> = tombstones
             .into_iter()
             .enumerate()
             .filter(|(position, (changed, _))| *position < surplus || is_old(*changed))
             .map(|(_, (_, node))| node)
             .collect();
-        for node in &forgotten {
+        for node in &removed {
             self.members.remove(node);
         }
-        forgotten
+        removed
     }
 
-    /// Everything known of the members in one bucket, as updates.
+    /// All members of one bucket, as updates.
     pub fn bucket_updates(&self, bucket: usize) -> Vec<Update> {
         self.members
             .values()
@@ -267,7 +272,7 @@
     }
 }
 
-/// What is held of a member, to be told to somebody who holds less.
+/// The update that informs a node that holds older data about a member.
 pub fn record_of(member: &Member) -> Update {
     if member.liveness == Liveness::Dead {
         return Update::Dead {
--- a/src/membership/membership.rs
+++ b/src/membership/membership.rs
@@ -1,4 +1,4 @@
-//! The state of one member and what it does as time passes.
+//! The gossip state of one member, and its periodic steps.
 
 use std::net::SocketAddr;
 
@@ -6,15 +6,15 @@
 
 use super::Action;
 use super::DomainWatch;
+use super::Liveness;
 use super::Member;
 use super::MemberTable;
 use super::MembershipSettings;
-use super::NewsBudget;
 use super::ProbeRing;
 use super::Probes;
 use super::SlotMapVersions;
-use super::Liveness;
 use super::Update;
+use super::UpdateBudget;
 use super::UpdateQueue;
 use super::ViewBuilder;
 use super::incarnation::first_incarnation;
@@ -27,20 +27,22 @@
 use crate::core::TimeMs;
 use crate::core::View;
 
-/// Length of the cycle of probes inside and outside the own failure domain.
+/// Length of the cycle of probes inside and outside this node's own failure domain.
 pub(super) const PROBE_CYCLE: u64 = 3;
-/// Missed periods after which this process was paused, and the silence was its own.
+/// After this many probe periods without a tick, this process is considered to have been paused:
+/// the missing answers are then due to the pause.
 const PAUSE_PERIODS: u64 = 3;
-/// How often tombstones and unknown failure domains are swept out.
+/// How often expired tombstones and failure domains without members are removed.
 const SWEEP_PERIOD_MS: u64 = 10_000;
-/// The least time between two refutations.
+/// Minimum time between two refutations.
 const REFUTATION_PERIOD_MS: u64 = 500;
-/// Routes of which it is told who uses them at most; the others are found out by each node.
-const MOST_ROUTES: usize = 4_096;
-/// How often a node that knows nobody asks a seed for all members.
+/// Maximum number of routes whose use is spread by gossip. For further ones each node finds out by
+/// itself.
+const MAX_ROUTES: usize = 4_096;
+/// How often a node that knows no other member requests all members from a seed.
 const JOIN_PERIOD_MS: u64 = 1_000;
 
-/// When the periodic steps are due next, and what was last seen.
+/// The times at which the periodic steps are due next, and of the last observations.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Schedule {
     pub last_tick: TimeMs,
@@ -53,15 +55,15 @@
     pub last_equal: TimeMs,
     pub next_slot_compare: TimeMs,
     pub last_slots_equal: TimeMs,
-    pub last_near_config_news: TimeMs,
-    pub last_far_config_news: TimeMs,
+    pub last_near_newer_config: TimeMs,
+    pub last_far_newer_config: TimeMs,
     pub next_refutation: TimeMs,
 }
 
-/// One member's share of the gossip: state, input and time in, actions out.
+/// One member of the gossip protocol: state, input and time go in, actions come out.
 ///
-/// [`Self::handle`] takes datagrams and [`Self::tick`] the passing of time; call it about ten
-/// times in each probe period. Both return what has to be done. See docs/MEMBERSHIP.md.
+/// [`Self::handle`] takes datagrams, and [`Self::tick`] the passing of time. Call `tick` about ten
+/// times in each probe period. Both return the actions to carry out. See docs/MEMBERSHIP.md.
 #[derive(Clone, Debug)]
 pub struct Membership {
     pub(super) settings: MembershipSettings,
@@ -71,23 +73,23 @@
     pub(super) table: MemberTable,
     pub(super) queue: UpdateQueue,
     pub(super) watch: DomainWatch,
-    /// Failure domains that nobody of the own domain got an answer from lately.
+    /// Failure domains from which no member of this node's own domain got an answer recently.
     pub(super) silent: Vec<Name>,
     pub(super) probes: Probes,
-    pub(super) budget: NewsBudget,
+    pub(super) budget: UpdateBudget,
     pub(super) slot_maps: SlotMapVersions,
-    /// Routes of which it was told who uses them.
-    told_routes: FastSet<Name>,
+    /// Routes whose use is known.
+    known_routes: FastSet<Name>,
     pub(super) config_version: u64,
     /// When the store was last known to hold no newer configuration.
     pub(super) config_confirmed: Option<TimeMs>,
     pub(super) store_era: u64,
-    /// The header has news (a new configuration, a new era of the store) that is to be pushed at once.
+    /// The header holds a new configuration version or store era that has to be pushed at once.
     pub(super) header_is_urgent: bool,
-    /// The own failure domain is to hear at once that another one answers again.
+    /// This node's own failure domain has to be informed at once that another domain answers again.
     pub(super) answers_are_urgent: bool,
     pub(super) view: ViewBuilder,
-    /// The highest incarnation that peers hold about this node and that it has yet to override.
+    /// The highest incarnation of this node that peers hold and that this node has yet to override.
     to_refute: Option<u64>,
     pub(super) schedule: Schedule,
     pub(super) started: TimeMs,
@@ -97,8 +99,8 @@
 }
 
 impl Membership {
-    /// A member that knows itself and some addresses to begin with. The incarnation of `own` is
-    /// chosen here; it rises once peers tell what they hold about the node's name.
+    /// Creates a member that knows itself and the seed addresses. The incarnation of `own` is
+    /// chosen here. It rises once peers report what they hold under this node's name.
     pub fn new(
         mut own: Target,
         seeds: Vec<SocketAddr>,
@@ -122,9 +124,9 @@
             watch: DomainWatch::default(),
             silent: Vec::new(),
             probes: Probes::default(),
-            budget: NewsBudget::new(settings.news_bytes_per_s, settings.news_burst_bytes),
+            budget: UpdateBudget::new(settings.update_bytes_per_s, settings.update_burst_bytes),
             slot_maps: SlotMapVersions::default(),
-            told_routes: FastSet::default(),
+            known_routes: FastSet::default(),
             config_version: 0,
             config_confirmed: None,
             store_era: 0,
@@ -151,22 +153,23 @@
         &self.own
     }
 
-    /// All that is known.
+    /// The members known to this node.
     pub fn table(&self) -> &MemberTable {
         &self.table
     }
 
-    /// The version of the configuration in force here, as it is told to others.
+    /// The version of the configuration in force here, as it is sent to others.
     pub fn config_version(&self) -> u64 {
         self.config_version
     }
 
-    /// Whether anybody else is known: before that, what peers hold about this node is unknown.
+    /// Whether any other member is known. Before that, it is unknown what peers hold about this
+    /// node.
     pub fn has_joined(&self) -> bool {
         self.table.len() > 1
     }
 
-    /// Changes what this node says of itself, and spreads it at once. No change, no news.
+    /// Changes this node's own record and spreads it at once. If nothing changed, nothing is sent.
     pub fn set_own(&mut self, service: &Name, state: TargetState, slots: u32, now: TimeMs) {
         let own = &self.own;
         if own.service == *service && own.state == state && own.slots == slots {
@@ -179,7 +182,7 @@
         self.put_own(now);
     }
 
-    /// Adds addresses to begin with, for example from the platform's table.
+    /// Adds seed addresses, for example from the platform's table.
     pub fn add_seeds(&mut self, seeds: &[SocketAddr]) {
         for seed in seeds {
             if *seed != self.own.control_address && !self.seeds.contains(seed) {
@@ -196,21 +199,21 @@
         }
     }
 
-    /// The store has said `at` that it holds nothing newer than this version. Its word on another version
-    /// than the one in force here says nothing of that.
+    /// Records that at `at` the store held nothing newer than this version. It is ignored if
+    /// another version is in force here, because it says nothing about that one.
     pub fn confirm_config(&mut self, version: u64, at: TimeMs) {
         if version == self.config_version {
             self.config_confirmed = self.config_confirmed.max(Some(at));
         }
     }
 
-    /// When the store was last known to hold no newer configuration, by its word to anybody.
+    /// When the store was last known to hold no newer configuration, as observed by any member.
     pub fn config_confirmed(&self) -> Option<TimeMs> {
         self.config_confirmed
     }
 
-    /// Takes in an era of the store, and spreads it at once if it is newer than any that was known.
-    /// Answers whether it is.
+    /// Records a store era, and spreads it at once if it is newer than any known one. Returns
+    /// whether it is.
     pub fn raise_store_era(&mut self, era: u64) -> bool {
         let rises = era > self.store_era;
         if rises {
@@ -228,14 +231,16 @@
         }
     }
 
-    /// Takes in who uses a route, if nothing was known of it, and spreads it at once. Answers whether it was news.
+    /// Records what uses a route if that was unknown, and spreads it at once. Returns whether it
+    /// was unknown.
     ///
-    /// Guards against a fleet of hundreds that takes five seconds after a restart of all to refuse what cannot
-    /// complete: each node found out for itself, or by the answers to a few calls of its own, which come late
-    /// just then. It holds because the first one to find out tells all others. Where something is known
-    /// already, that stays: guards go on judging, and tell with each answer.
+    /// Guards against a fleet of hundreds of nodes that, after all of them restart, takes five
+    /// seconds until it refuses requests that cannot complete. Without gossip each node finds out
+    /// by itself, or from the answers to a few calls of its own, which are late at that time. With
+    /// it, the first node that finds out informs all others. A known use is never replaced: guards
+    /// continue to judge, and report with each answer.
     pub fn set_route_use(&mut self, route: &Name, by: RouteOrigin) -> bool {
-        if self.told_routes.len() >= MOST_ROUTES || !self.told_routes.insert(route.clone()) {
+        if self.known_routes.len() >= MAX_ROUTES || !self.known_routes.insert(route.clone()) {
             return false;
         }
         let route = route.clone();
@@ -243,30 +248,30 @@
         true
     }
 
-    /// The present view; built anew only where it changed.
+    /// The current view. Only the parts that changed are rebuilt.
     pub fn view(&mut self) -> View {
         let cut_off = self.cut_off_domains();
         self.view.build(&self.table, cut_off)
     }
 
-    /// Does what is due by now.
+    /// Runs the steps that are due.
     pub fn tick(&mut self, now: TimeMs) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.notice_pause(now);
+        self.detect_pause(now);
         self.refute_if_due(now);
-        self.ask_helpers(now, &mut actions);
+        self.request_indirect_probes(now, &mut actions);
         self.suspect_failed(now, &mut actions);
         self.probe_overdue_suspects(now, &mut actions);
-        self.judge_domains(now);
+        self.update_silent_domains(now);
         if now >= self.schedule.next_probe {
             self.schedule.next_probe = now + self.settings.probe_period_ms;
             self.probe_next(now, &mut actions);
             self.probe_quiet_domains(now, &mut actions);
-            self.ask_for_answers(now, &mut actions);
+            self.refresh_domain_answers(now, &mut actions);
         }
         if now >= self.schedule.next_rejoin {
             self.schedule.next_rejoin = now + self.settings.rejoin_period_ms;
-            self.try_lost(now, &mut actions);
+            self.ping_lost(now, &mut actions);
         }
         if !self.has_joined() && now >= self.schedule.next_join {
             self.schedule.next_join = now + JOIN_PERIOD_MS;
@@ -282,9 +287,9 @@
         actions
     }
 
-    /// Raises the own incarnation above `held`, which peers hold about this node. Two nodes with
-    /// one name would outbid each other as fast as the network goes, so it is done at most once
-    /// in a while.
+    /// Raises this node's incarnation above `held`, which peers hold about it. Two nodes with the
+    /// same name would otherwise raise their incarnations as fast as the network allows, so this
+    /// happens at most once in [`REFUTATION_PERIOD_MS`].
     pub(super) fn refute(&mut self, held: u64, now: TimeMs) {
         self.to_refute = self.to_refute.max(Some(held));
         self.refute_if_due(now);
@@ -302,14 +307,14 @@
         }
     }
 
-    /// Asks for the view to be published if it changed.
+    /// Requests that the view be published, if it changed.
     pub(super) fn publish_if_stale(&self, actions: &mut Vec<Action>) {
         if self.view.is_stale(&self.cut_off_domains()) {
             actions.push(Action::Publish);
         }
     }
 
-    /// Whether a failure domain is silent, so that nothing can be said of its members.
+    /// Whether a failure domain is silent, so that the liveness of its members cannot be judged.
     pub(super) fn is_silent(&self, domain: &str) -> bool {
         self.silent.iter().any(|silent| &**silent == domain)
     }
@@ -318,7 +323,7 @@
         let before = self.table.get(&self.own.node);
         let service_before = before.map(|member| member.record.service.clone());
         let services = service_before.iter().chain([&self.own.service]);
-        self.view.note(&self.own.node, services);
+        self.view.mark_changed(&self.own.node, services);
         self.table.put(self.own.clone(), now);
         self.watch.watch(&self.own.domain, now);
         self.queue.push(Update::Own(self.own.clone()), true);
@@ -326,25 +331,25 @@
 
     pub(super) fn set_liveness(&mut self, member: &Member, liveness: Liveness, now: TimeMs) {
         self.view
-            .note(&member.record.node, [&member.record.service].into_iter());
+            .mark_changed(&member.record.node, [&member.record.service].into_iter());
         self.table.set_liveness(&member.record.node, liveness, now);
     }
 
-    /// A paused process heard nobody. Without this guard it would, on resuming, take everybody
-    /// who owes it an answer for dead.
-    fn notice_pause(&mut self, now: TimeMs) {
+    /// Detects a pause of this process. A paused process receives nothing. Without this guard it
+    /// would, once it resumes, declare every member dead that had yet to answer.
+    fn detect_pause(&mut self, now: TimeMs) {
         let silence_ms = now.since(self.schedule.last_tick);
         self.schedule.last_tick = now;
         if silence_ms < PAUSE_PERIODS * self.settings.probe_period_ms {
             return;
         }
-        log::info!("gossip: resumed after a pause pause_ms={silence_ms}");
+        log::info!("gossip: process resumed after a pause pause_ms={silence_ms}");
         self.probes.clear();
         self.watch.restart(now);
         self.table.restart_suspicions(now);
     }
 
-    /// Another member that can be expected to answer.
+    /// Whether this is another member that can be expected to answer.
     pub(super) fn is_usable(&self, member: &Member) -> bool {
         !member.is_tombstone()
             && member.record.node != self.own.node
@@ -352,17 +357,17 @@
             && !self.is_silent(&member.record.domain)
     }
 
-    /// Failure domains that cannot be reached from here. The own one is never among them: it can
-    /// be reached from within.
+    /// The failure domains that cannot be reached from here. This node's own domain is never among
+    /// them, because it can be reached from within.
     pub fn cut_off_domains(&self) -> Vec<Name> {
         let not_own = |domain: &&Name| **domain != self.own.domain;
         self.silent.iter().filter(not_own).cloned().collect()
     }
 
     fn sweep(&mut self, now: TimeMs) {
-        let forgotten = self.table.forget_tombstones(now, &self.settings);
-        for node in &forgotten {
-            self.view.note(node, std::iter::empty());
+        let removed = self.table.remove_tombstones(now, &self.settings);
+        for node in &removed {
+            self.view.mark_changed(node, std::iter::empty());
         }
         let table = &self.table;
         self.watch.retain(|domain| table.alive_in(domain) > 0);
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,6 +1,11 @@
-//! Who is there: gossip between nodes, as pure decisions over time, datagrams and a random source.
+//! Cluster membership by gossip, in the manner of SWIM: failure detection, dissemination of updates
+//! and anti-entropy.
 //!
-//! See [docs/MEMBERSHIP.md](../../docs/MEMBERSHIP.md) for the ways weighed and the figures.
+//! The code here is free of I/O: time, datagrams and a random source go in, and [`Action`]s come
+//! out.
+//!
+//! See [docs/MEMBERSHIP.md](../../docs/MEMBERSHIP.md) for the alternatives that were compared and
+//! the figures.
 
 mod action;
 mod age_tenths;
@@ -8,21 +13,21 @@
 mod compare;
 mod datagram;
 mod digest;
+mod dissemination;
 mod domain_watch;
 mod exchange;
 mod incarnation;
 mod member;
 mod member_table;
 mod membership;
-mod news_budget;
 mod probe_ring;
 mod probes;
 mod probing;
 mod receive;
 mod settings;
 mod slot_map_versions;
-mod spread;
 mod suspicion;
+mod update_budget;
 mod update_queue;
 mod view_builder;
 
@@ -33,23 +38,23 @@
 pub use codec::encoded_bytes;
 pub use datagram::Body;
 pub use datagram::Datagram;
+pub use datagram::DomainContact;
 pub use datagram::FixedDigest;
 pub use datagram::Header;
-pub use datagram::DomainContact;
 pub use datagram::Update;
 pub use exchange::ExchangeRequest;
-pub use member::Member;
 pub use member::Liveness;
+pub use member::Member;
 pub use member_table::Applied;
 pub use member_table::MemberTable;
 pub use membership::Membership;
 pub use settings::MembershipSettings;
 
+use dissemination::Receiver;
 use domain_watch::DomainWatch;
-use news_budget::NewsBudget;
 use probe_ring::ProbeRing;
 use probes::Probes;
 use slot_map_versions::SlotMapVersions;
-use spread::Receiver;
+use update_budget::UpdateBudget;
 use update_queue::UpdateQueue;
 use view_builder::ViewBuilder;
--- a/src/membership/probe_ring.rs
+++ b/src/membership/probe_ring.rs
@@ -1,20 +1,20 @@
-//! In which order members are probed.
+//! The order in which members are probed.
 
 use fastrand::Rng;
 
 use crate::core::Name;
 
-/// Members in a random order, each once before any comes again.
+/// Members in random order, each of them once per round.
 ///
-/// A random choice each time would leave some members unprobed for long; a ring bounds the time
-/// until a death is noticed.
+/// With an independent random choice each time, some members would stay unprobed for long. A round
+/// bounds the time until a death is detected.
 #[derive(Clone, Debug, Default)]
 pub struct ProbeRing {
     order: Vec<Name>,
 }
 
 impl ProbeRing {
-    /// The next member; when all had their turn, a new round starts with what `refill` lists.
+    /// The next member. After all had their turn, a new round starts with the names from `refill`.
     pub fn next(&mut self, rng: &mut Rng, refill: impl FnOnce() -> Vec<Name>) -> Option<Name> {
         if self.order.is_empty() {
             self.order = refill();
--- a/src/membership/probes.rs
+++ b/src/membership/probes.rs
@@ -1,4 +1,4 @@
-//! Probes under way, this node's own and those it makes for others.
+//! Pending probes: this node's own and those on behalf of others.
 
 use std::net::SocketAddr;
 
@@ -6,33 +6,34 @@
 use crate::core::Name;
 use crate::core::TimeMs;
 
-/// Bound on probes made for others at one time; requests beyond it are dropped, and the asker
-/// has other helpers.
+/// Maximum number of pending probes on behalf of others. Further requests are dropped, because the
+/// requester also asks other members.
 const MAX_RELAYS: usize = 64;
-/// After this time an answer is of no use to the asker.
+/// After this time an answer is of no use to the requester.
 const RELAY_MS: u64 = 2_000;
-/// Bound on this node's own probes under way.
+/// Maximum number of pending probes of this node's own.
 const MAX_PROBES: usize = 64;
 
-/// A probe of this node's own.
+/// A pending probe of this node's own.
 #[derive(Clone, Debug)]
 pub struct Probe {
     pub node: Name,
     pub address: SocketAddr,
     pub sent: TimeMs,
-    /// Whether silence counts against the member. It does not when its failure domain was cut off
-    /// at the time: on healing, all such probes would fail at once and raise suspicions.
-    pub judges: bool,
-    /// Whether the member is dead if this fails as well.
-    pub is_last: bool,
-    /// Whether others were already asked to probe as well.
-    pub indirect: bool,
+    /// Whether a missing answer counts against the member. It does not if the member's failure
+    /// domain was cut off when the probe was sent: once the domain is reachable again, all such
+    /// probes would fail at once and raise suspicions.
+    pub is_conclusive: bool,
+    /// Whether the member is declared dead if this probe fails too.
+    pub is_final: bool,
+    /// Whether other members have been asked for indirect probes.
+    pub indirect_requested: bool,
 }
 
-/// A probe made on behalf of another member.
+/// A pending probe on behalf of another member.
 #[derive(Clone, Copy, Debug)]
 struct Relay {
-    asker: SocketAddr,
+    requester: SocketAddr,
     sequence: u32,
     sent: TimeMs,
 }
@@ -46,13 +47,13 @@
 }
 
 impl Probes {
-    /// Starts a probe; `None` when too many are under way.
+    /// Starts a probe. Returns `None` if too many are pending, or one to this node is.
     pub fn start(
         &mut self,
         node: Name,
         address: SocketAddr,
-        judges: bool,
-        is_last: bool,
+        is_conclusive: bool,
+        is_final: bool,
         now: TimeMs,
     ) -> Option<u32> {
         if self.own.len() >= MAX_PROBES || self.own.values().any(|probe| probe.node == node) {
@@ -63,23 +64,28 @@
             node,
             address,
             sent: now,
-            judges,
-            is_last,
-            indirect: false,
+            is_conclusive,
+            is_final,
+            indirect_requested: false,
         };
         self.own.insert(sequence, probe);
         Some(sequence)
     }
 
-    /// Starts a probe for `asker`; `None` when too many are under way.
-    pub fn start_relay(&mut self, asker: SocketAddr, sequence: u32, now: TimeMs) -> Option<u32> {
+    /// Starts a probe on behalf of `requester`. Returns `None` if too many are pending.
+    pub fn start_relay(
+        &mut self,
+        requester: SocketAddr,
+        sequence: u32,
+        now: TimeMs,
+    ) -> Option<u32> {
         self.relays
             .retain(|_, relay| now.since(relay.sent) < RELAY_MS);
         if self.relays.len() >= MAX_RELAYS {
             return None;
         }
         let relay = Relay {
-            asker,
+            requester,
             sequence,
             sent: now,
         };
@@ -93,28 +99,32 @@
         self.own.remove(&sequence)
     }
 
-    /// Ends a probe for another member: whom to tell, and the number that it knows.
+    /// Ends a probe on behalf of another member. Returns the requester's address and its sequence
+    /// number.
     pub fn finish_relay(&mut self, sequence: u32) -> Option<(SocketAddr, u32)> {
         self.relays
             .remove(&sequence)
-            .map(|relay| (relay.asker, relay.sequence))
+            .map(|relay| (relay.requester, relay.sequence))
     }
 
-    /// Probes that got no answer in `timeout_ms` and are now to be made by others as well.
+    /// The probes that were not answered within `timeout_ms` and are due for indirect probes. Each
+    /// is returned once.
     pub fn take_unanswered(&mut self, now: TimeMs, timeout_ms: u64) -> Vec<(u32, Probe)> {
         self.own
             .iter_mut()
             .filter(|(_, probe)| {
-                probe.judges && !probe.indirect && now.since(probe.sent) >= timeout_ms
+                probe.is_conclusive
+                    && !probe.indirect_requested
+                    && now.since(probe.sent) >= timeout_ms
             })
             .map(|(sequence, probe)| {
-                probe.indirect = true;
+                probe.indirect_requested = true;
                 (*sequence, probe.clone())
             })
             .collect()
     }
 
-    /// Ends the probes that failed: no answer in `timeout_ms`, neither directly nor relayed.
+    /// Ends the probes that got neither a direct nor a relayed answer within `timeout_ms`.
     pub fn take_failed(&mut self, now: TimeMs, timeout_ms: u64) -> Vec<Probe> {
         let failed: Vec<u32> = self
             .own
@@ -128,7 +138,7 @@
             .collect()
     }
 
-    /// Gives up all probes, after a pause in which no answer could be heard.
+    /// Drops all probes, after a pause in which no answer could be received.
     pub fn clear(&mut self) {
         self.own.clear();
     }
--- a/src/membership/probing.rs
+++ b/src/membership/probing.rs
@@ -1,36 +1,40 @@
-//! Whom a member probes, and when.
+//! The choice of members to probe, and the schedule of the probes.
 
 use std::net::SocketAddr;
 
 use super::Action;
 use super::Body;
+use super::Liveness;
 use super::Member;
 use super::MemberTable;
 use super::Membership;
 use super::Receiver;
-use super::Liveness;
 use super::Update;
 use super::membership::PROBE_CYCLE;
 use crate::core::Name;
 use crate::core::Target;
 use crate::core::TimeMs;
 
-/// Two of three probes go to the own failure domain, so that it works alike when cut off.
+/// Two of three probes go to this node's own failure domain, so that failure detection inside it
+/// works the same when the domain is cut off.
 const OWN_DOMAIN_PROBES: u64 = 2;
-/// A failure domain whose last answer is older than this gets extra probes.
+/// A failure domain whose last answer is older than this gets additional probes.
 const QUIET_DOMAIN_MS: u64 = 1_500;
-/// A node that knows of no answer for so long asks a member of its own domain for fresher news.
+/// A node whose newest answer from a failure domain is older than this pings another member of its
+/// own domain for a newer one.
 const STALE_ANSWER_MS: u64 = 2_500;
-/// How many extra probes a quiet failure domain gets from the whole own domain in each period.
+/// How many additional probes a quiet failure domain gets in each period from all members of one
+/// domain together.
 const QUIET_DOMAIN_PROBES: f64 = 2.0;
-/// A member that was lost for less than this is likely to be in a restart, in milliseconds: one takes
-/// seconds, and a new machine in its place a minute.
-const LATELY_LOST_MS: u64 = 60_000;
-/// How many of them each member tries in each rejoin period: all members together reach one that is
-/// back within a second, and a whole region that is lost takes little of the byte budget.
-const LATELY_LOST_TRIES: usize = 4;
-/// How many seeds all members that know each other try in each rejoin period. When everything
-/// starts at once, seeds would otherwise be asked by everybody for everything.
+/// A member that was lost for less than this time, in milliseconds, is likely to be restarting. A
+/// restart takes seconds, and a replacement of the machine takes a minute.
+const RECENTLY_LOST_MS: u64 = 60_000;
+/// How many recently lost members each member pings in each rejoin period. All members together
+/// reach a returning member within a second, and the loss of a whole region takes little of the
+/// byte budget.
+const RECENTLY_LOST_TRIES: usize = 4;
+/// How many seeds all members that know each other ping in each rejoin period. Without the bound,
+/// every node would request everything from the seeds when all nodes start at once.
 const SEED_TRIES: f64 = 8.0;
 
 impl Membership {
@@ -38,15 +42,19 @@
         let is_own_turn = self.probe_count % PROBE_CYCLE < OWN_DOMAIN_PROBES;
         self.probe_count += 1;
         let next = match is_own_turn {
-            true => self.next_own().or_else(|| self.next_other()),
-            false => self.next_other().or_else(|| self.next_own()),
+            true => self
+                .next_in_own_domain()
+                .or_else(|| self.next_in_other_domain()),
+            false => self
+                .next_in_other_domain()
+                .or_else(|| self.next_in_own_domain()),
         };
         if let Some(node) = next {
             self.probe(&node, false, now, actions);
         }
     }
 
-    pub(super) fn next_own(&mut self) -> Option<Name> {
+    pub(super) fn next_in_own_domain(&mut self) -> Option<Name> {
         let (table, own) = (&self.table, &self.own);
         let refill = || {
             names_of(table, |member| {
@@ -56,7 +64,7 @@
         self.own_ring.next(&mut self.rng, refill)
     }
 
-    pub(super) fn next_other(&mut self) -> Option<Name> {
+    pub(super) fn next_in_other_domain(&mut self) -> Option<Name> {
         let (table, own, silent) = (&self.table, &self.own, &self.silent);
         let refill = || {
             names_of(table, |member| {
@@ -67,8 +75,8 @@
         self.other_ring.next(&mut self.rng, refill)
     }
 
-    /// Probes failure domains that were not heard of lately. Each node does so with a chance that
-    /// makes about two probes of the whole domain, however many nodes it has.
+    /// Probes failure domains that have not answered recently. Each node does so with a probability
+    /// that gives about two probes from the whole domain, whatever its number of nodes.
     pub(super) fn probe_quiet_domains(&mut self, now: TimeMs, actions: &mut Vec<Action>) {
         let quiet = self.watch.silent(now, QUIET_DOMAIN_MS);
         if quiet.is_empty() {
@@ -92,12 +100,13 @@
         }
     }
 
-    /// Pings one more member of the own domain while some domain's last answer is old here:
-    /// usually others heard a newer one, and the header of the answer brings it.
-    pub(super) fn ask_for_answers(&mut self, now: TimeMs, actions: &mut Vec<Action>) {
+    /// Pings one more member of this node's own failure domain if the newest known answer of
+    /// another domain is old. Other members usually know a newer answer, and the header of the
+    /// response carries it.
+    pub(super) fn refresh_domain_answers(&mut self, now: TimeMs, actions: &mut Vec<Action>) {
         let old = self.watch.silent(now, STALE_ANSWER_MS);
         if old.iter().any(|domain| *domain != self.own.domain) {
-            let next = self.next_own();
+            let next = self.next_in_own_domain();
             if let Some(node) = next {
                 self.probe(&node, false, now, actions);
             }
@@ -107,7 +116,7 @@
     pub(super) fn probe(
         &mut self,
         node: &Name,
-        is_last: bool,
+        is_final: bool,
         now: TimeMs,
         actions: &mut Vec<Action>,
     ) {
@@ -121,15 +130,15 @@
         let liveness = member.liveness;
         let incarnation = member.record.incarnation;
         let member_is_near = is_near(member, &self.own);
-        let judges = !self.is_silent(&member.record.domain);
+        let is_conclusive = !self.is_silent(&member.record.domain);
         let Some(sequence) = self
             .probes
-            .start(node.clone(), address, judges, is_last, now)
+            .start(node.clone(), address, is_conclusive, is_final, now)
         else {
             return;
         };
         let node = node.clone();
-        let told = match liveness {
+        let required = match liveness {
             Liveness::Suspected { .. } => vec![Update::Suspect { node, incarnation }],
             _ => Vec::new(),
         };
@@ -137,12 +146,13 @@
             address,
             is_near: member_is_near,
         };
-        self.send_telling(receiver, Body::Ping { sequence }, told, now, actions);
+        self.send_with_updates(receiver, Body::Ping { sequence }, required, now, actions);
     }
 
-    /// Tries some lost members and one seed that no member alive uses. They may have come back
-    /// unheard, and two parts that know nothing of each other find together only this way.
-    pub(super) fn try_lost(&mut self, now: TimeMs, actions: &mut Vec<Action>) {
+    /// Pings some lost members, and one seed that is not the address of a member alive. A lost
+    /// member may have returned unnoticed. Two partitions that know nothing of each other can only
+    /// merge this way.
+    pub(super) fn ping_lost(&mut self, now: TimeMs, actions: &mut Vec<Action>) {
         let chosen = self.choose_lost(now);
         let unknown: Vec<SocketAddr> = self
             .seeds
@@ -154,24 +164,26 @@
         let tries_seed = self.rng.f64() < chance;
         let seed = self.rng.choice(&unknown).copied().filter(|_| tries_seed);
         for address in chosen.into_iter().chain(seed) {
-            // Nobody waits for the answer; that it comes is what counts.
+            // No probe is registered for the answer. Its arrival alone matters.
             let receiver = Receiver::far(address);
             self.send_to(receiver, Body::Ping { sequence: 0 }, now, actions);
         }
     }
 
-    /// Addresses of members that died or departed: a few of those that did so lately, and any one.
+    /// The addresses of members that died or left: a few of the recent ones, and one chosen among
+    /// all.
     ///
-    /// Guards against a node that is restarted as planned while the platform's store is out of reach:
-    /// it knows nobody to begin with, so it serves nothing until the store is back, and its backend
-    /// server is lost to all others. It holds because those remember where it was.
+    /// Guards against a node that is restarted as planned while the platform's store is
+    /// unreachable. The node knows no other member then. It would serve nothing until the store is
+    /// back, and no other node could use its backend server. The other members still know its
+    /// address and ping it.
     fn choose_lost(&mut self, now: TimeMs) -> Vec<SocketAddr> {
         let own = &self.own.node;
         let lost = self.table.iter().filter(|member| member.is_tombstone());
         let lost: Vec<&Member> = lost.filter(|member| member.record.node != *own).collect();
-        let is_late = |member: &&Member| now.since(member.changed) < LATELY_LOST_MS;
-        let lately: Vec<&Member> = lost.iter().copied().filter(is_late).collect();
-        let mut chosen = self.rng.choose_multiple(lately, LATELY_LOST_TRIES);
+        let is_recent = |member: &&Member| now.since(member.changed) < RECENTLY_LOST_MS;
+        let recent: Vec<&Member> = lost.iter().copied().filter(is_recent).collect();
+        let mut chosen = self.rng.choose_multiple(recent, RECENTLY_LOST_TRIES);
         chosen.extend(self.rng.choice(&lost).copied());
         let mut addresses: Vec<SocketAddr> = chosen
             .into_iter()
--- a/src/membership/receive.rs
+++ b/src/membership/receive.rs
@@ -1,4 +1,4 @@
-//! What one member does with what it is sent.
+//! Handling of received datagrams.
 
 use std::net::SocketAddr;
 
@@ -7,40 +7,40 @@
 use super::Body;
 use super::Datagram;
 use super::Header;
+use super::Liveness;
 use super::Membership;
 use super::Receiver;
-use super::Liveness;
 use super::Update;
-use super::age_tenths::moment_of;
+use super::age_tenths::time_from_age;
 use super::member_table::record_of;
 use crate::core::Name;
 use crate::core::TargetState;
 use crate::core::TimeMs;
 
-/// The least time between two hints that a peer has newer configuration.
-const CONFIG_NEWS_PERIOD_MS: u64 = 200;
-/// How long digests of slot maps may differ before they are compared.
+/// Minimum time between two reports that a peer has a newer configuration.
+const NEWER_CONFIG_PERIOD_MS: u64 = 200;
+/// How long the digests of slot maps may differ before the versions are compared.
 const SLOT_MAPS_DIFFER_MS: u64 = 5_000;
 
 impl Membership {
-    /// Takes in a datagram that came from `from`.
+    /// Handles a datagram that was received from `from`.
     pub fn handle(&mut self, now: TimeMs, from: SocketAddr, datagram: Datagram) -> Vec<Action> {
         let mut actions = Vec::new();
         let header = datagram.header;
         if header.from == self.own.node {
-            return self.handle_namesake(now, from, header.incarnation);
+            return self.handle_name_conflict(now, from, header.incarnation);
         }
         for update in &datagram.updates {
             self.apply(update, from, now, &mut actions);
         }
         self.read_header(&header, from, now, &mut actions);
-        let told = self.news_about_sender(&header);
+        let required = self.update_about_sender(&header);
         if let Body::Ping { sequence } = datagram.body {
-            let told = told.into_iter().collect();
+            let required = required.into_iter().collect();
             let receiver = self.receiver(&header.from, from);
             let body = Body::Ack { sequence };
-            self.send_telling(receiver, body, told, now, &mut actions);
-        } else if let Some(update) = told {
+            self.send_with_updates(receiver, body, required, now, &mut actions);
+        } else if let Some(update) = required {
             self.send_updates(from, vec![update], now, &mut actions);
         }
         self.handle_body(
@@ -55,9 +55,14 @@
         actions
     }
 
-    /// Somebody else uses this node's name: an earlier process's datagram that came late, or two
-    /// nodes with the same settings. The larger incarnation wins the name.
-    fn handle_namesake(&mut self, now: TimeMs, from: SocketAddr, incarnation: u64) -> Vec<Action> {
+    /// Handles a datagram from a process that uses this node's name: a late datagram of an earlier
+    /// process, or another node with the same settings. The larger incarnation keeps the name.
+    fn handle_name_conflict(
+        &mut self,
+        now: TimeMs,
+        from: SocketAddr,
+        incarnation: u64,
+    ) -> Vec<Action> {
         if from != self.own.control_address && incarnation > self.own.incarnation {
             log::warn!("gossip: another node uses this node's name address={from}");
             self.refute(incarnation, now);
@@ -73,12 +78,12 @@
         &mut self,
         update: &Update,
         from: SocketAddr,
-        passes_on: bool,
+        forwards: bool,
         now: TimeMs,
         actions: &mut Vec<Action>,
     ) {
         if let Update::SlotMap { service, version } = update {
-            actions.extend(self.slot_map_news(service, *version, from, now));
+            actions.extend(self.newer_slot_map(service, *version, from, now));
             return;
         }
         if let Update::RouteUse { route, by } = update {
@@ -88,7 +93,7 @@
             }
             return;
         }
-        if self.apply_to_own(update, now) || self.is_unfounded(update) {
+        if self.apply_to_own(update, now) || self.is_inconclusive(update) {
             return;
         }
         let node = node_of(update);
@@ -104,20 +109,20 @@
             .get(node)
             .expect("an applied update has a member");
         log::debug!(
-            "gossip: news node={node} state={:?}",
+            "gossip: member update applied node={node} state={:?}",
             member.published.state
         );
         let services = before.iter().chain([&member.record.service]);
-        self.view.note(node, services);
-        if passes_on {
+        self.view.mark_changed(node, services);
+        if forwards {
             let is_urgent = !matches!(update, Update::Suspect { .. });
             self.queue.push(update.clone(), is_urgent);
         }
     }
 
-    /// Handles updates about this node itself; returns whether it was one. What peers hold and
-    /// this process did not say is overridden by a higher incarnation: it is a suspicion, or was
-    /// said by an earlier process of this node.
+    /// Handles updates about this node itself. Returns whether this was one. A record, suspicion or
+    /// death that peers hold and that this process did not publish is overridden with a higher
+    /// incarnation. It is a suspicion, or it comes from an earlier process of this node.
     fn apply_to_own(&mut self, update: &Update, now: TimeMs) -> bool {
         if *node_of(update) != self.own.node {
             return false;
@@ -134,8 +139,9 @@
         true
     }
 
-    /// A suspicion of a member whose failure domain cannot be reached says nothing.
-    fn is_unfounded(&self, update: &Update) -> bool {
+    /// Whether the update is a suspicion of a member whose failure domain cannot be reached. Such a
+    /// suspicion shows nothing about the member.
+    fn is_inconclusive(&self, update: &Update) -> bool {
         let Update::Suspect { node, .. } = update else {
             return false;
         };
@@ -143,15 +149,15 @@
         member.is_some_and(|member| self.is_silent(&member.record.domain))
     }
 
-    fn slot_map_news(
+    fn newer_slot_map(
         &mut self,
         service: &Name,
         version: u64,
         from: SocketAddr,
         now: TimeMs,
     ) -> Option<Action> {
-        let is_news = self.slot_maps.take_news(service, version, now);
-        is_news.then(|| Action::NewerSlotMap {
+        let is_newer = self.slot_maps.take_newer(service, version, now);
+        is_newer.then(|| Action::NewerSlotMap {
             from,
             service: service.clone(),
             version,
@@ -168,10 +174,10 @@
         if !header.heard.is_empty() {
             let quiet_ms = self.settings.quiet_ms;
             for domain in self.watch.merge(&header.heard, now, quiet_ms) {
-                self.hear_again(&domain, now);
+                self.note_domain_reachable(&domain, now);
             }
         }
-        if let Some(confirmed) = moment_of(header.confirmed_tenths, now) {
+        if let Some(confirmed) = time_from_age(header.confirmed_tenths, now) {
             self.confirm_config(header.config_version, confirmed);
         }
         if self.raise_store_era(header.store_era) {
@@ -179,13 +185,15 @@
             actions.push(Action::StoreEra { era });
         }
         if header.config_version > self.config_version {
-            self.hint_at_config(header, from, now, actions);
+            self.report_newer_config(header, from, now, actions);
         }
         self.compare_slot_maps(header, from, now, actions);
     }
 
-    /// A near peer is hinted at beside a far one: what it hands over crosses no border.
-    fn hint_at_config(
+    /// Reports that the sender has a newer configuration. Peers of this node's own failure domain
+    /// are limited separately from others, so that one of them is reported even if a remote peer
+    /// was just before: a transfer from it stays within the domain.
+    fn report_newer_config(
         &mut self,
         header: &Header,
         from: SocketAddr,
@@ -194,10 +202,10 @@
     ) {
         let is_near = self.is_near(&header.from);
         let last = match is_near {
-            true => &mut self.schedule.last_near_config_news,
-            false => &mut self.schedule.last_far_config_news,
+            true => &mut self.schedule.last_near_newer_config,
+            false => &mut self.schedule.last_far_newer_config,
         };
-        if now.since(*last) < CONFIG_NEWS_PERIOD_MS {
+        if now.since(*last) < NEWER_CONFIG_PERIOD_MS {
             return;
         }
         *last = now;
@@ -226,9 +234,9 @@
         }
     }
 
-    /// What this node holds against the sender, so that it can refute: a suspicion, a death, or a
-    /// higher incarnation of an earlier process.
-    fn news_about_sender(&self, header: &Header) -> Option<Update> {
+    /// The update that the sender has to refute: a suspicion, a death, or a higher incarnation of
+    /// an earlier process.
+    fn update_about_sender(&self, header: &Header) -> Option<Update> {
         let held = self.table.get(&header.from)?;
         if held.record.incarnation < header.incarnation {
             return None;
@@ -252,7 +260,7 @@
         now: TimeMs,
         actions: &mut Vec<Action>,
     ) {
-        self.ask_unknown(header, from, now, actions);
+        self.identify_sender(header, from, now, actions);
         match body {
             Body::Ping { .. } => self.compare_members(header, from, now, actions),
             Body::Ack { sequence } => {
@@ -271,7 +279,7 @@
             }
             Body::RelayedAck { sequence } => {
                 if let Some(probe) = self.probes.finish(sequence) {
-                    self.hear_suspect(&probe.node, now);
+                    self.restart_suspicion(&probe.node, now);
                 }
             }
             Body::Rumor => {}
@@ -292,12 +300,12 @@
         }
     }
 
-    /// An answer proves that the failure domain can be reached; a relayed one proves only that
-    /// the member lives.
+    /// Handles the answer to a probe. A direct answer shows that the failure domain can be reached.
+    /// A relayed one shows only that the member is alive.
     fn handle_ack(&mut self, sequence: u32, now: TimeMs, actions: &mut Vec<Action>) {
-        if let Some((asker, sequence)) = self.probes.finish_relay(sequence) {
+        if let Some((requester, sequence)) = self.probes.finish_relay(sequence) {
             self.send_to(
-                Receiver::far(asker),
+                Receiver::far(requester),
                 Body::RelayedAck { sequence },
                 now,
                 actions,
@@ -311,14 +319,14 @@
             return;
         };
         let domain = member.record.domain.clone();
-        self.hear_suspect(&probe.node, now);
-        if self.watch.note(&domain, now) > self.settings.quiet_ms {
-            self.hear_again(&domain, now);
+        self.restart_suspicion(&probe.node, now);
+        if self.watch.record_answer(&domain, now) > self.settings.quiet_ms {
+            self.note_domain_reachable(&domain, now);
         }
     }
 
-    /// Asks who the sender is when it is unknown here, or known by an older incarnation only.
-    fn ask_unknown(
+    /// Requests the sender's record if none is held here, or only one of an older incarnation.
+    fn identify_sender(
         &mut self,
         header: &Header,
         from: SocketAddr,
@@ -337,7 +345,8 @@
     }
 }
 
-/// The node an update is about; that of a slot map or a route is no member's name.
+/// The node that an update is about. For a slot map or a route it is the name of the service or
+/// route.
 pub(super) fn node_of(update: &Update) -> &Name {
     match update {
         Update::Own(target) => &target.node,
--- a/src/membership/slot_map_versions.rs
+++ b/src/membership/slot_map_versions.rs
@@ -1,26 +1,26 @@
-//! The versions of slot maps that this node holds, for the news in each datagram.
+//! The versions of the slot maps that this node holds, whose digest every datagram carries.
 
 use super::digest::entry_digest;
 use crate::core::FastMap;
 use crate::core::Name;
 use crate::core::TimeMs;
 
-/// More services than any deployment has; further ones are left to the table service.
+/// More services than any deployment has. Further ones are left to the table service.
 const MAX_SERVICES: usize = 4_096;
-/// The least time between two hints about the same service: the newer map is being fetched.
-const NEWS_PERIOD_MS: u64 = 300;
+/// Minimum time between two hints about the same service, while the newer map is fetched.
+const HINT_PERIOD_MS: u64 = 300;
 
-/// Versions by service with their combined digest.
+/// Versions by service, with their combined digest.
 #[derive(Clone, Debug, Default)]
 pub struct SlotMapVersions {
     versions: FastMap<Name, u64>,
     digest: u32,
-    /// When a hint about a service was last given; bounded like `versions`.
+    /// When the last hint about a service was given. Bounded like `versions`.
     hinted: FastMap<Name, TimeMs>,
 }
 
 impl SlotMapVersions {
-    /// Takes a version in if it is higher than the one held.
+    /// Stores a version if it is higher than the one held. Returns whether it was stored.
     pub fn raise(&mut self, service: &Name, version: u64) -> bool {
         let held = self.versions.get(service).copied();
         let is_full = self.versions.len() >= MAX_SERVICES;
@@ -35,8 +35,9 @@
         true
     }
 
-    /// Whether a version is newer than the one held, and was not hinted at just now.
-    pub fn take_news(&mut self, service: &Name, version: u64, now: TimeMs) -> bool {
+    /// Whether a version is newer than the one held and no hint about the service was given within
+    /// `HINT_PERIOD_MS`. Records the hint.
+    pub fn take_newer(&mut self, service: &Name, version: u64, now: TimeMs) -> bool {
         if self
             .versions
             .get(service)
@@ -45,7 +46,7 @@
             return false;
         }
         let hinted = self.hinted.get(service);
-        if hinted.is_some_and(|hinted| now.since(*hinted) < NEWS_PERIOD_MS) {
+        if hinted.is_some_and(|hinted| now.since(*hinted) < HINT_PERIOD_MS) {
             return false;
         }
         if self.hinted.len() >= MAX_SERVICES {
--- a/src/membership/suspicion.rs
+++ b/src/membership/suspicion.rs
@@ -1,25 +1,25 @@
-//! When members and failure domains are doubted, and when a member is taken to be dead.
+//! Suspicion of members and failure domains, and declaration of deaths.
 
 use std::net::SocketAddr;
 
 use super::Action;
 use super::Body;
+use super::Liveness;
 use super::Member;
 use super::Membership;
 use super::Receiver;
-use super::Liveness;
 use super::Update;
 use crate::core::FastMap;
 use crate::core::Name;
 use crate::core::TimeMs;
 
-/// How many members are asked to probe one that did not answer.
-const HELPERS: usize = 3;
-/// How much longer than others a node waits that only heard of a suspicion.
-const HEARSAY_PATIENCE: u64 = 3;
+/// How many members are asked for an indirect probe of a member that did not answer.
+const INDIRECT_PROBES: usize = 3;
+/// A node that only received a suspicion waits this many times the suspicion period.
+const REMOTE_SUSPICION_FACTOR: u64 = 3;
 
 impl Membership {
-    pub(super) fn ask_helpers(&mut self, now: TimeMs, actions: &mut Vec<Action>) {
+    pub(super) fn request_indirect_probes(&mut self, now: TimeMs, actions: &mut Vec<Action>) {
         let unanswered = self
             .probes
             .take_unanswered(now, self.settings.direct_timeout_ms);
@@ -35,8 +35,9 @@
         }
     }
 
-    /// Helpers of different failure domains: where two domains cannot reach each other, a third
-    /// may reach both, and the member must not be suspected.
+    /// Chooses the members that are asked for indirect probes, from different failure domains. If
+    /// two domains cannot reach each other, a third may reach both, and then the member must not be
+    /// suspected.
     pub(super) fn choose_helpers(&mut self, node: &Name) -> Vec<SocketAddr> {
         let mut by_domain: FastMap<Name, Vec<SocketAddr>> = FastMap::default();
         for member in self.table.iter() {
@@ -49,7 +50,7 @@
         let mut domains: Vec<Name> = by_domain.keys().cloned().collect();
         self.rng.shuffle(&mut domains);
         let mut helpers = Vec::new();
-        while helpers.len() < HELPERS && !domains.is_empty() {
+        while helpers.len() < INDIRECT_PROBES && !domains.is_empty() {
             domains.retain(|domain| !by_domain[domain].is_empty());
             for domain in &domains {
                 let addresses = by_domain.get_mut(domain).expect("the domain is a key");
@@ -57,13 +58,13 @@
                 helpers.push(addresses.swap_remove(chosen));
             }
         }
-        helpers.truncate(HELPERS);
+        helpers.truncate(INDIRECT_PROBES);
         helpers
     }
 
     pub(super) fn suspect_failed(&mut self, now: TimeMs, actions: &mut Vec<Action>) {
         let failed = self.probes.take_failed(now, self.settings.probe_timeout_ms);
-        for probe in failed.into_iter().filter(|probe| probe.judges) {
+        for probe in failed.into_iter().filter(|probe| probe.is_conclusive) {
             let Some(member) = self.table.get(&probe.node).cloned() else {
                 continue;
             };
@@ -71,12 +72,12 @@
                 continue;
             }
             match member.liveness {
-                Liveness::Suspected { since, .. } if probe.is_last => {
-                    self.bury(&member, since, now);
+                Liveness::Suspected { since, .. } if probe.is_final => {
+                    self.declare_dead(&member, since, now);
                 }
                 Liveness::Suspected { since, .. } => {
-                    let first_hand = true;
-                    let liveness = Liveness::Suspected { since, first_hand };
+                    let is_local = true;
+                    let liveness = Liveness::Suspected { since, is_local };
                     self.table.set_liveness(&probe.node, liveness, now);
                 }
                 _ => self.suspect(&member, now, actions),
@@ -86,28 +87,31 @@
 
     pub(super) fn suspect(&mut self, member: &Member, now: TimeMs, actions: &mut Vec<Action>) {
         let node = member.record.node.clone();
-        log::debug!("gossip: suspect node={node} domain={}", member.record.domain);
+        log::debug!(
+            "gossip: suspect node={node} domain={}",
+            member.record.domain
+        );
         let liveness = Liveness::Suspected {
             since: now,
-            first_hand: true,
+            is_local: true,
         };
         self.set_liveness(member, liveness, now);
         let incarnation = member.record.incarnation;
         let update = Update::Suspect { node, incarnation };
         self.queue.push(update.clone(), false);
-        // The suspect hears of it first, so that it can refute.
+        // The suspected member is informed first, so that it can refute.
         self.send_updates(member.record.control_address, vec![update], now, actions);
     }
 
-    /// Probes suspects that did not refute in time once more. Nobody is taken to be dead on old
-    /// failures: a link may have been down for a moment, and its suspicions come due when it is
-    /// back. Those who only heard of the suspicion leave this to those who raised it, unless they
-    /// are gone too.
+    /// Probes once more the suspected members that did not refute in time. No member is declared
+    /// dead because of old failures: if a link was down for a moment, the suspicions come due after
+    /// it is back. A node that only received the suspicion leaves this probe to the nodes that
+    /// raised it, unless those are gone too.
     pub(super) fn probe_overdue_suspects(&mut self, now: TimeMs, actions: &mut Vec<Action>) {
         let overdue = |member: &&Member| match member.liveness {
-            Liveness::Suspected { since, first_hand } => {
-                let patience = if first_hand { 1 } else { HEARSAY_PATIENCE };
-                now.since(since) >= patience * self.settings.suspicion_ms
+            Liveness::Suspected { since, is_local } => {
+                let factor = if is_local { 1 } else { REMOTE_SUSPICION_FACTOR };
+                now.since(since) >= factor * self.settings.suspicion_ms
             }
             _ => false,
         };
@@ -118,10 +122,10 @@
         }
     }
 
-    /// Takes a suspect to be dead, provided that its failure domain answered since it was
-    /// suspected. Without this guard a domain cut off would be declared dead member by member on
-    /// the other side, and healing would take thousands of refutations.
-    pub(super) fn bury(&mut self, member: &Member, since: TimeMs, now: TimeMs) {
+    /// Declares a suspected member dead, if its failure domain has answered since the suspicion
+    /// began. Without this guard the other side would declare a cut-off domain dead member by
+    /// member, and thousands of refutations would be needed once it is reachable again.
+    pub(super) fn declare_dead(&mut self, member: &Member, since: TimeMs, now: TimeMs) {
         if self.watch.last_answer(&member.record.domain) <= Some(since) {
             return;
         }
@@ -132,21 +136,22 @@
         self.queue.push(Update::Dead { node, incarnation }, true);
     }
 
-    /// Notes that a suspect answered. It was told of the suspicion and will refute it.
-    pub(super) fn hear_suspect(&mut self, node: &Name, now: TimeMs) {
+    /// Restarts the suspicion of a member that answered. The member has been informed of the
+    /// suspicion and will refute it.
+    pub(super) fn restart_suspicion(&mut self, node: &Name, now: TimeMs) {
         let held = self.table.get(node).map(|member| member.liveness);
         if let Some(Liveness::Suspected { .. }) = held {
             let liveness = Liveness::Suspected {
                 since: now,
-                first_hand: false,
+                is_local: false,
             };
             self.table.set_liveness(node, liveness, now);
         }
     }
 
-    /// Finds the failure domains that fell silent. Suspicions of their members are dropped: it is
-    /// the domain that cannot be reached, and on healing nobody has to refute.
-    pub(super) fn judge_domains(&mut self, now: TimeMs) {
+    /// Updates the set of silent failure domains. Suspicions of their members are dropped: the
+    /// whole domain cannot be reached, and no member has to refute once it can be reached again.
+    pub(super) fn update_silent_domains(&mut self, now: TimeMs) {
         let silent = self.watch.silent(now, self.settings.cut_off_ms);
         if silent == self.silent {
             return;
@@ -158,9 +163,9 @@
         }
     }
 
-    /// Notes that a failure domain answers after it did not for a while. Suspicions from that time
-    /// prove nothing, and the own domain hears of it at once.
-    pub(super) fn hear_again(&mut self, domain: &Name, now: TimeMs) {
+    /// Handles a failure domain that answers again after a silence. Suspicions from that time are
+    /// inconclusive. This node's own domain is informed at once.
+    pub(super) fn note_domain_reachable(&mut self, domain: &Name, now: TimeMs) {
         log::debug!("gossip: failure domain answers again domain={domain}");
         self.drop_suspicions(domain, now);
         self.answers_are_urgent |= self.is_silent(domain);
--- a/src/membership/update_queue.rs
+++ b/src/membership/update_queue.rs
@@ -1,16 +1,16 @@
-//! News waiting to be spread.
+//! The queue of updates to send.
 
 use super::Update;
 use super::encoded_bytes;
 use crate::core::FastMap;
 use crate::core::Name;
 
-/// Suspicions are sent this much less often than other news: the suspect is told directly, and
-/// soon either its refutation or its death goes round.
-const SUSPICION_SHARE: u32 = 3;
+/// Suspicions are sent fewer times than other updates, by this divisor: the suspected member is
+/// informed directly, and its refutation or death follows soon.
+const SUSPICION_SENDS_DIVISOR: u32 = 3;
 
-/// What an update is about. A newer update about the same replaces the older one, so the queue
-/// holds at most one entry for each member, each slot map and each route.
+/// The subject of an update. A newer update replaces an older one of the same subject, so the queue
+/// holds at most one entry for each member, slot map and route.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Subject {
     Member(Name),
@@ -19,84 +19,90 @@
 }
 
 #[derive(Clone, Debug)]
-struct Waiting {
+struct QueuedUpdate {
     update: Update,
     bytes: usize,
     sends: u32,
-    /// To be pushed at once, not only piggybacked.
+    /// Whether the update has to be pushed at once, and not only piggybacked.
     urgent: bool,
 }
 
-impl Waiting {
-    /// It is short, rare, and needed at once: just when everything is new, and news of members takes all
-    /// that news may take, nodes have to know who uses which route.
-    fn is_pressing(&self) -> bool {
+impl QueuedUpdate {
+    /// Whether the update is exempt from the byte budget. The use of a route is short, rare and
+    /// needed at once: when all nodes have just started, updates about members take the whole
+    /// budget, and nodes need to know which route is used by what.
+    fn is_budget_exempt(&self) -> bool {
         matches!(self.update, Update::RouteUse { .. })
     }
 }
 
-/// Updates that this node still passes on, each a bounded number of times.
+/// Updates that this node still sends, each a bounded number of times.
 #[derive(Clone, Debug, Default)]
 pub struct UpdateQueue {
-    waiting: FastMap<Subject, Waiting>,
+    queued: FastMap<Subject, QueuedUpdate>,
     urgent: usize,
 }
 
 impl UpdateQueue {
-    /// Adds an update, in place of an older one about the same.
+    /// Adds an update. It replaces an older one of the same subject.
     pub fn push(&mut self, update: Update, urgent: bool) {
         let bytes = encoded_bytes(&update);
-        let waiting = Waiting {
+        let queued = QueuedUpdate {
             bytes,
             sends: 0,
             urgent,
             update,
         };
-        let replaced = self.waiting.insert(subject(&waiting.update), waiting);
+        let replaced = self.queued.insert(subject(&queued.update), queued);
         self.urgent += usize::from(urgent);
         self.urgent -= usize::from(replaced.is_some_and(|old| old.urgent));
     }
 
-    /// Whether something waits to be pushed at once.
+    /// Whether an urgent update is queued.
     pub fn has_urgent(&self) -> bool {
         self.urgent > 0
     }
 
-    /// Whether something waits to be pushed at once whatever the budget says.
-    pub fn has_pressing(&self) -> bool {
-        let mut waiting = self.waiting.values();
-        waiting.any(|waiting| waiting.urgent && waiting.is_pressing())
+    /// Whether an urgent update that is exempt from the byte budget is queued.
+    pub fn has_budget_exempt(&self) -> bool {
+        let mut queued = self.queued.values();
+        queued.any(|queued| queued.urgent && queued.is_budget_exempt())
     }
 
-    /// Takes what rides on every datagram whatever the budget says, as far as it fits.
-    pub fn take_pressing(&mut self, room_bytes: usize, max_sends: u32) -> Vec<Update> {
-        self.select(room_bytes, max_sends, Waiting::is_pressing, 1)
+    /// Takes the updates that are exempt from the byte budget, as far as they fit.
+    pub fn take_budget_exempt(&mut self, room_bytes: usize, max_sends: u32) -> Vec<Update> {
+        self.select(room_bytes, max_sends, QueuedUpdate::is_budget_exempt, 1)
     }
 
-    /// Takes the least sent updates that fit into `room_bytes`; each is dropped after it was
-    /// taken `max_sends` times.
+    /// Takes the updates that were sent least often and fit into `room_bytes`. Each is dropped
+    /// after it was taken `max_sends` times.
     pub fn take(&mut self, room_bytes: usize, max_sends: u32) -> Vec<Update> {
-        self.select(room_bytes, max_sends, |waiting| !waiting.is_pressing(), 1)
+        self.select(
+            room_bytes,
+            max_sends,
+            |queued| !queued.is_budget_exempt(),
+            1,
+        )
     }
 
-    /// Takes the urgent updates that fit; they go to `copies` members at once and are urgent no
-    /// longer.
+    /// Takes the urgent updates that fit. They are sent to `copies` members at once and are no
+    /// longer urgent.
     pub fn take_urgent(&mut self, room_bytes: usize, max_sends: u32, copies: u32) -> Vec<Update> {
-        self.select(room_bytes, max_sends, |waiting| waiting.urgent, copies)
+        self.select(room_bytes, max_sends, |queued| queued.urgent, copies)
     }
 
     fn select(
         &mut self,
         room_bytes: usize,
         max_sends: u32,
-        wanted: impl Fn(&Waiting) -> bool,
+        wanted: impl Fn(&QueuedUpdate) -> bool,
         copies: u32,
     ) -> Vec<Update> {
         let mut order: Vec<(u32, usize, Subject)> = self
-            .waiting
+            .queued
             .iter()
-            .filter(|(_, waiting)| wanted(waiting))
-            .map(|(subject, waiting)| (waiting.sends, waiting.bytes, subject.clone()))
+            .filter(|(_, queued)| wanted(queued))
+            .map(|(subject, queued)| (queued.sends, queued.bytes, subject.clone()))
             .collect();
         order.sort_unstable_by_key(|(sends, bytes, _)| (*sends, *bytes));
         let mut taken = Vec::new();
@@ -112,21 +118,21 @@
     }
 
     fn count_sends(&mut self, subject: Subject, max_sends: u32, copies: u32) -> Option<Update> {
-        let waiting = self.waiting.get_mut(&subject)?;
-        if waiting.urgent {
-            waiting.urgent = false;
+        let queued = self.queued.get_mut(&subject)?;
+        if queued.urgent {
+            queued.urgent = false;
             self.urgent -= 1;
         }
-        waiting.sends += copies;
-        let is_suspicion = matches!(waiting.update, Update::Suspect { .. });
+        queued.sends += copies;
+        let is_suspicion = matches!(queued.update, Update::Suspect { .. });
         let max_sends = match is_suspicion {
-            true => max_sends.div_ceil(SUSPICION_SHARE),
+            true => max_sends.div_ceil(SUSPICION_SENDS_DIVISOR),
             false => max_sends,
         };
-        if waiting.sends < max_sends {
-            return Some(waiting.update.clone());
+        if queued.sends < max_sends {
+            return Some(queued.update.clone());
         }
-        self.waiting.remove(&subject).map(|waiting| waiting.update)
+        self.queued.remove(&subject).map(|queued| queued.update)
     }
 }
 
--- a/src/membership/view_builder.rs
+++ b/src/membership/view_builder.rs
@@ -1,4 +1,4 @@
-//! Builds the published view, one changed service at a time.
+//! Builds the published view incrementally, by changed service.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use crate::core::TargetState;
 use crate::core::View;
 
-/// The last published view and what changed since.
+/// The last published view and the changes since then.
 #[derive(Clone, Debug, Default)]
 pub struct ViewBuilder {
     view: View,
@@ -18,8 +18,8 @@
 }
 
 impl ViewBuilder {
-    /// Notes that a member changed; `services` are the ones it was and is in.
-    pub fn note<'a>(&mut self, node: &Name, services: impl Iterator<Item = &'a Name>) {
+    /// Marks a member as changed. `services` are the ones to which it belonged and belongs.
+    pub fn mark_changed<'a>(&mut self, node: &Name, services: impl Iterator<Item = &'a Name>) {
         self.changed_nodes.insert(node.clone());
         self.changed_services
             .extend(services.filter(|service| !service.is_empty()).cloned());
@@ -30,8 +30,8 @@
         !self.changed_nodes.is_empty() || self.view.cut_off_domains != cut_off_domains
     }
 
-    /// The view of the table as it is. Only what changed is built anew; the rest is shared with
-    /// the view before.
+    /// Builds the current view of the table. Only what changed is rebuilt. The rest is shared with
+    /// the previous view.
     pub fn build(&mut self, table: &MemberTable, cut_off_domains: Vec<Name>) -> View {
         for service in self.changed_services.drain() {
             let before = self.view.targets(&service);
@@ -53,8 +53,8 @@
     }
 }
 
-/// The targets of a service that are not gone, by node name: those from `before` that did not change, and
-/// those of the changed nodes.
+/// The targets of a service that have neither died nor left, by node name: the unchanged ones from
+/// `before`, and those of the changed nodes.
 fn targets_of(
     table: &MemberTable,
     service: &Name,
--- a/tests/membership_bounds.rs
+++ b/tests/membership_bounds.rs
@@ -1,4 +1,4 @@
-//! What is bounded stays bounded, and what is published says what others should act on.
+//! Bounds on memory and repetition, and the states that are published.
 
 mod membership_net;
 
@@ -41,8 +41,8 @@
 
 #[rstest]
 fn tombstones_are_bounded_in_number_and_time() {
-    // VMs are replaced under new names every day. What is remembered of those gone must neither
-    // grow for ever nor bring them back.
+    // VMs are replaced under new names every day. The memory of those that left must neither grow
+    // without bound nor bring them back.
     let settings = MembershipSettings {
         max_tombstones: 10,
         ..MembershipSettings::default()
@@ -61,8 +61,9 @@
 }
 
 #[rstest]
-fn members_beyond_the_bound_are_not_taken_in() {
-    // A peer with broken settings tells of more nodes than anybody runs; memory must not follow.
+fn members_beyond_the_limit_are_not_added() {
+    // A peer with broken settings reports more nodes than any deployment has. Memory must not grow
+    // with them.
     let settings = MembershipSettings {
         max_members: 50,
         ..MembershipSettings::default()
@@ -76,53 +77,53 @@
 }
 
 #[rstest]
-fn a_suspect_that_drains_does_not_look_as_if_it_took_work() {
-    // A backend server drains, and its node stops answering. A suspect is still tried, so showing
-    // it as a mere suspect would send it new work again.
-    let mut net = Net::joined(Shape::TODAY, 4);
+fn a_draining_suspect_does_not_accept_work() {
+    // A backend server drains, and then its node stops answering. Suspected members are still
+    // tried, so publishing it as merely suspected would send it new work.
+    let mut net = Net::joined(Shape::SMALL, 4);
     let name = net.name_of(2);
     net.set_state(2, TargetState::Draining);
     net.run_ms(2_000);
     net.kill(2);
     for _ in 0..120 {
         net.run_ms(100);
-        for node in net.nodes.iter().filter(|node| node.runs) {
-            let state = node.sees(&name).expect("it is remembered");
+        for node in net.nodes.iter().filter(|node| node.is_running) {
+            let state = node.state_of(&name).expect("it is remembered");
             assert!(!state.takes_work(), "{state:?}");
         }
     }
     let node = &net.nodes[0];
-    assert_eq!(node.sees(&name), Some(TargetState::Dead));
+    assert_eq!(node.state_of(&name), Some(TargetState::Dead));
 }
 
 #[rstest]
-fn a_new_configuration_version_is_heard_everywhere_within_two_seconds() {
-    let mut net = Net::joined(Shape::TODAY, 5);
+fn a_new_configuration_version_reaches_all_nodes_within_two_seconds() {
+    let mut net = Net::joined(Shape::SMALL, 5);
     net.nodes[3].member.set_config_version(7);
-    let heard = |node: &membership_net::Node| {
-        let news = node.config_news.last();
-        news.is_some_and(|(_, version)| *version == 7) || node.member.config_version() == 7
+    let is_known = |node: &membership_net::Node| {
+        let newest = node.newer_configs.last();
+        newest.is_some_and(|(_, version)| *version == 7) || node.member.config_version() == 7
     };
-    let heard_ms = net.ms_until(2_000, heard);
-    println!("configuration version heard everywhere after {heard_ms:?} ms");
-    assert!(heard_ms.is_some());
+    let known_ms = net.ms_until(2_000, is_known);
+    println!("configuration version known everywhere after {known_ms:?} ms");
+    assert!(known_ms.is_some());
 }
 
 #[rstest]
-fn a_new_slot_map_version_is_heard_everywhere_within_two_seconds() {
-    let mut net = Net::joined(Shape::TODAY, 6);
+fn a_new_slot_map_version_reaches_all_nodes_within_two_seconds() {
+    let mut net = Net::joined(Shape::SMALL, 6);
     let service = Name::from("scheduler");
     net.nodes[3].member.set_slot_map_version(&service, 4);
     net.run_ms(2_000);
     for (index, node) in net.nodes.iter().enumerate() {
-        let news = node.slot_map_news.first();
-        assert!(index == 3 || news == Some(&(service.clone(), 4)));
+        let newest = node.newer_slot_maps.first();
+        assert!(index == 3 || newest == Some(&(service.clone(), 4)));
     }
 }
 
 #[rstest]
 fn a_node_without_peers_asks_a_seed_until_it_answers() {
-    // The seeds are down when a node starts, and the platform as well. It must go on asking.
+    // The seeds and the platform are down when a node starts. It must continue to request.
     let seed = SocketAddr::from(([10, 9, 9, 9], 7_000));
     let own = target(0, TargetState::Starting);
     let settings = MembershipSettings::default();
@@ -155,12 +156,13 @@
     assert!(after.changes > before.changes);
 }
 
-/// A node restarts and knows nothing of what its earlier process said of itself. Until it hears what is held
-/// of its name, the others take its word for an old one: its first exchange has to tell it.
+/// A node restarts without what its earlier process published. Until it learns which record is held
+/// under its name, the other nodes treat its record as old. Its first exchange has to return the
+/// held record.
 #[rstest]
 #[case::up(TargetState::Up)]
 #[case::dead(TargetState::Dead)]
-fn a_restarted_node_is_told_what_is_held_of_it(#[case] held: TargetState) {
+fn a_restarted_node_receives_the_record_held_under_its_name(#[case] held: TargetState) {
     let mut peer = member(MembershipSettings::default());
     let mut before = target(1, TargetState::Up);
     before.incarnation = 1 << 40;
@@ -170,13 +172,14 @@
     let own = target(1, TargetState::Starting);
     let settings = MembershipSettings::default();
     let mut restarted = Membership::new(own, Vec::new(), settings, Rng::with_seed(5), START);
-    let ask = restarted.exchange_request();
-    let (told, _) = peer.answer_exchange(START, address_of(1), &ask);
-    restarted.merge(START, address_of(0), &told);
+    let request = restarted.exchange_request();
+    let (answer, _) = peer.answer_exchange(START, address_of(1), &request);
+    restarted.merge(START, address_of(0), &answer);
     assert!(restarted.own().incarnation > 1 << 40);
-    let (told, _) = peer.answer_exchange(START, address_of(1), &restarted.exchange_request());
+    let (answer, _) = peer.answer_exchange(START, address_of(1), &restarted.exchange_request());
     assert!(
-        told.iter()
+        answer
+            .iter()
             .all(|target| target.node != restarted.own().node)
     );
 }
--- a/tests/membership_fleet.rs
+++ b/tests/membership_fleet.rs
@@ -1,6 +1,6 @@
-//! 720 members in virtual time: how fast news goes round, and what it costs in bytes.
+//! 720 members in virtual time: how fast updates spread, and how many bytes they cost.
 //!
-//! The bounds are those of docs/MEMBERSHIP.md; run with `--nocapture` to see the figures.
+//! The bounds are those of docs/MEMBERSHIP.md. Run with `--nocapture` to see the figures.
 
 mod membership_net;
 
@@ -14,23 +14,24 @@
 use sassafrasgap::core::RouteOrigin;
 use sassafrasgap::core::TargetState;
 
-/// Membership's part of the 3 KB/s that a node may spend on all control.
-const REST_BYTES_PER_S: u64 = 1_500;
-/// All of it.
+/// The part of membership in the 3 KB/s that a node may spend on all control traffic.
+const IDLE_BYTES_PER_S: u64 = 1_500;
+/// All control traffic of a node.
 const BUDGET_BYTES_PER_S: u64 = 3_000;
-const REST_MS: u64 = 10_000;
+const IDLE_MS: u64 = 10_000;
 /// Members in a rack: a third of a failure domain.
 const RACK: usize = 27;
 
-/// One fleet for all tests, since it takes a while to come to rest.
+/// One fleet shared by all tests, since it takes a while to settle.
 fn fleet() -> Net {
     static FLEET: OnceLock<Net> = OnceLock::new();
     FLEET.get_or_init(|| Net::joined(Shape::FLEET, 1)).clone()
 }
 
-/// How long after the machines callers come.
+/// How long after the start of the VMs the first requests arrive.
 const TRAFFIC_AFTER_MS: u64 = 8_000;
-/// A cold start is played at this size; all tables grow with the square of it.
+/// The size of the small cold start. All tables together grow with the square of the number of
+/// nodes.
 const COLD: Shape = Shape {
     regions: 3,
     domains_per_region: 3,
@@ -38,14 +39,16 @@
 };
 
 #[rstest]
-fn a_fleet_at_rest_stays_within_its_bytes_and_doubts_nobody() {
+fn an_idle_fleet_stays_within_its_byte_budget_without_deaths() {
     let mut net = fleet();
     net.loss = 0.01;
-    net.run_ms(REST_MS);
-    let (mean, most) = net.bytes_per_s(REST_MS);
-    let far = net.far_bytes_a_node();
-    println!("rest with 1% loss: {mean} B/s mean, {most} B/s at the busiest node, {far} B far");
-    assert!(mean <= REST_BYTES_PER_S, "{mean} B/s");
+    net.run_ms(IDLE_MS);
+    let (mean, most) = net.bytes_per_s(IDLE_MS);
+    let cross_domain_bytes = net.mean_cross_domain_bytes();
+    println!(
+        "idle with 1% loss: {mean} B/s mean, {most} B/s at the busiest node, {cross_domain_bytes} B to other domains"
+    );
+    assert!(mean <= IDLE_BYTES_PER_S, "{mean} B/s");
     assert!(most <= BUDGET_BYTES_PER_S, "{most} B/s");
     for node in &net.nodes {
         assert_eq!(node.count(TargetState::Dead), 0);
@@ -59,7 +62,7 @@
     let name = net.name_of(100);
     let seen_as = |state| {
         let name = name.clone();
-        move |node: &membership_net::Node| node.sees(&name) == Some(state)
+        move |node: &membership_net::Node| node.state_of(&name) == Some(state)
     };
     net.set_state(100, TargetState::Draining);
     let drain_ms = net.ms_until(10_000, seen_as(TargetState::Draining));
@@ -82,9 +85,9 @@
 }
 
 #[rstest]
-fn a_rack_lost_at_once_is_known_within_the_byte_budget() {
-    // A third of a failure domain loses power. Calls to it fail until it is known; the news of
-    // 27 deaths must not crowd out everything else on the control network.
+fn the_loss_of_a_rack_is_known_within_the_byte_budget() {
+    // A third of a failure domain loses power. Calls to it fail until that is known. The updates
+    // about 27 deaths must not crowd out all other control traffic.
     let mut net = fleet();
     for index in net.members_of(3).take(RACK) {
         net.kill(index);
@@ -98,21 +101,21 @@
     assert!(mean <= BUDGET_BYTES_PER_S, "{mean} B/s");
 }
 
-/// All VMs are replaced after a power cut: nobody knows anybody but three seeds. Callers come 8 s later, and
-/// a node that does not know a service's targets by then refuses them.
+/// All VMs are replaced after a power failure, and each node knows only three seeds. Requests
+/// arrive 8 s later, and a node that does not know a service's targets by then refuses them.
 #[rstest]
 #[case(COLD)]
 #[case(Shape::FLEET)]
-fn everything_started_at_once_finds_together(#[case] shape: Shape) {
+fn a_cold_start_of_all_nodes_converges(#[case] shape: Shape) {
     let mut net = Net::cold(shape, 4);
     let nodes = net.nodes.len();
     let all_up = |node: &membership_net::Node| node.count(TargetState::Up) == nodes;
     let joined_ms = net.ms_until(60_000, all_up);
     let elapsed_ms = joined_ms.unwrap_or(60_000);
     let (mean, most) = net.bytes_per_s(elapsed_ms);
-    let far = net.far_bytes_a_node();
+    let cross_domain_bytes = net.mean_cross_domain_bytes();
     println!(
-        "cold start {joined_ms:?} ms, {mean} B/s mean, {most} B/s at the busiest node, {far} B far"
+        "cold start {joined_ms:?} ms, {mean} B/s mean, {most} B/s at the busiest node, {cross_domain_bytes} B to other domains"
     );
     assert!(
         joined_ms.is_some_and(|ms| ms <= TRAFFIC_AFTER_MS),
@@ -120,11 +123,12 @@
     );
 }
 
-/// Everything restarts, and the news of it takes all bytes that news may take. For five seconds each node found
-/// out for itself which routes are callers', and refused nothing meanwhile: requests were begun and lost. The
-/// first one that finds out tells all others at once; what was told first stays.
+/// All nodes restart, and the updates about it use the whole byte budget. If each node has to find
+/// out by itself which routes are used by callers, it refuses nothing for five seconds, and
+/// requests are started and lost. The first node that finds out informs all others at once, and the
+/// first known use stays.
 #[rstest]
-fn who_uses_a_route_is_known_at_once_in_a_start_of_hundreds() {
+fn route_use_spreads_at_once_in_a_cold_start_of_hundreds() {
     let shape = Shape {
         regions: 1,
         domains_per_region: 5,
--- a/tests/membership_loopback.rs
+++ b/tests/membership_loopback.rs
@@ -1,4 +1,4 @@
-//! Control threads that find each other over real sockets.
+//! Control threads that discover each other over real sockets.
 
 use std::net::SocketAddr;
 use std::thread::sleep;
@@ -18,8 +18,8 @@
 use sassafrasgap::core::TargetState;
 use sassafrasgap::membership::MembershipSettings;
 
-/// Long enough for a busy machine; what is waited for takes a second or two.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Long enough for a busy machine. The awaited changes take a second or two.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
@@ -42,7 +42,7 @@
 }
 
 fn wait_until(what: &str, condition: impl Fn() -> bool) {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !condition() {
         assert!(Instant::now() < deadline, "not in time: {what}");
         sleep(Duration::from_millis(20));
@@ -55,7 +55,7 @@
 }
 
 #[rstest]
-fn a_node_is_found_used_drained_and_gone() {
+fn a_node_joins_serves_drains_and_leaves() {
     let first = start("node-a", vec![]);
     let second = start("node-b", vec![first.address]);
     let third = start("node-c", vec![first.address]);
@@ -80,8 +80,8 @@
 
 #[rstest]
 fn a_restarted_node_overrides_what_peers_hold_about_it() {
-    // An operator sees a restarted node as up although its process forgot everything. Its first
-    // incarnation is low; its peers tell it what they hold, and it takes a higher one.
+    // A restarted node must be shown as up although its process has no state. Its first incarnation
+    // is low. Its peers send it the record that they hold, and it takes a higher incarnation.
     let first = start("node-a", vec![]);
     let old = start("node-b", vec![first.address]);
     let service = Name::from("workspace");
--- a/tests/membership_net/mod.rs
+++ b/tests/membership_net/mod.rs
@@ -1,4 +1,5 @@
-//! A network of pure members in memory: virtual time, latency, seeded loss, cuts and pauses.
+//! An in-memory network of members that do no I/O: virtual time, latency, seeded loss, partitions
+//! and pauses.
 #![allow(dead_code)]
 
 mod node;
@@ -41,8 +42,8 @@
 enum Event {
     Tick(usize),
     Deliver(usize, SocketAddr, Box<Datagram>),
-    AskExchange(usize, SocketAddr, ExchangeRequest),
-    AnswerExchange(usize, SocketAddr, Vec<Target>),
+    ExchangeRequested(usize, SocketAddr, ExchangeRequest),
+    ExchangeAnswered(usize, SocketAddr, Vec<Target>),
 }
 
 #[derive(Clone)]
@@ -92,7 +93,7 @@
         net
     }
 
-    /// All nodes know each other already and have nothing to tell.
+    /// All nodes know each other already and have no updates to send.
     pub fn joined(shape: Shape, seed: u64) -> Self {
         Self::joined_with(shape, seed, MembershipSettings::default())
     }
@@ -108,7 +109,7 @@
         for node in &mut net.nodes {
             node.member.merge(now, address_of(0), &targets);
         }
-        // Lets the first rumors die away.
+        // Lets the first rumors end.
         net.run_ms(6_000);
         net.reset_traffic();
         net
@@ -167,7 +168,7 @@
         domain * size..(domain + 1) * size
     }
 
-    /// The backend server beside a node announces itself.
+    /// The backend server of a node announces itself.
     pub fn announce(&mut self, index: usize) {
         let service = Name::from(format!("service-{:03}", index % SERVICES));
         self.set_own(index, &service, TargetState::Up, 100);
@@ -183,18 +184,18 @@
         self.set_own(index, &own.service, state, own.slots);
     }
 
-    /// The process dies without a word.
+    /// The process ends without announcing it.
     pub fn kill(&mut self, index: usize) {
-        self.nodes[index].runs = false;
+        self.nodes[index].is_running = false;
     }
 
-    /// A new process under the old name, which forgot everything.
+    /// A new process under the old name, without any state.
     pub fn restart(&mut self, index: usize) {
         let member = self.new_member(index);
         self.restart_as(index, member);
     }
 
-    /// The same, but it knows no address to begin with.
+    /// A new process under the old name, without state or seed addresses.
     pub fn restart_without_seeds(&mut self, index: usize) {
         let rng = self.rng.fork();
         let target = self.target(index);
@@ -205,7 +206,7 @@
     fn restart_as(&mut self, index: usize, member: Membership) {
         let node = &mut self.nodes[index];
         node.member = member;
-        node.runs = true;
+        node.is_running = true;
         self.announce(index);
     }
 
@@ -213,7 +214,7 @@
         self.nodes[index].paused_until = self.now + pause_ms;
     }
 
-    /// Cuts two groups of failure domains off from each other.
+    /// Blocks all traffic between two groups of failure domains.
     pub fn cut(&mut self, one: &[usize], other: &[usize]) {
         for a in one {
             for b in other {
@@ -223,7 +224,7 @@
         }
     }
 
-    /// Nothing gets from `from` to `to`; the other way works.
+    /// Blocks the traffic from `from` to `to`, but not the other direction.
     pub fn cut_one_way(&mut self, from: usize, to: usize) {
         self.cuts.insert((from, to));
     }
@@ -247,11 +248,11 @@
         (mean * 1_000 / elapsed_ms, most * 1_000 / elapsed_ms)
     }
 
-    /// Runs until `condition` holds for every running node; the time it took.
+    /// Runs until `condition` holds for every running node. Returns the time that it took.
     pub fn ms_until(&mut self, limit_ms: u64, condition: impl Fn(&Node) -> bool) -> Option<u64> {
         let start = self.now;
         loop {
-            let mut running = self.nodes.iter().filter(|node| node.runs);
+            let mut running = self.nodes.iter().filter(|node| node.is_running);
             if running.all(&condition) {
                 return Some(self.now.since(start));
             }
@@ -272,7 +273,7 @@
             self.now = at;
             let event = self.events[slot].take().expect("an event is due once");
             self.free.push(slot);
-            self.happen(event);
+            self.process(event);
         }
         self.now = end;
     }
@@ -294,12 +295,12 @@
         self.due.push(Reverse((at, slot)));
     }
 
-    fn happen(&mut self, event: Event) {
+    fn process(&mut self, event: Event) {
         let index = match &event {
             Event::Tick(index)
             | Event::Deliver(index, ..)
-            | Event::AskExchange(index, ..)
-            | Event::AnswerExchange(index, ..) => *index,
+            | Event::ExchangeRequested(index, ..)
+            | Event::ExchangeAnswered(index, ..) => *index,
         };
         let resume = self.nodes[index].paused_until;
         if resume > self.now {
@@ -307,35 +308,35 @@
             self.schedule_at(resume, event);
             return;
         }
-        let runs = self.nodes[index].runs;
+        let is_running = self.nodes[index].is_running;
         let now = self.now;
         match event {
             Event::Tick(index) => {
                 self.schedule(TICK_MS, Event::Tick(index));
-                if runs {
+                if is_running {
                     let actions = self.nodes[index].member.tick(now);
-                    self.act(index, actions);
+                    self.perform(index, actions);
                 }
             }
-            _ if !runs => {}
+            _ if !is_running => {}
             Event::Deliver(index, from, datagram) => {
                 let actions = self.nodes[index].member.handle(now, from, *datagram);
-                self.act(index, actions);
+                self.perform(index, actions);
             }
-            Event::AskExchange(index, from, ask) => {
+            Event::ExchangeRequested(index, from, request) => {
                 let member = &mut self.nodes[index].member;
-                let (answer, actions) = member.answer_exchange(now, from, &ask);
-                self.act(index, actions);
-                self.send_call(index, from, answer, Event::AnswerExchange);
+                let (answer, actions) = member.answer_exchange(now, from, &request);
+                self.perform(index, actions);
+                self.send_call(index, from, answer, Event::ExchangeAnswered);
             }
-            Event::AnswerExchange(index, from, members) => {
+            Event::ExchangeAnswered(index, from, members) => {
                 let actions = self.nodes[index].member.merge(now, from, &members);
-                self.act(index, actions);
+                self.perform(index, actions);
             }
         }
     }
 
-    fn act(&mut self, index: usize, actions: Vec<Action>) {
+    fn perform(&mut self, index: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send { to, datagram } => self.send(index, to, datagram),
@@ -343,11 +344,11 @@
                     self.nodes[index].member.view();
                 }
                 Action::Exchange { with } => {
-                    let ask = self.nodes[index].member.exchange_request();
-                    self.send_call(index, with, ask, Event::AskExchange);
+                    let request = self.nodes[index].member.exchange_request();
+                    self.send_call(index, with, request, Event::ExchangeRequested);
                 }
                 Action::NewerConfig { from, version, .. } => {
-                    self.nodes[index].config_news.push((from, version));
+                    self.nodes[index].newer_configs.push((from, version));
                     // Fetching the configuration is a call that succeeds.
                     self.nodes[index].member.set_config_version(version);
                 }
@@ -355,7 +356,7 @@
                     service, version, ..
                 } => {
                     let node = &mut self.nodes[index];
-                    node.slot_map_news.push((service.clone(), version));
+                    node.newer_slot_maps.push((service.clone(), version));
                     node.member.set_slot_map_version(&service, version);
                 }
                 Action::RouteUse { route, by } => self.nodes[index].route_uses.push((route, by)),
@@ -372,11 +373,11 @@
         let Some(to) = self.index_at(to) else {
             return;
         };
-        self.count_far(from, to, bytes);
+        self.count_cross_domain(from, to, bytes);
         if self.is_cut(from, to) || self.rng.f64() < self.loss {
             return;
         }
-        if self.nodes[to].runs {
+        if self.nodes[to].is_running {
             self.nodes[to].traffic.datagram_bytes += bytes;
             self.nodes[to].traffic.messages += 1;
         }
@@ -396,26 +397,30 @@
             return;
         };
         let is_cut = self.is_cut(from, to) || self.is_cut(to, from);
-        if is_cut || !self.nodes[to].runs {
+        if is_cut || !self.nodes[to].is_running {
             return;
         }
         let bytes = call_bytes(&message);
         self.nodes[from].traffic.call_bytes += bytes;
         self.nodes[to].traffic.call_bytes += bytes;
-        self.count_far(from, to, bytes);
+        self.count_cross_domain(from, to, bytes);
         let latency_ms = 2 * self.latency_ms(from, to);
         self.schedule(latency_ms, event(to, address_of(from), message));
     }
 
-    fn count_far(&mut self, from: usize, to: usize, bytes: u64) {
+    fn count_cross_domain(&mut self, from: usize, to: usize, bytes: u64) {
         if self.domain_of(from) != self.domain_of(to) {
-            self.nodes[from].traffic.far_bytes += bytes;
+            self.nodes[from].traffic.cross_domain_bytes += bytes;
         }
     }
 
-    /// Bytes that a node sent into other failure domains, in the mean of all.
-    pub fn far_bytes_a_node(&self) -> u64 {
-        let sum: u64 = self.nodes.iter().map(|node| node.traffic.far_bytes).sum();
+    /// Mean number of bytes that a node sent into other failure domains.
+    pub fn mean_cross_domain_bytes(&self) -> u64 {
+        let sum: u64 = self
+            .nodes
+            .iter()
+            .map(|node| node.traffic.cross_domain_bytes)
+            .sum();
         sum / self.nodes.len() as u64
     }
 
@@ -449,7 +454,7 @@
     SocketAddr::from((ip, CONTROL_PORT))
 }
 
-/// What a message takes in a control call, which tarpc sends with bincode.
+/// The size of a message in a control call, which tarpc encodes with bincode.
 fn call_bytes<T: Serialize + Unpin>(message: &T) -> u64 {
     let mut codec = Bincode::<(), T>::default();
     let bytes = Pin::new(&mut codec)
--- a/tests/membership_net/node.rs
+++ b/tests/membership_net/node.rs
@@ -1,4 +1,4 @@
-//! One node of a network, and what it has sent and heard.
+//! One node of a network, with its traffic and the actions that it returned.
 
 use std::net::SocketAddr;
 
@@ -14,18 +14,18 @@
     pub datagram_bytes: u64,
     pub call_bytes: u64,
     pub messages: u64,
-    /// Bytes sent into other failure domains, which are dear.
-    pub far_bytes: u64,
+    /// Bytes sent into other failure domains, which cost more.
+    pub cross_domain_bytes: u64,
 }
 
 #[derive(Clone)]
 pub struct Node {
     pub member: Membership,
-    pub runs: bool,
+    pub is_running: bool,
     pub paused_until: TimeMs,
     pub traffic: Traffic,
-    pub config_news: Vec<(SocketAddr, u64)>,
-    pub slot_map_news: Vec<(Name, u64)>,
+    pub newer_configs: Vec<(SocketAddr, u64)>,
+    pub newer_slot_maps: Vec<(Name, u64)>,
     pub route_uses: Vec<(Name, RouteOrigin)>,
     pub store_eras: Vec<u64>,
 }
@@ -34,18 +34,18 @@
     pub fn new(member: Membership) -> Self {
         Self {
             member,
-            runs: true,
+            is_running: true,
             paused_until: TimeMs::default(),
             traffic: Traffic::default(),
-            config_news: Vec::new(),
-            slot_map_news: Vec::new(),
+            newer_configs: Vec::new(),
+            newer_slot_maps: Vec::new(),
             route_uses: Vec::new(),
             store_eras: Vec::new(),
         }
     }
 
     /// The state of a member as this node holds it.
-    pub fn sees(&self, name: &str) -> Option<TargetState> {
+    pub fn state_of(&self, name: &str) -> Option<TargetState> {
         let member = self.member.table().get(name);
         member.map(|member| member.published.state)
     }
--- a/tests/membership_net/shape.rs
+++ b/tests/membership_net/shape.rs
@@ -1,6 +1,6 @@
-//! The size of a network.
+//! Sizes of test networks.
 
-/// How many regions, failure domains and nodes there are.
+/// Number of regions, failure domains and nodes of a network.
 #[derive(Clone, Copy)]
 pub struct Shape {
     pub regions: usize,
@@ -15,8 +15,8 @@
         domains_per_region: 3,
         nodes_per_domain: 80,
     };
-    /// A mesh of a dozen nodes, as at the users today.
-    pub const TODAY: Self = Self {
+    /// A mesh of a dozen nodes, the size that users run today.
+    pub const SMALL: Self = Self {
         regions: 1,
         domains_per_region: 3,
         nodes_per_domain: 4,
--- a/tests/membership_order.rs
+++ b/tests/membership_order.rs
@@ -1,4 +1,4 @@
-//! Which news overrides which, and what becomes of datagrams that cannot be used.
+//! The precedence of updates, and the handling of datagrams that cannot be used.
 
 use std::net::SocketAddr;
 
@@ -72,8 +72,8 @@
     }
 }
 
-/// What a node may say of itself in one incarnation; each is said only once.
-fn own_word(incarnation: u64) -> Update {
+/// A record that a node may publish in one incarnation. Each incarnation has one record.
+fn own_record(incarnation: u64) -> Update {
     let state = match incarnation % 3 {
         0 => TargetState::Up,
         1 => TargetState::Draining,
@@ -86,7 +86,7 @@
     let node = Name::from("node-x");
     let suspect = node.clone();
     prop_oneof![
-        (0..6u64).prop_map(own_word),
+        (0..6u64).prop_map(own_record),
         (0..6u64).prop_map(move |incarnation| Update::Suspect {
             node: suspect.clone(),
             incarnation
@@ -98,7 +98,7 @@
     ]
 }
 
-/// The place of what is held of `node-x` in the order of news.
+/// The precedence of what is held about `node-x`.
 fn held(member: &Membership) -> Option<(u64, bool)> {
     let held = member.table().get("node-x")?;
     let is_dead = held.published.state == TargetState::Dead;
@@ -108,10 +108,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Datagrams arrive late, twice and in any order. A target that drains must not look up again
-    /// because an old datagram came after the newer one.
+    /// Datagrams arrive late, twice and in any order. A draining target must not become up again
+    /// because an old datagram arrived after a newer one.
     #[test]
-    fn news_in_any_order_never_goes_back(updates in prop::collection::vec(any_update(), 1..40)) {
+    fn updates_in_any_order_never_revert_a_record(updates in prop::collection::vec(any_update(), 1..40)) {
         let mut member = member();
         let mut last = None;
         for update in updates {
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Two nodes that got the same news in different orders hold the same in the end.
+    /// Two nodes that received the same updates in different orders hold the same in the end.
     #[test]
     fn the_order_of_arrival_does_not_matter(
         updates in prop::collection::vec(any_update(), 1..20),
@@ -132,8 +132,8 @@
         Rng::with_seed(seed).shuffle(&mut shuffled);
         let mut one = member();
         let mut other = member();
-        // What is said of an incarnation not heard of yet is not kept; a second round stands for
-        // the copies that others send.
+        // An update about an incarnation that is not known yet is not kept. The second round stands
+        // for the copies that other nodes send.
         for _ in 0..2 {
             for (a, b) in updates.iter().zip(&shuffled) {
                 one.handle(NOW, address(7_002), rumor(vec![a.clone()]));
@@ -144,9 +144,9 @@
         prop_assert_eq!(one.table().digest(), other.table().digest());
     }
 
-    /// Whatever arrives on the port, the node goes on.
+    /// The node survives whatever arrives on its port.
     #[test]
-    fn any_bytes_are_decoded_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn any_bytes_are_decoded_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         if let Ok(datagram) = decode_datagram(&bytes) {
             member().handle(NOW, address(7_002), datagram);
         }
@@ -161,7 +161,7 @@
 }
 
 #[rstest]
-fn a_datagram_of_another_version_is_refused_by_name() {
+fn a_datagram_of_another_version_is_rejected_with_both_versions() {
     let mut bytes = encode_datagram(&rumor(Vec::new()));
     bytes[0] += 1;
     let refused = decode_datagram(&bytes);
@@ -173,8 +173,8 @@
 }
 
 #[rstest]
-fn a_datagram_cut_short_is_refused_as_a_whole() {
-    let bytes = encode_datagram(&rumor(vec![own_word(3)]));
+fn a_truncated_datagram_is_rejected_whole() {
+    let bytes = encode_datagram(&rumor(vec![own_record(3)]));
     let decoded = decode_datagram(&bytes[..bytes.len() - 1]);
     assert!(matches!(decoded, Err(GossipError::Decode(_))));
 }
@@ -184,8 +184,8 @@
 #[case::dead(Update::Dead { node: Name::from("node-own"), incarnation: 1 << 20 })]
 #[case::of_an_earlier_process(Update::Own(target("node-own", 1 << 20, TargetState::Draining)))]
 fn what_peers_hold_about_this_node_is_overridden(#[case] update: Update) {
-    // A node restarts with a low incarnation, or was suspected while it was paused. Until it
-    // overrides what the others hold, they would never send it work again.
+    // A node restarts with a low incarnation, or was suspected during a pause. Until it overrides
+    // what the others hold, they never send it work again.
     let mut member = member();
     member.handle(NOW, address(7_002), rumor(vec![update]));
     assert!(member.own().incarnation > 1 << 20);
@@ -195,26 +195,26 @@
 #[rstest]
 #[case::suspected(Update::Suspect { node: Name::from("node-x"), incarnation: 2 })]
 #[case::dead(Update::Dead { node: Name::from("node-x"), incarnation: 2 })]
-fn a_stale_word_of_others_does_not_touch_a_newer_incarnation(#[case] stale: Update) {
-    // A node was taken for dead, came back and said so. Then the old news of its death arrives by
-    // a detour: it must not take the node out of service again.
+fn stale_updates_do_not_affect_a_newer_incarnation(#[case] stale: Update) {
+    // A node was declared dead, returned and published a new record. Then an old update about its
+    // death arrives late. It must not take the node out of service again.
     let mut member = member();
     let newer = Update::Own(target("node-x", 3, TargetState::Up));
     member.handle(NOW, address(7_002), rumor(vec![newer]));
     member.handle(NOW, address(7_002), rumor(vec![stale]));
-    let held = member.table().get("node-x").expect("it was told");
+    let held = member.table().get("node-x").expect("its record was sent");
     assert_eq!(held.published.state, TargetState::Up);
 }
 
 #[rstest]
-fn two_nodes_with_one_name_do_not_outbid_each_other_without_end() {
-    // A copied settings file: two nodes bear one name, and each overrides what the other says of
-    // it. Unbounded, their news would fill the control network of everybody.
+fn two_nodes_with_one_name_raise_incarnations_at_a_bounded_rate() {
+    // A settings file was copied: two nodes have the same name, and each overrides the other's
+    // record. Without a bound their updates would fill the control network of all nodes.
     let mut member = member();
     let first = member.own().incarnation;
     for tenth in 0..100 {
-        let outbid = member.own().incarnation + (1 << 16);
-        let update = Update::Own(target("node-own", outbid, TargetState::Up));
+        let higher = member.own().incarnation + (1 << 16);
+        let update = Update::Own(target("node-own", higher, TargetState::Up));
         member.handle(NOW + tenth * 100, address(7_002), rumor(vec![update]));
     }
     let raised = (member.own().incarnation - first) >> 16;
@@ -222,12 +222,12 @@
 }
 
 #[rstest]
-fn a_suspect_that_answers_is_not_probed_without_pause() {
-    // A suspect answers, but its refutation is lost on the way. Its last probe came due; without a
-    // new beginning of the suspicion it would be probed again at every tick.
+fn a_suspect_that_answers_is_probed_at_a_bounded_rate() {
+    // A suspected member answers, but its refutation is lost and its last probe is due. If the
+    // answer did not restart the suspicion, the member would be probed again at every tick.
     let mut member = member();
-    let told = Update::Own(target("node-x", 1 << 16, TargetState::Up));
-    member.handle(NOW, address(7_002), rumor(vec![told]));
+    let initial = Update::Own(target("node-x", 1 << 16, TargetState::Up));
+    member.handle(NOW, address(7_002), rumor(vec![initial]));
     let suspicion = Update::Suspect {
         node: Name::from("node-x"),
         incarnation: 1 << 16,
@@ -256,9 +256,10 @@
 }
 
 #[rstest]
-fn a_sender_whose_record_is_newer_here_is_told() {
-    // A node restarts and pings before it learnt anything. The answer must carry what is held
-    // about it, or it would go on with an incarnation that everybody ignores.
+fn a_sender_with_an_old_incarnation_receives_the_held_record() {
+    // A node restarts and pings before it has learnt anything. The answer must carry the record
+    // that is held about it. Otherwise the node would go on with an incarnation that all others
+    // ignore.
     let mut member = member();
     let held = Update::Own(target("node-x", 1 << 20, TargetState::Up));
     member.handle(NOW, address(7_002), rumor(vec![held.clone()]));
@@ -267,21 +268,22 @@
         body: Body::Ping { sequence: 9 },
         updates: Vec::new(),
     };
-    // Until the news about it has been passed on often enough, every datagram carries it anyway.
+    // Until the update about the node has been sent often enough, every datagram carries it anyway.
     for _ in 0..50 {
         member.handle(NOW, address(7_000), ping.clone());
     }
     let actions = member.handle(NOW, address(7_000), ping);
-    let told = actions.iter().any(|action| match action {
+    let is_sent = actions.iter().any(|action| match action {
         Action::Send { to, datagram } => *to == address(7_000) && datagram.updates.contains(&held),
         _ => false,
     });
-    assert!(told, "{actions:?}");
+    assert!(is_sent, "{actions:?}");
 }
 
 #[rstest]
 fn sizes_on_the_wire_are_those_that_capacity_is_planned_with() {
-    // docs/CAPACITY.md works out bytes a second from these; a larger entry has to be planned for.
+    // docs/CAPACITY.md computes bytes per second from these sizes. A larger entry has to be planned
+    // for.
     let mut long = target("vm-region-2-8-719", 99 << 16, TargetState::Up);
     long.service = Name::from("service-129");
     long.region = Name::from("region-2");
--- a/tests/membership_variants.rs
+++ b/tests/membership_variants.rs
@@ -1,4 +1,4 @@
-//! The ways of spreading news, side by side in one run.
+//! A comparison of settings for spreading updates.
 //!
 //! `MEMBERSHIP_NODES_PER_DOMAIN=80 cargo test --release --test membership_variants -- --nocapture`
 //! prints the table of docs/MEMBERSHIP.md at 720 nodes.
@@ -28,63 +28,66 @@
     }
 }
 
-/// What one variant did with one seed.
+/// The results of one variant with one seed.
 #[derive(Debug)]
-struct Figures {
-    rest_bytes_per_s: u64,
+struct VariantResult {
+    idle_bytes_per_s: u64,
     drain_ms: u64,
     death_ms: u64,
     false_deaths: usize,
 }
 
-fn play(settings: MembershipSettings, loss: f64, seed: u64) -> Figures {
+fn run_variant(settings: MembershipSettings, loss: f64, seed: u64) -> VariantResult {
     let mut net = Net::joined_with(shape(), seed, settings);
     net.loss = loss;
     net.run_ms(PHASE_MS);
-    let (rest_bytes_per_s, _) = net.bytes_per_s(PHASE_MS);
+    let (idle_bytes_per_s, _) = net.bytes_per_s(PHASE_MS);
     let dead = |node: &Node| node.count(TargetState::Dead);
     let false_deaths = net.nodes.iter().map(dead).max().unwrap_or(0);
     let (drained, killed) = (net.name_of(1), net.name_of(2));
     net.set_state(1, TargetState::Draining);
     let drain_ms = net.ms_until(LIMIT_MS, |node| {
-        node.sees(&drained) == Some(TargetState::Draining)
+        node.state_of(&drained) == Some(TargetState::Draining)
     });
     net.kill(2);
     let death_ms = net.ms_until(LIMIT_MS, |node| {
-        node.sees(&killed) == Some(TargetState::Dead)
+        node.state_of(&killed) == Some(TargetState::Dead)
     });
-    Figures {
-        rest_bytes_per_s,
+    VariantResult {
+        idle_bytes_per_s,
         drain_ms: drain_ms.unwrap_or(LIMIT_MS),
         death_ms: death_ms.unwrap_or(LIMIT_MS),
         false_deaths,
     }
 }
 
-fn play_all(name: &str, settings: MembershipSettings, loss: f64) -> Vec<Figures> {
-    let figures: Vec<Figures> = SEEDS
+fn run_seeds(name: &str, settings: MembershipSettings, loss: f64) -> Vec<VariantResult> {
+    let results: Vec<VariantResult> = SEEDS
         .into_iter()
-        .map(|seed| play(settings, loss, seed))
+        .map(|seed| run_variant(settings, loss, seed))
         .collect();
-    for one in &figures {
-        let (bytes, drain, death) = (one.rest_bytes_per_s, one.drain_ms, one.death_ms);
-        println!("{name}: rest {bytes} B/s, drain {drain} ms, death {death} ms");
+    for run in &results {
+        let (bytes, drain, death) = (run.idle_bytes_per_s, run.drain_ms, run.death_ms);
+        println!("{name}: idle {bytes} B/s, drain {drain} ms, death {death} ms");
     }
-    figures
+    results
 }
 
 #[rstest]
-fn news_pushed_at_once_is_faster_than_news_on_probes_alone() {
-    // A target drains. While its news travels on probes alone, entries go on sending it work,
-    // which its guard refuses: each such call costs a further try.
-    let probes_alone = MembershipSettings {
+fn pushed_updates_are_faster_than_updates_piggybacked_on_probes() {
+    // A target drains. While the update travels only on probes, entries continue to send it work,
+    // which its guard refuses. Each such call costs another attempt.
+    let probes_only = MembershipSettings {
         rumor_fan_out: 0,
         ..MembershipSettings::default()
     };
-    let pushed = play_all("pushed to 4", MembershipSettings::default(), 0.0);
-    let alone = play_all("on probes alone", probes_alone, 0.0);
-    for (pushed, alone) in pushed.iter().zip(&alone) {
-        assert!(pushed.drain_ms < alone.drain_ms, "{pushed:?} {alone:?}");
+    let pushed = run_seeds("pushed to 4", MembershipSettings::default(), 0.0);
+    let piggybacked = run_seeds("on probes only", probes_only, 0.0);
+    for (pushed, piggybacked) in pushed.iter().zip(&piggybacked) {
+        assert!(
+            pushed.drain_ms < piggybacked.drain_ms,
+            "{pushed:?} {piggybacked:?}"
+        );
     }
 }
 
@@ -92,23 +95,23 @@
 #[case::two("pushed to 2", MembershipSettings { rumor_fan_out: 2, ..MembershipSettings::default() })]
 #[case::eight("pushed to 8", MembershipSettings { rumor_fan_out: 8, ..MembershipSettings::default() })]
 #[case::three("suspicion of 4 s", MembershipSettings { suspicion_ms: 4_000, ..MembershipSettings::default() })]
-fn other_values_spread_news_as_well(#[case] name: &str, #[case] settings: MembershipSettings) {
-    for figures in play_all(name, settings, 0.0) {
-        assert!(figures.drain_ms <= 5_000, "{figures:?}");
-        assert_eq!(figures.false_deaths, 0, "{figures:?}");
+fn other_settings_spread_updates_too(#[case] name: &str, #[case] settings: MembershipSettings) {
+    for result in run_seeds(name, settings, 0.0) {
+        assert!(result.drain_ms <= 5_000, "{result:?}");
+        assert_eq!(result.false_deaths, 0, "{result:?}");
     }
 }
 
 #[rstest]
 #[case::two("suspicion of 2 s, 5% loss", 2_000)]
 #[case::three("suspicion of 3 s, 5% loss", 3_000)]
-fn loss_delays_news_but_does_not_stop_it(#[case] name: &str, #[case] suspicion_ms: u64) {
+fn loss_delays_updates_but_does_not_stop_them(#[case] name: &str, #[case] suspicion_ms: u64) {
     let settings = MembershipSettings {
         suspicion_ms,
         ..MembershipSettings::default()
     };
-    for figures in play_all(name, settings, 0.05) {
-        assert!(figures.drain_ms <= 8_000, "{figures:?}");
-        assert_eq!(figures.false_deaths, 0, "{figures:?}");
+    for result in run_seeds(name, settings, 0.05) {
+        assert!(result.drain_ms <= 8_000, "{result:?}");
+        assert_eq!(result.false_deaths, 0, "{result:?}");
     }
 }
