--- a/src/membership/action.rs
+++ b/src/membership/action.rs
@@ -1,4 +1,4 @@
-//! The effects that the membership logic, which does no I/O itself, asks its caller to carry out.
+//! The effects that the caller of the membership logic carries out. The logic itself does no I/O.
 
 use std::net::SocketAddr;
 
@@ -14,9 +14,9 @@
     Send { to: SocketAddr, datagram: Datagram },
     /// The view changed: publish [`super::Membership::view`].
     Publish,
-    /// Exchange all members with this node over a control call, and merge the response.
+    /// Start a full exchange of members with this node over a control call, and merge the response.
     Exchange { with: SocketAddr },
-    /// The node at this address has a newer configuration in force. `is_near` says whether it is in
+    /// The node at this address has a newer configuration in force. `is_near` is set if it is in
     /// this node's own failure domain.
     NewerConfig {
         from: SocketAddr,
@@ -25,15 +25,15 @@
     },
     /// A peer reported a store era that is newer than any known here.
     StoreEra { era: u64 },
-    /// The node at this address knows a newer slot map of a service.
+    /// The node at this address sent a higher slot map version of a service than the one held here.
     NewerSlotMap {
         from: SocketAddr,
         service: Name,
         version: u64,
     },
-    /// A peer determined what uses a route, and nothing was known here about that route.
+    /// A peer reported whether callers or backend servers use a route. This was unknown here.
     RouteUse { route: Name, by: RouteOrigin },
-    /// A member sent a message about accounts' allowances.
+    /// A member sent a message about the allowances of client accounts.
     Allowances {
         from: Name,
         message: AllowanceMessage,
--- a/src/membership/compare.rs
+++ b/src/membership/compare.rs
@@ -12,12 +12,12 @@
 use super::Update;
 use super::digest::BUCKETS;
 use super::encoded_bytes;
-use super::receive::node_of;
+use super::receive::subject_name;
 use crate::core::FastMap;
 use crate::core::Name;
 use crate::core::TimeMs;
 
-/// With more differing buckets than this, all members are exchanged over a control call.
+/// With more differing buckets than this, a full exchange over a control call is requested.
 const MAX_DIFFERING_BUCKETS: usize = 16;
 /// The most buckets that are answered in one comparison. The following comparisons find the rest.
 const ANSWERED_BUCKETS: usize = 4;
@@ -28,8 +28,11 @@
 const MAX_DEFERRED_PERIODS: u64 = 5;
 
 impl Membership {
-    /// Starts a comparison if the digests have differed for long. Just after a change they always
-    /// differ, until the update has reached every member.
+    /// Requests a full exchange if the digests differ and either many members are missing here or
+    /// this node has just started. Otherwise compares the tables bucket by bucket, but only after
+    /// the table has not changed for one compare period, or digests have differed for
+    /// [`MAX_DEFERRED_PERIODS`]: just after a change they always differ, until the update has
+    /// reached every member.
     pub(super) fn compare_members(
         &mut self,
         header: &Header,
@@ -38,7 +41,7 @@
         actions: &mut Vec<Action>,
     ) {
         if header.members_digest == self.table.digest() {
-            self.schedule.last_equal = now;
+            self.schedule.last_members_equal = now;
             return;
         }
         if self.lacks_many(header.members) || self.is_catching_up(now) {
@@ -49,7 +52,8 @@
         }
         let period_ms = self.settings.compare_period_ms;
         let is_settled = now.since(self.table.last_change()) >= period_ms;
-        let is_overdue = now.since(self.schedule.last_equal) >= MAX_DEFERRED_PERIODS * period_ms;
+        let is_overdue =
+            now.since(self.schedule.last_members_equal) >= MAX_DEFERRED_PERIODS * period_ms;
         if now < self.schedule.next_compare || !(is_settled || is_overdue) {
             return;
         }
@@ -60,10 +64,10 @@
 
     /// Whether this node started less than [`CATCH_UP_MS`] ago.
     ///
-    /// Guards against a starting fleet in which nodes still lack the last members after 15 s. While
-    /// updates arrive, digests always differ, so a later comparison waits for them to settle. Just
-    /// after the start no such wait is needed: requesting what differs is cheap, and the node would
-    /// request the first members that it receives anyway. A cold start of 180 members in virtual
+    /// Without this rule, nodes still lack the last members 15 s after the start of a whole fleet.
+    /// While updates arrive, digests always differ, so a comparison waits until the table no longer
+    /// changes. A node that has just started does not wait: it has to request nearly all members
+    /// anyway, and requesting only what differs is cheap. A cold start of 180 members in virtual
     /// time took 16.8 s without this rule and 3.9 s with it.
     fn is_catching_up(&self, now: TimeMs) -> bool {
         now.since(self.started) < CATCH_UP_MS
@@ -106,12 +110,12 @@
     ) {
         let theirs: FastMap<&Name, &Update> = received
             .iter()
-            .map(|update| (node_of(update), update))
+            .map(|update| (subject_name(update), update))
             .collect();
         let mut newer = self.table.bucket_updates(bucket as usize % BUCKETS);
         newer.retain(|ours| {
             theirs
-                .get(node_of(ours))
+                .get(subject_name(ours))
                 .is_none_or(|theirs| is_newer(ours, theirs))
         });
         if !newer.is_empty() {
--- a/src/membership/datagram.rs
+++ b/src/membership/datagram.rs
@@ -62,7 +62,7 @@
     Ping { sequence: u32 },
     /// Answers a [`Body::Ping`].
     Ack { sequence: u32 },
-    /// Asks the receiver to ping `address` and to relay the answer (an indirect probe).
+    /// Requests an indirect probe: the receiver pings `address` and relays the answer.
     PingRequest { sequence: u32, address: SocketAddr },
     /// Reports that the member in an earlier [`Body::PingRequest`] answered.
     RelayedAck { sequence: u32 },
@@ -76,7 +76,7 @@
     /// The updates are all that the sender holds in one bucket. If `reply` is set, the receiver
     /// sends back what is newer on its side.
     Entries { bucket: u16, reply: bool },
-    /// Use of accounts' allowances, for the node that manages them.
+    /// A report, a reply or a message between coordinators about the allowances of client accounts.
     Allowances(AllowanceMessage),
 }
 
@@ -115,6 +115,7 @@
     Dead { node: Name, incarnation: u64 },
     /// A newer version of a service's slot map exists.
     SlotMap { service: Name, version: u64 },
-    /// What uses a route, as determined by the first node that found out.
+    /// Whether callers or backend servers use a route, as determined by the first node that could
+    /// tell.
     RouteUse { route: Name, by: RouteOrigin },
 }
--- a/src/membership/digest.rs
+++ b/src/membership/digest.rs
@@ -7,8 +7,8 @@
 /// Number of buckets in which a member table is compared.
 pub const BUCKETS: usize = 64;
 
-/// The digest of one versioned name. The digest of a set is the exclusive or of its entries, so
-/// that members can be added and removed one at a time.
+/// The digest of one versioned name. The digest of a set is the exclusive or of the digests of its
+/// entries, so that members can be added and removed one at a time.
 pub fn entry_digest(name: &str, version: u64) -> u32 {
     let mut hasher = FxHasher::default();
     hasher.write(name.as_bytes());
--- a/src/membership/dissemination.rs
+++ b/src/membership/dissemination.rs
@@ -23,9 +23,9 @@
 /// Members of each failure domain that carry updates about members into other domains at a time,
 /// whatever the size of the domain.
 const CROSS_DOMAIN_SENDERS: f64 = 12.0;
-/// Members of each failure domain that request exchanges across domains at a time. There are more
-/// of them, because after a start of all nodes no request can be served by nodes that are not known
-/// yet.
+/// Members of each failure domain that request full exchanges across domains at a time. They are
+/// more than [`CROSS_DOMAIN_SENDERS`]: when all nodes start at once, a backend server gets no calls
+/// from another domain until its node is known there.
 const CROSS_DOMAIN_REQUESTERS: f64 = 24.0;
 /// IP and UDP headers, which count as control traffic too.
 pub(super) const PACKET_OVERHEAD_BYTES: u64 = 28;
@@ -34,13 +34,14 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Receiver {
     pub address: SocketAddr,
-    /// Whether the receiver is in this node's own failure domain. It then gets what the domain
-    /// knows of the other domains.
+    /// Whether the receiver is in this node's own failure domain. The header then holds the last
+    /// answers of the other domains.
     pub is_near: bool,
 }
 
 impl Receiver {
-    /// A receiver whose failure domain does not matter.
+    /// A receiver that is treated as being in another failure domain, for example because only its
+    /// address is known.
     pub fn far(address: SocketAddr) -> Self {
         Self {
             address,
@@ -91,8 +92,9 @@
         member.is_some_and(|member| member.record.domain == self.own.domain)
     }
 
-    /// Sends a message with the `required` updates first, then as many queued updates as size and
-    /// budget allow.
+    /// Sends a message with the `required` updates first, then those exempt from the budget, then
+    /// as many other queued updates as size and budget allow. A datagram into another failure
+    /// domain carries these others only if [`Self::sends_across_domains`] returns true.
     pub(super) fn send_with_updates(
         &mut self,
         to: Receiver,
@@ -102,6 +104,7 @@
         actions: &mut Vec<Action>,
     ) {
         let header = self.header(to.is_near, now);
+        // One byte for the version.
         let fixed_bytes = encoded_bytes(&header) + encoded_bytes(&body) + 1;
         let required_bytes: usize = required.iter().map(encoded_bytes).sum();
         let room = self
@@ -160,7 +163,7 @@
         actions
     }
 
-    /// Sends only these updates.
+    /// Sends these updates, without any queued ones.
     pub(super) fn send_updates(
         &mut self,
         to: SocketAddr,
@@ -189,6 +192,7 @@
         let is_budget_exempt = self.header_is_urgent || self.queue.has_budget_exempt();
         let crosses_domains = is_budget_exempt || self.sends_across_domains();
         let mut receivers = self.choose_receivers(crosses_domains);
+        // Only headers within this node's own failure domain hold the answers of other domains.
         if !is_for_all {
             receivers.retain(|receiver| receiver.is_near);
         }
@@ -197,6 +201,7 @@
         }
         let header = self.header(true, now);
         let copies = receivers.len() as u64;
+        // One byte for the version and one for the body.
         let fixed_bytes = encoded_bytes(&header) as u64 + 2 + PACKET_OVERHEAD_BYTES;
         let share_bytes = self.budget.available_bytes(now) / copies;
         if share_bytes < fixed_bytes && !is_budget_exempt {
@@ -236,7 +241,8 @@
     }
 
     /// Chooses half of the receivers from this node's own failure domain and half from others, as
-    /// far as there are any. All are from its own domain if updates may not leave it.
+    /// far as there are any. If `crosses_domains` is not set, all are from its own domain, unless
+    /// that has too few usable members.
     fn choose_receivers(&mut self, crosses_domains: bool) -> Vec<Receiver> {
         let fan_out = self.settings.rumor_fan_out;
         let own_domain = self.own.domain.clone();
--- a/src/membership/domain_watch.rs
+++ b/src/membership/domain_watch.rs
@@ -16,9 +16,8 @@
 struct Watched {
     /// Hash of the failure domain's name, kept because every datagram is compared with it.
     hash: u16,
-    /// When this node began to watch the domain. Used only for this node's own judgement: if it
-    /// were sent to others, it would look like an answer, and a restarted node would make cut-off
-    /// domains look reachable.
+    /// When this node began to watch the domain. It is never sent to other nodes: they would treat
+    /// it as an answer, and a restarted node would make cut-off domains look reachable.
     since: TimeMs,
     /// The last answer to any member of this node's own failure domain.
     answered: Option<TimeMs>,
@@ -31,7 +30,7 @@
     }
 }
 
-/// The last answer from each failure domain, as far as this node's own domain knows.
+/// The last answer from each failure domain to any member of this node's own domain.
 ///
 /// One node probes another domain too rarely to judge it alone, so the members of a domain share
 /// their observations. Only answers to probes count. If packets pass in one direction only, a
@@ -116,7 +115,8 @@
         silent
     }
 
-    /// Stops watching the domains for which `known` is false.
+    /// Stops watching the domains for which `known` is false, because they have no members any
+    /// more.
     pub fn retain(&mut self, known: impl Fn(&str) -> bool) {
         self.domains.retain(|domain, _| known(domain));
     }
--- a/src/membership/exchange.rs
+++ b/src/membership/exchange.rs
@@ -1,4 +1,5 @@
-//! Full exchanges of members over a control call, for a join or when many members are missing.
+//! Full exchanges over a control call, for a join or when many members are missing. An exchange
+//! covers all buckets, and the response holds the members of those that differ.
 
 use std::net::SocketAddr;
 
@@ -21,16 +22,16 @@
 /// receive them by exchanges and comparisons too. In a starting fleet of hundreds of nodes,
 /// forwarding them would use up the byte budget of updates for minutes.
 const MAX_FORWARDED: usize = 4;
-/// An exchange requires that the peer knows more members than this node: one eighth more, plus
+/// Many members are missing here if the peer has more than this node by one eighth plus
 /// [`MISSING_MARGIN`].
 const MISSING_DIVISOR: usize = 8;
 const MISSING_MARGIN: usize = 8;
 
 /// A request for an exchange of members.
 ///
-/// Guards against bytes that grow with the square of the number of nodes. They would if, at the
-/// start of a fleet, every node sent its whole table to several others. With the digests, only the
-/// buckets that differ are sent.
+/// If every node sent its whole table to several others at the start of a fleet, the bytes would
+/// grow with the square of the number of nodes. With the digests, only the buckets that differ are
+/// sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ExchangeRequest {
@@ -53,7 +54,7 @@
     }
 
     /// Answers an exchange with all members in the buckets that differ from the requester's. Merges
-    /// the requester's own record, and requests an exchange in return if the requester knows many
+    /// the requester's own record, and requests an exchange in return if the requester has many
     /// more members.
     pub fn answer_exchange(
         &mut self,
@@ -98,6 +99,8 @@
                 );
                 continue;
             }
+            // The table accepts no record with the state `Dead`, so the record is applied with
+            // another state first. Dead members that are unknown here are not added.
             let mut record = target.clone();
             record.state = TargetState::Starting;
             let is_unknown = self.table.get(&node).is_none();
@@ -111,13 +114,14 @@
         actions
     }
 
-    /// Whether a peer knows so many more members that a comparison by buckets would be too slow.
-    /// This happens when all nodes start at once.
+    /// Whether a peer has so many more members that a comparison by buckets would be too slow. This
+    /// happens when all nodes start at once.
     pub(super) fn lacks_many(&self, their_members: u32) -> bool {
         let ours = self.table.alive();
         their_members as usize > ours + ours / MISSING_DIVISOR + MISSING_MARGIN
     }
 
+    /// Requests a full exchange, unless this node requested one within [`EXCHANGE_PERIOD_MS`].
     pub(super) fn start_exchange(
         &mut self,
         with: SocketAddr,
--- a/src/membership/incarnation.rs
+++ b/src/membership/incarnation.rs
@@ -1,9 +1,9 @@
-//! Selection of incarnations without a disk or a wall clock.
+//! Selection of incarnations. It needs neither stored state nor a wall clock.
 
-/// The low bits distinguish two processes of one node that do not know of each other.
+/// The low bits distinguish two processes of one node that have no data about each other.
 const PROCESS_BITS: u32 = 16;
 
-/// The incarnation with which a process starts, before it hears of an earlier process.
+/// The incarnation with which a process starts, before it receives an earlier process's record.
 pub fn first_incarnation(random: u16) -> u64 {
     (1 << PROCESS_BITS) | u64::from(random)
 }
--- a/src/membership/member_table.rs
+++ b/src/membership/member_table.rs
@@ -19,7 +19,8 @@
 pub enum Applied {
     /// The update was newer than what was held.
     Newer,
-    /// The update matches what is held, or is about an unknown member.
+    /// The update matches what is held, or cannot be applied: its member or incarnation is unknown
+    /// here, the member has left or is dead, or the table is full.
     Known,
     /// What is held is newer than the update.
     Stale,
@@ -170,8 +171,8 @@
         }
         // The update cannot be applied if its incarnation is not known here yet. The node's own
         // record of that incarnation follows.
-        let departed = held.record.state == TargetState::Left;
-        if held.record.incarnation < incarnation || departed || held.liveness == Liveness::Dead {
+        let has_left = held.record.state == TargetState::Left;
+        if held.record.incarnation < incarnation || has_left || held.liveness == Liveness::Dead {
             return Applied::Known;
         }
         if liveness != Liveness::Dead && held.liveness != Liveness::Alive {
@@ -229,7 +230,7 @@
         self.members
             .values()
             .filter(|member| bucket_of(&member.record.node) == bucket)
-            .map(record_of)
+            .map(update_about)
             .collect()
     }
 
@@ -249,6 +250,8 @@
         }
     }
 
+    /// Counts a member with `sign` 1 and removes it from the counts with -1. The exclusive or both
+    /// adds it to the digests and removes it from them.
     fn count(&mut self, member: &Member, sign: isize) {
         if member.is_tombstone() {
             return;
@@ -273,7 +276,7 @@
 }
 
 /// The update that informs a node that holds older data about a member.
-pub fn record_of(member: &Member) -> Update {
+pub fn update_about(member: &Member) -> Update {
     if member.liveness == Liveness::Dead {
         return Update::Dead {
             node: member.record.node.clone(),
--- a/src/membership/membership.rs
+++ b/src/membership/membership.rs
@@ -27,7 +27,7 @@
 use crate::core::TimeMs;
 use crate::core::View;
 
-/// Length of the cycle of probes inside and outside this node's own failure domain.
+/// Number of probes in one cycle of probes inside and outside this node's own failure domain.
 pub(super) const PROBE_CYCLE: u64 = 3;
 /// After this many probe periods without a tick, this process is considered to have been paused:
 /// the missing answers are then due to the pause.
@@ -36,10 +36,10 @@
 const SWEEP_PERIOD_MS: u64 = 10_000;
 /// Minimum time between two refutations.
 const REFUTATION_PERIOD_MS: u64 = 500;
-/// Maximum number of routes whose use is spread by gossip. For further ones each node finds out by
-/// itself.
+/// Maximum number of routes whose use (by callers or by backend servers) is spread by gossip. For
+/// further ones each node finds out by itself.
 const MAX_ROUTES: usize = 4_096;
-/// How often a node that knows no other member requests all members from a seed.
+/// How often a node without other members in its table requests a full exchange from a seed.
 const JOIN_PERIOD_MS: u64 = 1_000;
 
 /// The times at which the periodic steps are due next, and of the last observations.
@@ -52,7 +52,7 @@
     pub next_sweep: TimeMs,
     pub next_compare: TimeMs,
     pub next_exchange: TimeMs,
-    pub last_equal: TimeMs,
+    pub last_members_equal: TimeMs,
     pub next_slot_compare: TimeMs,
     pub last_slots_equal: TimeMs,
     pub last_near_newer_config: TimeMs,
@@ -73,12 +73,13 @@
     pub(super) table: MemberTable,
     pub(super) queue: UpdateQueue,
     pub(super) watch: DomainWatch,
-    /// Failure domains from which no member of this node's own domain got an answer recently.
+    /// Failure domains from which no member of this node's own domain got an answer for longer than
+    /// `cut_off_ms`.
     pub(super) silent: Vec<Name>,
     pub(super) probes: Probes,
     pub(super) budget: UpdateBudget,
     pub(super) slot_maps: SlotMapVersions,
-    /// Routes whose use is known.
+    /// Routes of which it is known whether callers or backend servers use them.
     known_routes: FastSet<Name>,
     pub(super) config_version: u64,
     /// When the store was last known to hold no newer configuration.
@@ -99,7 +100,7 @@
 }
 
 impl Membership {
-    /// Creates a member that knows itself and the seed addresses. The incarnation of `own` is
+    /// Creates a member with its own record and the seed addresses. The incarnation of `own` is
     /// chosen here. It rises once peers report what they hold under this node's name.
     pub fn new(
         mut own: Target,
@@ -142,7 +143,7 @@
             own,
         };
         this.schedule.last_tick = now;
-        this.schedule.last_equal = now;
+        this.schedule.last_members_equal = now;
         this.schedule.next_probe = now + first_probe;
         this.put_own(now);
         this
@@ -200,7 +201,7 @@
     }
 
     /// Records that at `at` the store held nothing newer than this version. It is ignored if
-    /// another version is in force here, because it says nothing about that one.
+    /// another version is in force here, because it does not apply to that one.
     pub fn confirm_config(&mut self, version: u64, at: TimeMs) {
         if version == self.config_version {
             self.config_confirmed = self.config_confirmed.max(Some(at));
@@ -215,12 +216,12 @@
     /// Records a store era, and spreads it at once if it is newer than any known one. Returns
     /// whether it is.
     pub fn raise_store_era(&mut self, era: u64) -> bool {
-        let rises = era > self.store_era;
-        if rises {
+        let is_newer = era > self.store_era;
+        if is_newer {
             self.store_era = era;
             self.header_is_urgent = true;
         }
-        rises
+        is_newer
     }
 
     /// Sets the version of a slot map held here, and spreads it at once.
@@ -231,14 +232,15 @@
         }
     }
 
-    /// Records what uses a route if that was unknown, and spreads it at once. Returns whether it
-    /// was unknown.
+    /// Records whether callers or backend servers use a route if that was unknown, and spreads it
+    /// at once. Returns whether it was unknown.
     ///
-    /// Guards against a fleet of hundreds of nodes that, after all of them restart, takes five
-    /// seconds until it refuses requests that cannot complete. Without gossip each node finds out
-    /// by itself, or from the answers to a few calls of its own, which are late at that time. With
-    /// it, the first node that finds out informs all others. A known use is never replaced: guards
-    /// continue to judge, and report with each answer.
+    /// Without gossip, each node determines the use by itself, or from the answers to a few calls
+    /// of its own, which are late after a restart of all nodes. A fleet of hundreds of nodes then
+    /// takes five seconds until it refuses requests that cannot complete. With gossip, the first
+    /// node that determines the use informs all others. A known use is not replaced here.
+    /// Corrections come from the guards, which continue to determine it and report it with each
+    /// answer.
     pub fn set_route_use(&mut self, route: &Name, by: RouteOrigin) -> bool {
         if self.known_routes.len() >= MAX_ROUTES || !self.known_routes.insert(route.clone()) {
             return false;
@@ -266,7 +268,7 @@
         if now >= self.schedule.next_probe {
             self.schedule.next_probe = now + self.settings.probe_period_ms;
             self.probe_next(now, &mut actions);
-            self.probe_quiet_domains(now, &mut actions);
+            self.send_extra_probes(now, &mut actions);
             self.refresh_domain_answers(now, &mut actions);
         }
         if now >= self.schedule.next_rejoin {
@@ -338,12 +340,12 @@
     /// Detects a pause of this process. A paused process receives nothing. Without this guard it
     /// would, once it resumes, declare every member dead that had yet to answer.
     fn detect_pause(&mut self, now: TimeMs) {
-        let silence_ms = now.since(self.schedule.last_tick);
+        let pause_ms = now.since(self.schedule.last_tick);
         self.schedule.last_tick = now;
-        if silence_ms < PAUSE_PERIODS * self.settings.probe_period_ms {
+        if pause_ms < PAUSE_PERIODS * self.settings.probe_period_ms {
             return;
         }
-        log::info!("gossip: process resumed after a pause pause_ms={silence_ms}");
+        log::info!("gossip: process resumed after a pause pause_ms={pause_ms}");
         self.probes.clear();
         self.watch.restart(now);
         self.table.restart_suspicions(now);
--- a/src/membership/probes.rs
+++ b/src/membership/probes.rs
@@ -47,7 +47,8 @@
 }
 
 impl Probes {
-    /// Starts a probe. Returns `None` if too many are pending, or one to this node is.
+    /// Starts a probe of `node`. Returns `None` if too many probes are pending, or one of `node`
+    /// is.
     pub fn start(
         &mut self,
         node: Name,
@@ -138,7 +139,7 @@
             .collect()
     }
 
-    /// Drops all probes, after a pause in which no answer could be received.
+    /// Drops this node's own probes, after a pause in which no answer could be received.
     pub fn clear(&mut self) {
         self.own.clear();
     }
--- a/src/membership/probing.rs
+++ b/src/membership/probing.rs
@@ -19,22 +19,23 @@
 /// works the same when the domain is cut off.
 const OWN_DOMAIN_PROBES: u64 = 2;
 /// A failure domain whose last answer is older than this gets additional probes.
-const QUIET_DOMAIN_MS: u64 = 1_500;
+const EXTRA_PROBES_AFTER_MS: u64 = 1_500;
 /// A node whose newest answer from a failure domain is older than this pings another member of its
 /// own domain for a newer one.
 const STALE_ANSWER_MS: u64 = 2_500;
-/// How many additional probes a quiet failure domain gets in each period from all members of one
-/// domain together.
-const QUIET_DOMAIN_PROBES: f64 = 2.0;
-/// A member that was lost for less than this time, in milliseconds, is likely to be restarting. A
-/// restart takes seconds, and a replacement of the machine takes a minute.
+/// How many additional probes such a failure domain gets in each probe period from all members of
+/// one domain together.
+const EXTRA_PROBES: f64 = 2.0;
+/// A member that was lost for less than this time is likely to be restarting. A restart takes
+/// seconds, and a replacement of the VM takes a minute.
 const RECENTLY_LOST_MS: u64 = 60_000;
 /// How many recently lost members each member pings in each rejoin period. All members together
 /// reach a returning member within a second, and the loss of a whole region takes little of the
 /// byte budget.
 const RECENTLY_LOST_TRIES: usize = 4;
-/// How many seeds all members that know each other ping in each rejoin period. Without the bound,
-/// every node would request everything from the seeds when all nodes start at once.
+/// How many pings all members of one partition together send to seeds in each rejoin period.
+/// Without the bound, every node would ping the seeds when all nodes start at once, and request all
+/// members from them.
 const SEED_TRIES: f64 = 8.0;
 
 impl Membership {
@@ -77,15 +78,15 @@
 
     /// Probes failure domains that have not answered recently. Each node does so with a probability
     /// that gives about two probes from the whole domain, whatever its number of nodes.
-    pub(super) fn probe_quiet_domains(&mut self, now: TimeMs, actions: &mut Vec<Action>) {
-        let quiet = self.watch.silent(now, QUIET_DOMAIN_MS);
+    pub(super) fn send_extra_probes(&mut self, now: TimeMs, actions: &mut Vec<Action>) {
+        let quiet = self.watch.silent(now, EXTRA_PROBES_AFTER_MS);
         if quiet.is_empty() {
             return;
         }
         let own = &self.own;
         let near = self.table.iter().filter(|member| is_near(member, own));
         let near = near.filter(|member| !member.is_tombstone()).count();
-        let chance = QUIET_DOMAIN_PROBES / near.max(1) as f64;
+        let chance = EXTRA_PROBES / near.max(1) as f64;
         for domain in quiet {
             if domain == self.own.domain || self.rng.f64() >= chance {
                 continue;
@@ -101,7 +102,7 @@
     }
 
     /// Pings one more member of this node's own failure domain if the newest known answer of
-    /// another domain is old. Other members usually know a newer answer, and the header of the
+    /// another domain is old. Other members usually hold a newer one, and the header of the
     /// response carries it.
     pub(super) fn refresh_domain_answers(&mut self, now: TimeMs, actions: &mut Vec<Action>) {
         let old = self.watch.silent(now, STALE_ANSWER_MS);
@@ -150,8 +151,8 @@
     }
 
     /// Pings some lost members, and one seed that is not the address of a member alive. A lost
-    /// member may have returned unnoticed. Two partitions that know nothing of each other can only
-    /// merge this way.
+    /// member may have returned unnoticed. Two partitions that hold no members of each other can
+    /// only merge this way.
     pub(super) fn ping_lost(&mut self, now: TimeMs, actions: &mut Vec<Action>) {
         let chosen = self.choose_lost(now);
         let unknown: Vec<SocketAddr> = self
@@ -173,9 +174,9 @@
     /// The addresses of members that died or left: a few of the recent ones, and one chosen among
     /// all.
     ///
-    /// Guards against a node that is restarted as planned while the platform's store is
-    /// unreachable. The node knows no other member then. It would serve nothing until the store is
-    /// back, and no other node could use its backend server. The other members still know its
+    /// If a node is restarted as planned while the platform's store is unreachable, it has no
+    /// address of any other member. Without these pings it would serve nothing until the store is
+    /// back, and no other node could use its backend server. The other members still hold its
     /// address and ping it.
     fn choose_lost(&mut self, now: TimeMs) -> Vec<SocketAddr> {
         let own = &self.own.node;
--- a/src/membership/receive.rs
+++ b/src/membership/receive.rs
@@ -12,7 +12,7 @@
 use super::Receiver;
 use super::Update;
 use super::age_tenths::time_from_age;
-use super::member_table::record_of;
+use super::member_table::update_about;
 use crate::core::Name;
 use crate::core::TargetState;
 use crate::core::TimeMs;
@@ -56,7 +56,8 @@
     }
 
     /// Handles a datagram from a process that uses this node's name: a late datagram of an earlier
-    /// process, or another node with the same settings. The larger incarnation keeps the name.
+    /// process, or another node with the same settings. Other nodes accept the record with the
+    /// higher incarnation, so this node raises its own above the one received.
     fn handle_name_conflict(
         &mut self,
         now: TimeMs,
@@ -74,6 +75,8 @@
         self.apply_from(update, from, true, now, actions);
     }
 
+    /// Applies an update that was received from `from`. If it was newer and `forwards` is set, it
+    /// is queued for other members too.
     pub(super) fn apply_from(
         &mut self,
         update: &Update,
@@ -96,7 +99,7 @@
         if self.apply_to_own(update, now) || self.is_inconclusive(update) {
             return;
         }
-        let node = node_of(update);
+        let node = subject_name(update);
         let before = self.table.get(node).map(|held| held.record.service.clone());
         if self.table.apply(update, now, &self.settings) != Applied::Newer {
             return;
@@ -122,9 +125,10 @@
 
     /// Handles updates about this node itself. Returns whether this was one. A record, suspicion or
     /// death that peers hold and that this process did not publish is overridden with a higher
-    /// incarnation. It is a suspicion, or it comes from an earlier process of this node.
+    /// incarnation. It is a suspicion, or it comes from an earlier process of this node. A node
+    /// that has left overrides nothing.
     fn apply_to_own(&mut self, update: &Update, now: TimeMs) -> bool {
-        if *node_of(update) != self.own.node {
+        if *subject_name(update) != self.own.node {
             return false;
         }
         let held = match update {
@@ -140,7 +144,7 @@
     }
 
     /// Whether the update is a suspicion of a member whose failure domain cannot be reached. Such a
-    /// suspicion shows nothing about the member.
+    /// suspicion is due to the domain, not to the member.
     fn is_inconclusive(&self, update: &Update) -> bool {
         let Update::Suspect { node, .. } = update else {
             return false;
@@ -156,7 +160,7 @@
         from: SocketAddr,
         now: TimeMs,
     ) -> Option<Action> {
-        let is_newer = self.slot_maps.take_newer(service, version, now);
+        let is_newer = self.slot_maps.should_report(service, version, now);
         is_newer.then(|| Action::NewerSlotMap {
             from,
             service: service.clone(),
@@ -174,7 +178,7 @@
         if !header.heard.is_empty() {
             let quiet_ms = self.settings.quiet_ms;
             for domain in self.watch.merge(&header.heard, now, quiet_ms) {
-                self.note_domain_reachable(&domain, now);
+                self.handle_reachable_domain(&domain, now);
             }
         }
         if let Some(confirmed) = time_from_age(header.confirmed_tenths, now) {
@@ -190,9 +194,9 @@
         self.compare_slot_maps(header, from, now, actions);
     }
 
-    /// Reports that the sender has a newer configuration. Peers of this node's own failure domain
-    /// are limited separately from others, so that one of them is reported even if a remote peer
-    /// was just before: a transfer from it stays within the domain.
+    /// Reports that the sender has a newer configuration. Peers inside and outside this node's own
+    /// failure domain have separate rate limits. A report about an outside peer therefore does not
+    /// suppress one about an inside peer, from which a transfer costs no traffic between domains.
     fn report_newer_config(
         &mut self,
         header: &Header,
@@ -245,8 +249,8 @@
         let incarnation = held.record.incarnation;
         match held.liveness {
             Liveness::Suspected { .. } => Some(Update::Suspect { node, incarnation }),
-            Liveness::Dead => Some(record_of(held)),
-            Liveness::Alive if incarnation > header.incarnation => Some(record_of(held)),
+            Liveness::Dead => Some(update_about(held)),
+            Liveness::Alive if incarnation > header.incarnation => Some(update_about(held)),
             Liveness::Alive => None,
         }
     }
@@ -321,11 +325,12 @@
         let domain = member.record.domain.clone();
         self.restart_suspicion(&probe.node, now);
         if self.watch.record_answer(&domain, now) > self.settings.quiet_ms {
-            self.note_domain_reachable(&domain, now);
+            self.handle_reachable_domain(&domain, now);
         }
     }
 
-    /// Requests the sender's record if none is held here, or only one of an older incarnation.
+    /// Requests the sender's record if none is held here, or only one of an older incarnation. A
+    /// node that has not joined yet also requests a full exchange.
     fn identify_sender(
         &mut self,
         header: &Header,
@@ -345,9 +350,8 @@
     }
 }
 
-/// The node that an update is about. For a slot map or a route it is the name of the service or
-/// route.
-pub(super) fn node_of(update: &Update) -> &Name {
+/// The name of the node, service or route that an update is about.
+pub(super) fn subject_name(update: &Update) -> &Name {
     match update {
         Update::Own(target) => &target.node,
         Update::Suspect { node, .. } | Update::Dead { node, .. } => node,
--- a/src/membership/settings.rs
+++ b/src/membership/settings.rs
@@ -1,4 +1,4 @@
-//! The periods and bounds of gossip. The defaults are those that were measured.
+//! The periods and bounds of gossip.
 
 /// How often members probe each other and how much they may send.
 ///
@@ -7,13 +7,14 @@
 pub struct MembershipSettings {
     /// One member is probed in each period.
     pub probe_period_ms: u64,
-    /// Time without an answer after which other members are asked for indirect probes.
+    /// Time without an answer after which indirect probes are requested from other members.
     pub direct_timeout_ms: u64,
     /// Time without an answer after which the probed member is suspected.
     pub probe_timeout_ms: u64,
     /// How long a suspected member has to refute before it is probed for the last time.
     pub suspicion_ms: u64,
-    /// Silence of a whole failure domain after which suspicions of its members are inconclusive.
+    /// If a whole failure domain answers again after a longer silence than this, suspicions of its
+    /// members are dropped as inconclusive.
     pub quiet_ms: u64,
     /// Silence of a whole failure domain after which it counts as cut off.
     pub cut_off_ms: u64,
--- a/src/membership/slot_map_versions.rs
+++ b/src/membership/slot_map_versions.rs
@@ -5,18 +5,20 @@
 use crate::core::Name;
 use crate::core::TimeMs;
 
-/// More services than any deployment has. Further ones are left to the table service.
+/// More services than any deployment has. Slot maps of further ones are read only from the
+/// platform's table service.
 const MAX_SERVICES: usize = 4_096;
-/// Minimum time between two hints about the same service, while the newer map is fetched.
-const HINT_PERIOD_MS: u64 = 300;
+/// Minimum time between two reports of a newer slot map of the same service, during which the map
+/// is fetched.
+const REPORT_PERIOD_MS: u64 = 300;
 
 /// Versions by service, with their combined digest.
 #[derive(Clone, Debug, Default)]
 pub struct SlotMapVersions {
     versions: FastMap<Name, u64>,
     digest: u32,
-    /// When the last hint about a service was given. Bounded like `versions`.
-    hinted: FastMap<Name, TimeMs>,
+    /// When a newer slot map of a service was last reported. Bounded like `versions`.
+    reported: FastMap<Name, TimeMs>,
 }
 
 impl SlotMapVersions {
@@ -35,9 +37,9 @@
         true
     }
 
-    /// Whether a version is newer than the one held and no hint about the service was given within
-    /// `HINT_PERIOD_MS`. Records the hint.
-    pub fn take_newer(&mut self, service: &Name, version: u64, now: TimeMs) -> bool {
+    /// Whether a version is newer than the one held and none of the service was reported within
+    /// [`REPORT_PERIOD_MS`]. Records the report.
+    pub fn should_report(&mut self, service: &Name, version: u64, now: TimeMs) -> bool {
         if self
             .versions
             .get(service)
@@ -45,14 +47,14 @@
         {
             return false;
         }
-        let hinted = self.hinted.get(service);
-        if hinted.is_some_and(|hinted| now.since(*hinted) < HINT_PERIOD_MS) {
+        let reported = self.reported.get(service);
+        if reported.is_some_and(|reported| now.since(*reported) < REPORT_PERIOD_MS) {
             return false;
         }
-        if self.hinted.len() >= MAX_SERVICES {
-            self.hinted.clear();
+        if self.reported.len() >= MAX_SERVICES {
+            self.reported.clear();
         }
-        self.hinted.insert(service.clone(), now);
+        self.reported.insert(service.clone(), now);
         true
     }
 
--- a/src/membership/suspicion.rs
+++ b/src/membership/suspicion.rs
@@ -13,12 +13,14 @@
 use crate::core::Name;
 use crate::core::TimeMs;
 
-/// How many members are asked for an indirect probe of a member that did not answer.
+/// How many members get a request for an indirect probe of a member that did not answer.
 const INDIRECT_PROBES: usize = 3;
 /// A node that only received a suspicion waits this many times the suspicion period.
 const REMOTE_SUSPICION_FACTOR: u64 = 3;
 
 impl Membership {
+    /// Pings each member again that did not answer within `direct_timeout_ms`, and requests
+    /// indirect probes of it.
     pub(super) fn request_indirect_probes(&mut self, now: TimeMs, actions: &mut Vec<Action>) {
         let unanswered = self
             .probes
@@ -35,8 +37,8 @@
         }
     }
 
-    /// Chooses the members that are asked for indirect probes, from different failure domains. If
-    /// two domains cannot reach each other, a third may reach both, and then the member must not be
+    /// Chooses the members that make the indirect probes, from different failure domains. If two
+    /// domains cannot reach each other, a third may reach both, and then the member must not be
     /// suspected.
     pub(super) fn choose_helpers(&mut self, node: &Name) -> Vec<SocketAddr> {
         let mut by_domain: FastMap<Name, Vec<SocketAddr>> = FastMap::default();
@@ -62,6 +64,7 @@
         helpers
     }
 
+    /// Suspects the members whose probes failed, and declares those dead whose last probe failed.
     pub(super) fn suspect_failed(&mut self, now: TimeMs, actions: &mut Vec<Action>) {
         let failed = self.probes.take_failed(now, self.settings.probe_timeout_ms);
         for probe in failed.into_iter().filter(|probe| probe.is_conclusive) {
@@ -164,8 +167,8 @@
     }
 
     /// Handles a failure domain that answers again after a silence. Suspicions from that time are
-    /// inconclusive. This node's own domain is informed at once.
-    pub(super) fn note_domain_reachable(&mut self, domain: &Name, now: TimeMs) {
+    /// inconclusive. If the domain counted as cut off, this node's own domain is informed at once.
+    pub(super) fn handle_reachable_domain(&mut self, domain: &Name, now: TimeMs) {
         log::debug!("gossip: failure domain answers again domain={domain}");
         self.drop_suspicions(domain, now);
         self.answers_are_urgent |= self.is_silent(domain);
--- a/src/membership/update_queue.rs
+++ b/src/membership/update_queue.rs
@@ -30,7 +30,7 @@
 impl QueuedUpdate {
     /// Whether the update is exempt from the byte budget. The use of a route is short, rare and
     /// needed at once: when all nodes have just started, updates about members take the whole
-    /// budget, and nodes need to know which route is used by what.
+    /// budget, and nodes need the use of routes to refuse requests that cannot complete.
     fn is_budget_exempt(&self) -> bool {
         matches!(self.update, Update::RouteUse { .. })
     }
--- a/tests/membership_bounds.rs
+++ b/tests/membership_bounds.rs
@@ -122,19 +122,20 @@
 }
 
 #[rstest]
-fn a_node_without_peers_asks_a_seed_until_it_answers() {
-    // The seeds and the platform are down when a node starts. It must continue to request.
+fn a_node_without_peers_keeps_requesting_members_from_a_seed() {
+    // The seeds and the platform are down when a node starts. If it did not repeat its request, it
+    // would never join.
     let seed = SocketAddr::from(([10, 9, 9, 9], 7_000));
     let own = target(0, TargetState::Starting);
     let settings = MembershipSettings::default();
     let mut member = Membership::new(own, vec![seed], settings, Rng::with_seed(3), START);
-    let mut asked = 0;
+    let mut requests = 0;
     for tenth in 0..100 {
         let actions = member.tick(START + tenth * 100);
-        let asks = |action: &&Action| **action == Action::Exchange { with: seed };
-        asked += actions.iter().filter(asks).count();
+        let is_request = |action: &&Action| **action == Action::Exchange { with: seed };
+        requests += actions.iter().filter(is_request).count();
     }
-    assert!((8..=12).contains(&asked), "asked {asked} times in 10 s");
+    assert!((8..=12).contains(&requests), "{requests} requests in 10 s");
 }
 
 #[rstest]
@@ -156,9 +157,9 @@
     assert!(after.changes > before.changes);
 }
 
-/// A node restarts without what its earlier process published. Until it learns which record is held
-/// under its name, the other nodes treat its record as old. Its first exchange has to return the
-/// held record.
+/// A node restarts without what its earlier process published. Until it receives the record held
+/// under its name, the other nodes treat its own record as old. Its first exchange has to return
+/// the held record.
 #[rstest]
 #[case::up(TargetState::Up)]
 #[case::dead(TargetState::Dead)]
--- a/tests/membership_fleet.rs
+++ b/tests/membership_fleet.rs
@@ -14,9 +14,9 @@
 use sassafrasgap::core::RouteOrigin;
 use sassafrasgap::core::TargetState;
 
-/// The part of membership in the 3 KB/s that a node may spend on all control traffic.
+/// The gossip of an idle node, which is a part of [`BUDGET_BYTES_PER_S`].
 const IDLE_BYTES_PER_S: u64 = 1_500;
-/// All control traffic of a node.
+/// What a node may spend on all control traffic: 3 KB/s.
 const BUDGET_BYTES_PER_S: u64 = 3_000;
 const IDLE_MS: u64 = 10_000;
 /// Members in a rack: a third of a failure domain.
@@ -30,8 +30,8 @@
 
 /// How long after the start of the VMs the first requests arrive.
 const TRAFFIC_AFTER_MS: u64 = 8_000;
-/// The size of the small cold start. All tables together grow with the square of the number of
-/// nodes.
+/// A cold start at this size is a fast test. The member tables of all nodes together grow with the
+/// square of the number of nodes.
 const COLD: Shape = Shape {
     regions: 3,
     domains_per_region: 3,
@@ -101,8 +101,8 @@
     assert!(mean <= BUDGET_BYTES_PER_S, "{mean} B/s");
 }
 
-/// All VMs are replaced after a power failure, and each node knows only three seeds. Requests
-/// arrive 8 s later, and a node that does not know a service's targets by then refuses them.
+/// All VMs are replaced after a power failure, and each node has only the addresses of three seeds.
+/// Requests arrive 8 s later, and a node that has no targets of a service by then refuses them.
 #[rstest]
 #[case(COLD)]
 #[case(Shape::FLEET)]
@@ -146,6 +146,6 @@
     let member = &mut net.nodes[100].member;
     assert!(!member.set_route_use(&route, RouteOrigin::Backends));
     net.run_ms(1_000);
-    let told_twice = net.nodes.iter().any(|node| node.route_uses.len() != 1);
-    assert!(!told_twice);
+    let repeated = net.nodes.iter().any(|node| node.route_uses.len() != 1);
+    assert!(!repeated);
 }
--- a/tests/membership_growth.rs
+++ b/tests/membership_growth.rs
@@ -9,7 +9,7 @@
 use membership_net::Shape;
 use sassafrasgap::core::TargetState;
 
-/// From the start of the VMs until half a minute after the first requests.
+/// From the start of the VMs until about half a minute after the first requests.
 const RUN_MS: u64 = 50_000;
 /// How long after the start of the VMs the first requests arrive at the largest deployment.
 const TRAFFIC_AFTER_MS: u64 = 24_000;
@@ -45,7 +45,7 @@
     let (few_bytes, _) = start(few);
     let (many_bytes, joined_ms) = start(many);
     // Only the records of the other nodes, which each node receives at its start, may grow with
-    // their number.
+    // their number. The bound is 100 bytes for each record.
     let records = (many - few) as u64 * 5 * 100;
     assert!(
         many_bytes <= few_bytes + records,
--- a/tests/membership_net/mod.rs
+++ b/tests/membership_net/mod.rs
@@ -63,7 +63,7 @@
 }
 
 impl Net {
-    /// All nodes start at once and know only a few seeds.
+    /// All nodes start at once, with only the addresses of [`SEEDS`] seeds.
     pub fn cold(shape: Shape, seed: u64) -> Self {
         Self::cold_with(shape, seed, MembershipSettings::default())
     }
@@ -93,7 +93,7 @@
         net
     }
 
-    /// All nodes know each other already and have no updates to send.
+    /// All nodes have joined already and have no updates to send.
     pub fn joined(shape: Shape, seed: u64) -> Self {
         Self::joined_with(shape, seed, MembershipSettings::default())
     }
--- a/tests/membership_order.rs
+++ b/tests/membership_order.rs
@@ -132,8 +132,8 @@
         Rng::with_seed(seed).shuffle(&mut shuffled);
         let mut one = member();
         let mut other = member();
-        // An update about an incarnation that is not known yet is not kept. The second round stands
-        // for the copies that other nodes send.
+        // An update about an incarnation that is not known yet is not kept. The second round models
+        // the copies that other nodes send.
         for _ in 0..2 {
             for (a, b) in updates.iter().zip(&shuffled) {
                 one.handle(NOW, address(7_002), rumor(vec![a.clone()]));
@@ -144,7 +144,7 @@
         prop_assert_eq!(one.table().digest(), other.table().digest());
     }
 
-    /// The node survives whatever arrives on its port.
+    /// A node must not panic on any bytes that arrive on its port.
     #[test]
     fn any_bytes_are_decoded_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         if let Ok(datagram) = decode_datagram(&bytes) {
@@ -153,7 +153,7 @@
     }
 
     #[test]
-    fn datagrams_survive_the_wire(updates in prop::collection::vec(any_update(), 0..12)) {
+    fn encoded_datagrams_are_decoded_unchanged(updates in prop::collection::vec(any_update(), 0..12)) {
         let datagram = rumor(updates);
         let decoded = decode_datagram(&encode_datagram(&datagram));
         prop_assert_eq!(decoded.ok(), Some(datagram));
@@ -257,7 +257,7 @@
 
 #[rstest]
 fn a_sender_with_an_old_incarnation_receives_the_held_record() {
-    // A node restarts and pings before it has learnt anything. The answer must carry the record
+    // A node restarts and pings before it has received anything. The answer must carry the record
     // that is held about it. Otherwise the node would go on with an incarnation that all others
     // ignore.
     let mut member = member();
--- a/tests/membership_partitions.rs
+++ b/tests/membership_partitions.rs
@@ -41,7 +41,7 @@
         .unwrap_or(0)
 }
 
-/// Runs on, and returns the most deaths that any node held at any time, even briefly.
+/// Runs for `for_ms`, and returns the most deaths that any node held at any time, even briefly.
 fn deaths_within(net: &mut Net, for_ms: u64) -> usize {
     let mut most = 0;
     for _ in 0..for_ms / DEATH_CHECK_MS {
@@ -60,8 +60,8 @@
 fn a_region_cut_off_for_an_hour_merges_within_seconds() {
     // A region loses the link to the other two for an hour. Each side continues and shows the other
     // side's failure domains as cut off, but declares no deaths. Meanwhile nodes restart and drain
-    // on both sides. Once the link is back, both sides must learn each other's changes within
-    // seconds, and no member may have to refute its death.
+    // on both sides. Once the link is back, both sides must receive each other's changes within
+    // seconds, and no member must need to refute its death.
     let mut net = Net::joined(LONG_PARTITION, 11);
     let (drained, restarted) = (5, 33);
     net.cut(&[0, 1, 2], &[3, 4, 5, 6, 7, 8]);
@@ -205,8 +205,9 @@
 
 #[rstest]
 fn partitions_that_never_met_merge_by_their_seeds() {
-    // The link between regions is down while all nodes start, so no side knows the other. Once the
-    // link is back, only the seed addresses in the settings can bring them together.
+    // The link between regions is down while all nodes start, so neither side has members of the
+    // other. Once the link is back, only the seed addresses in the settings can bring them
+    // together.
     let mut net = Net::cold(THREE_REGIONS, 17);
     net.cut(&[0, 1, 2], &[3, 4, 5, 6, 7, 8]);
     net.run_ms(30_000);
--- a/tests/membership_restart.rs
+++ b/tests/membership_restart.rs
@@ -1,4 +1,4 @@
-//! Restarts of nodes that can learn of the other nodes only from those nodes.
+//! Restarts of nodes without seed addresses or a store: the other nodes have to ping them.
 
 mod membership_net;
 
@@ -15,13 +15,13 @@
     nodes_per_domain: 6,
 };
 const RESTART_MS: u64 = 600;
-/// The other nodes have to know a node again within this time after its start.
+/// The other nodes have to show a restarted node as up within this time after its start.
 const KNOWN_MS: u64 = 4_000;
 
 /// A node is restarted as planned while the platform's store is unreachable. It announced that it
-/// leaves, so the others dropped it, and its new process knows no other node. Without pings from
-/// the others it would serve nothing until the store is back, and no other node could use its
-/// backend server, the last one of its service.
+/// leaves, so the others dropped it, and its new process has no address of any other node. Without
+/// pings from the others it would serve nothing until the store is back, and no other node could
+/// use its backend server, the last one of its service.
 #[rstest]
 fn a_node_restarted_without_a_store_is_found_by_the_others(
     #[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64,
--- a/tests/membership_variants.rs
+++ b/tests/membership_variants.rs
@@ -20,11 +20,11 @@
 const PHASE_MS: u64 = 10_000;
 
 fn shape() -> Shape {
-    let asked = env::var("MEMBERSHIP_NODES_PER_DOMAIN").ok();
+    let from_env = env::var("MEMBERSHIP_NODES_PER_DOMAIN").ok();
     Shape {
         regions: 3,
         domains_per_region: 3,
-        nodes_per_domain: asked.and_then(|text| text.parse().ok()).unwrap_or(8),
+        nodes_per_domain: from_env.and_then(|text| text.parse().ok()).unwrap_or(8),
     }
 }
 
