--- a/src/membership/slot_map_versions.rs
+++ b/src/membership/slot_map_versions.rs
@@ -1,26 +1,28 @@
-//! The versions of slot maps that this node holds, for the news in each datagram.
+//! The versions of the slot maps that this node holds, whose digest every datagram carries.
 
 use super::digest::entry_digest;
 use crate::core::FastMap;
 use crate::core::Name;
 use crate::core::TimeMs;
 
-/// More services than any deployment has; further ones are left to the table service.
+/// More services than any deployment has. Slot maps of further ones are read only from the
+/// platform's table service.
 const MAX_SERVICES: usize = 4_096;
-/// The least time between two hints about the same service: the newer map is being fetched.
-const NEWS_PERIOD_MS: u64 = 300;
+/// Minimum time between two reports of a newer slot map of the same service, during which the map
+/// is fetched.
+const REPORT_PERIOD_MS: u64 = 300;
 
-/// Versions by service with their combined digest.
+/// Versions by service, with their combined digest.
 #[derive(Clone, Debug, Default)]
 pub struct SlotMapVersions {
     versions: FastMap<Name, u64>,
     digest: u32,
-    /// When a hint about a service was last given; bounded like `versions`.
-    hinted: FastMap<Name, TimeMs>,
+    /// When a newer slot map of a service was last reported. Bounded like `versions`.
+    reported: FastMap<Name, TimeMs>,
 }
 
 impl SlotMapVersions {
-    /// Takes a version in if it is higher than the one held.
+    /// Stores a version if it is higher than the one held. Returns whether it was stored.
     pub fn raise(&mut self, service: &Name, version: u64) -> bool {
         let held = self.versions.get(service).copied();
         let is_full = self.versions.len() >= MAX_SERVICES;
@@ -35,8 +37,9 @@
         true
     }
 
-    /// Whether a version is newer than the one held, and was not hinted at just now.
-    pub fn take_news(&mut self, service: &Name, version: u64, now: TimeMs) -> bool {
+    /// Whether a version is newer than the one held and none of the service was reported within
+    /// [`REPORT_PERIOD_MS`]. Records the report.
+    pub fn should_report(&mut self, service: &Name, version: u64, now: TimeMs) -> bool {
         if self
             .versions
             .get(service)
@@ -44,14 +47,14 @@
         {
             return false;
         }
-        let hinted = self.hinted.get(service);
-        if hinted.is_some_and(|hinted| now.since(*hinted) < NEWS_PERIOD_MS) {
+        let reported = self.reported.get(service);
+        if reported.is_some_and(|reported| now.since(*reported) < REPORT_PERIOD_MS) {
             return false;
         }
-        if self.hinted.len() >= MAX_SERVICES {
-            self.hinted.clear();
+        if self.reported.len() >= MAX_SERVICES {
+            self.reported.clear();
         }
-        self.hinted.insert(service.clone(), now);
+        self.reported.insert(service.clone(), now);
         true
     }
 
