--- a/src/claims/lease_manager.rs
+++ b/src/claims/lease_manager.rs
@@ -28,13 +28,13 @@
 use crate::core::Name;
 use crate::core::TimeMs;
 
-/// How many received transfers are remembered that have not appeared in the row yet.
+/// The largest number of received transfers that are kept, since a later row may assign their slots.
 const MAX_RECEIVED: usize = 16;
 /// The longest delay before the next read after a write conflict, a write without an answer, or a
 /// received transfer.
 const MAX_CONFLICT_BACKOFF_MS: u64 = 200;
 
-/// Identity of a node's process. It is fixed for the life of the process.
+/// Identity of a node's process. It does not change while the process runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Identity {
     pub node: Name,
--- a/src/claims/ledger.rs
+++ b/src/claims/ledger.rs
@@ -226,8 +226,8 @@
     }
 
     /// Guards against an attempt that a paused entry or a recovered connection delivers after its
-    /// key was forgotten: the call would run a second time. An attempt is fresh only if its sender
-    /// learned the stamp within the last two stamp periods.
+    /// key was removed: the call would run a second time. An attempt is fresh only if its sender
+    /// received the stamp within the last two stamp periods.
     fn is_fresh(&self, now: TimeMs, stamp: u64) -> bool {
         let present = self.stamp(now);
         let before = self.stamp(now - self.limits.stamp_period_ms());
@@ -253,12 +253,12 @@
             })
     }
 
-    /// The number of remembered keys.
+    /// The number of keys in the ledger.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Whether no key is remembered.
+    /// Whether the ledger contains no key.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
--- a/src/claims/ledger_entry.rs
+++ b/src/claims/ledger_entry.rs
@@ -98,7 +98,7 @@
     pub key: Name,
     pub fingerprint: u64,
     pub state: MovedState,
-    /// How long the receiver has to remember the key, counted from the receipt.
+    /// How long the receiver has to keep the key, counted from the receipt.
     pub keep_ms: u64,
     pub answer: Option<KeptAnswer>,
 }
--- a/src/claims/pause_detector.rs
+++ b/src/claims/pause_detector.rs
@@ -9,7 +9,7 @@
 const SETTLE_MS: u64 = 2_000;
 
 /// Guards against a keyed request that lay in the receive buffer of a paused entry for longer than
-/// the key's owner remembers the key. The caller sent it again through another entry, and the
+/// the key's owner keeps the key. The caller sent it again through another entry, and the
 /// paused entry would run it a second time. The paused entry cannot tell such a request from a new
 /// one.
 ///
--- a/src/claims/resend_limits.rs
+++ b/src/claims/resend_limits.rs
@@ -33,7 +33,7 @@
         self.window_ms + self.window_ms / 2
     }
 
-    /// How long the ledger remembers a key after its call ended.
+    /// How long the ledger keeps a key after its call ended.
     pub fn retention_ms(self) -> u64 {
         self.window_ms * 2
     }
--- a/src/claims/slot_lease.rs
+++ b/src/claims/slot_lease.rs
@@ -8,8 +8,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeldSlot {
     pub epoch: u64,
-    /// Keys that are not in the ledger are refused before this time, because a previous owner may
-    /// have run them.
+    /// Before this time, a key that is not in the ledger may start only with a call that is
+    /// certainly its first. A previous owner may have run any other key.
     pub grace_until: TimeMs,
     /// The ledger of the slot is being handed over, and no further key may start here.
     pub handing_over: bool,
--- a/tests/claims_lease_manager.rs
+++ b/tests/claims_lease_manager.rs
@@ -52,7 +52,8 @@
     }
 }
 
-/// A row in which the members have joined, know each other, and own the slots in turn.
+/// A row in which all members have joined, `knows` covers all of them, and the slots are assigned
+/// in turn.
 fn row_of(members: &[u64]) -> SlotMap {
     let mut map = SlotMap::empty();
     for instance in members {
@@ -262,7 +263,7 @@
     );
 }
 
-/// The table goes down. The owner may continue only while every member that it knows promises not
+/// The table goes down. The owner may continue only while every other listed member promises not
 /// to take over. A member that does not answer could be taking over, so the lease has to lapse
 /// then.
 #[test]
--- a/tests/claims_ledger.rs
+++ b/tests/claims_ledger.rs
@@ -122,7 +122,7 @@
 
 /// A caller sends an order through an entry that is paused with the attempt half sent, and then
 /// through another entry, where it runs. Much later the first entry resumes and its attempt
-/// arrives, after the key was forgotten. The order would be placed twice. The guard can recognise
+/// arrives, after the key was removed. The order would be placed twice. The guard can recognise
 /// the age of an attempt only by the stamp that it carries.
 #[test]
 fn an_attempt_with_an_old_or_missing_stamp_is_refused() {
--- a/tests/claims_simulation/hand_overs.rs
+++ b/tests/claims_simulation/hand_overs.rs
@@ -29,7 +29,7 @@
         }
     }
 
-    pub(super) fn on_promise_request(
+    pub(super) fn answer_promise_request(
         &mut self,
         index: usize,
         from: usize,
--- a/tests/claims_simulation/mod.rs
+++ b/tests/claims_simulation/mod.rs
@@ -342,7 +342,7 @@
                 confirmed,
             } => process.with_manager(|manager| manager.on_handed_over(now, transfer, confirmed)),
             Event::PromiseRequest { from, round, ask } => {
-                return self.on_promise_request(index, from, round, &ask);
+                return self.answer_promise_request(index, from, round, &ask);
             }
             Event::TransferArrived { from, transfer } => {
                 return self.on_transfer(index, from, transfer);
