--- a/src/membership/datagram.rs
+++ b/src/membership/datagram.rs
@@ -115,7 +115,7 @@
     Dead { node: Name, incarnation: u64 },
     /// A newer version of a service's slot map exists.
     SlotMap { service: Name, version: u64 },
-    /// Whether callers or backend servers use a route, as determined by the first node that could
-    /// tell.
+    /// Whether callers or backend servers use a route, as determined by the first node that found
+    /// out.
     RouteUse { route: Name, by: RouteOrigin },
 }
--- a/src/membership/probes.rs
+++ b/src/membership/probes.rs
@@ -7,7 +7,7 @@
 use crate::core::TimeMs;
 
 /// Maximum number of pending probes on behalf of others. Further requests are dropped, because the
-/// requester also asks other members.
+/// requester sends them to other members too.
 const MAX_RELAYS: usize = 64;
 /// After this time an answer is of no use to the requester.
 const RELAY_MS: u64 = 2_000;
@@ -26,7 +26,7 @@
     pub is_conclusive: bool,
     /// Whether the member is declared dead if this probe fails too.
     pub is_final: bool,
-    /// Whether other members have been asked for indirect probes.
+    /// Whether indirect probes have been requested from other members.
     pub indirect_requested: bool,
 }
 
@@ -47,8 +47,7 @@
 }
 
 impl Probes {
-    /// Starts a probe of `node`. Returns `None` if too many probes are pending, or one of `node`
-    /// is.
+    /// Starts a probe of `node`. Returns `None` if one is pending already, or too many others are.
     pub fn start(
         &mut self,
         node: Name,
--- a/src/membership/slot_map_versions.rs
+++ b/src/membership/slot_map_versions.rs
@@ -5,8 +5,8 @@
 use crate::core::Name;
 use crate::core::TimeMs;
 
-/// More services than any deployment has. Slot maps of further ones are read only from the
-/// platform's table service.
+/// More services than any deployment has. Versions of further ones are not spread by gossip. Their
+/// slot maps are left to the platform's table service.
 const MAX_SERVICES: usize = 4_096;
 /// Minimum time between two reports of a newer slot map of the same service, during which the map
 /// is fetched.
