--- a/src/membership/probing.rs
+++ b/src/membership/probing.rs
@@ -79,15 +79,15 @@
     /// Probes failure domains that have not answered recently. Each node does so with a probability
     /// that gives about two probes from the whole domain, whatever its number of nodes.
     pub(super) fn send_extra_probes(&mut self, now: TimeMs, actions: &mut Vec<Action>) {
-        let silent = self.watch.silent(now, EXTRA_PROBES_AFTER_MS);
-        if silent.is_empty() {
+        let unanswered = self.watch.silent(now, EXTRA_PROBES_AFTER_MS);
+        if unanswered.is_empty() {
             return;
         }
         let own = &self.own;
         let near = self.table.iter().filter(|member| is_near(member, own));
         let near = near.filter(|member| !member.is_tombstone()).count();
         let chance = EXTRA_PROBES / near.max(1) as f64;
-        for domain in silent {
+        for domain in unanswered {
             if domain == self.own.domain || self.rng.f64() >= chance {
                 continue;
             }
