--- a/src/claims/lease_manager.rs
+++ b/src/claims/lease_manager.rs
@@ -28,7 +28,7 @@
 use crate::core::Name;
 use crate::core::TimeMs;
 
-/// The largest number of received transfers that are kept, since a later row may assign their slots.
+/// The largest number of received transfers kept. A later row may assign their slots.
 const MAX_RECEIVED: usize = 16;
 /// The longest delay before the next read after a write conflict, a write without an answer, or a
 /// received transfer.
