--- a/src/admission/origins_by_domain.rs
+++ b/src/admission/origins_by_domain.rs
@@ -1,4 +1,5 @@
-//! Who uses a route, judged by the calls of the own failure domain where those tell.
+//! Who uses a route, judged by the calls of the guard's own failure domain if there are enough of
+//! them.
 
 use crate::admission::CallingService;
 use crate::admission::RouteOrigins;
@@ -6,88 +7,92 @@
 use crate::core::Name;
 use crate::core::RouteOrigin;
 
-/// A route is judged by the calls of the own domain while these are one in so many of all: requests of
-/// callers stay in their domain, so where hardly any call comes from it nobody uses the route there.
-const NEAR_PART: f32 = 12.0;
-/// Before so many calls have come it is not said that few come from the own domain.
-const ENOUGH_CALLS: f32 = 64.0;
-/// Counts are halved when they reach this, so that old calls are forgotten.
-const MOST_COUNTED: f32 = 1_024.0;
-/// Routes remembered at most; beyond it all are forgotten and learnt anew.
-const MOST_ROUTES: usize = 4_096;
+/// A route is judged by the calls of the own domain while these are at least one in this of all
+/// calls. Requests of callers stay in their domain, so a route with hardly any call from the own
+/// domain has no callers there.
+const OWN_DOMAIN_PART: f32 = 12.0;
+/// The share of calls from the own domain is not evaluated before this many calls.
+const MIN_CALLS: f32 = 64.0;
+/// Counts are halved when they reach this, so that old calls lose weight.
+const MAX_COUNT: f32 = 1_024.0;
+/// The most routes that are tracked. Beyond it, all are dropped and learnt anew.
+const MAX_ROUTES: usize = 4_096;
 
 /// A call as the guard sees it.
 #[derive(Clone, Copy, Debug)]
-pub struct HeardCall<'a> {
+pub struct ObservedCall<'a> {
     pub route: &'a Name,
-    /// The service beside which it began.
+    /// The service of the node that sent the call.
     pub caller_service: &'a Name,
-    /// It comes from the guard's own failure domain.
-    pub is_near: bool,
+    /// The call comes from the guard's own failure domain.
+    pub same_domain: bool,
     /// Who uses the route, as far as the sender knows.
-    pub believed: Option<RouteOrigin>,
+    pub reported_origin: Option<RouteOrigin>,
 }
 
-/// The services beside which calls may begin.
+/// The services whose nodes may send calls.
 #[derive(Clone, Copy, Debug)]
 pub struct CallingServices<'a> {
-    /// Those of the own domain.
-    pub near: &'a [CallingService],
-    /// Those of all domains.
+    /// Those of the guard's own failure domain.
+    pub own_domain: &'a [CallingService],
+    /// Those of all failure domains.
     pub all: &'a [CallingService],
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
-    near: f32,
+    own_domain: f32,
     all: f32,
 }
 
-/// Two judgements of each route, by the calls of the own domain and by all.
+/// Two classifications of each route: by the calls of the own failure domain, and by all calls.
 ///
-/// Guards against a route that is never learnt to be backend servers' own: the only target of a deep
-/// service stands in a domain without a node of the service that calls it, so no call comes from the
-/// own domain. It shows as callers' requests that are not refused for the sake of that service and fail
-/// at depth. It holds because which calls count follows from where calls come from.
+/// Guards against a route that is used by backend servers and is never classified as such. The only
+/// target of a deep service may be in a domain without a node of the service that calls it, so no
+/// call comes from the own domain. Callers' requests are then not refused on behalf of that
+/// service, and fail deep in the chain. A route with hardly any call from the own domain is
+/// therefore classified by all calls.
 #[derive(Clone, Debug, Default)]
 pub struct OriginsByDomain {
-    near: RouteOrigins,
+    own_domain: RouteOrigins,
     all: RouteOrigins,
     counts: FastMap<Name, Counts>,
 }
 
 impl OriginsByDomain {
-    /// Counts a call, and answers what is known of its route.
+    /// Counts a call, and returns what is known of its route.
     pub fn note(
         &mut self,
-        call: HeardCall<'_>,
+        call: ObservedCall<'_>,
         services: CallingServices<'_>,
     ) -> Option<RouteOrigin> {
         let (route, service) = (call.route, call.caller_service);
-        self.all.note(route, service, call.believed, services.all);
-        if call.is_near {
-            self.near.note(route, service, call.believed, services.near);
+        self.all
+            .note(route, service, call.reported_origin, services.all);
+        if call.same_domain {
+            self.own_domain
+                .note(route, service, call.reported_origin, services.own_domain);
         }
-        let origins = if self.comes_from_afar(call) {
+        let origins = if self.is_mostly_remote(call) {
             &self.all
         } else {
-            &self.near
+            &self.own_domain
         };
-        origins.of(route).or(call.believed)
+        origins.of(route).or(call.reported_origin)
     }
 
-    /// Counts the call, and answers whether hardly any call on its route comes from the own domain.
-    fn comes_from_afar(&mut self, call: HeardCall<'_>) -> bool {
-        if self.counts.len() >= MOST_ROUTES && !self.counts.contains_key(call.route) {
+    /// Counts the call, and returns whether hardly any call on its route comes from the own domain.
+    fn is_mostly_remote(&mut self, call: ObservedCall<'_>) -> bool {
+        if self.counts.len() >= MAX_ROUTES && !self.counts.contains_key(call.route) {
             self.counts.clear();
         }
         let counts = self.counts.entry(call.route.clone()).or_default();
         counts.all += 1.0;
-        counts.near += f32::from(u8::from(call.is_near));
-        if counts.all >= MOST_COUNTED {
+        counts.own_domain += f32::from(u8::from(call.same_domain));
+        if counts.all >= MAX_COUNT {
             counts.all /= 2.0;
-            counts.near /= 2.0;
+            counts.own_domain /= 2.0;
         }
-        counts.all >= ENOUGH_CALLS && counts.near * NEAR_PART < counts.all
+        counts.all >= MIN_CALLS && counts.own_domain * OWN_DOMAIN_PART < counts.all
     }
 }
--- a/src/desired/route_table.rs
+++ b/src/desired/route_table.rs
@@ -1,4 +1,4 @@
-//! Finding the route of a request.
+//! Looks up the route of a request.
 
 use std::sync::Arc;
 
@@ -8,42 +8,42 @@
 use crate::desired::Route;
 use crate::desired::Split;
 
-/// A route together with the division of its requests.
+/// A route and the weighted distribution of its requests.
 #[derive(Debug)]
-pub struct RouteInForce {
+pub struct ActiveRoute {
     pub route: Route,
     pub split: Split,
 }
 
 /// The routes of one desired state, found by host and longest prefix.
 ///
-/// Prefixes end with a slash, so a path has as many candidates as it has slashes: look-ups take as
-/// long with thousands of routes as with one.
+/// Prefixes end with a slash, so a path has as many candidates as slashes. A look-up takes as long
+/// with thousands of routes as with one.
 #[derive(Debug, Default)]
 pub struct RouteTable {
-    by_host: FastMap<Name, FastMap<Name, Arc<RouteInForce>>>,
+    by_host: FastMap<Name, FastMap<Name, Arc<ActiveRoute>>>,
 }
 
 impl RouteTable {
-    /// Prepares the routes of a desired state.
+    /// Indexes the routes of a desired state.
     pub fn new(state: &DesiredState) -> Self {
-        let mut by_host: FastMap<Name, FastMap<Name, Arc<RouteInForce>>> = FastMap::default();
+        let mut by_host: FastMap<Name, FastMap<Name, Arc<ActiveRoute>>> = FastMap::default();
         for route in &state.routes {
-            let in_force = RouteInForce {
+            let active = ActiveRoute {
                 split: Split::new(route.destinations.clone()),
                 route: route.clone(),
             };
             by_host
                 .entry(route.host.clone())
                 .or_default()
-                .insert(route.prefix.clone(), Arc::new(in_force));
+                .insert(route.prefix.clone(), Arc::new(active));
         }
         Self { by_host }
     }
 
-    /// The route with the longest prefix that begins the path. `host` may carry a port; `path` has
-    /// no query.
-    pub fn find(&self, host: &str, path: &str) -> Option<&Arc<RouteInForce>> {
+    /// The route with the longest prefix of the path. `host` may include a port; `path` has no
+    /// query.
+    pub fn find(&self, host: &str, path: &str) -> Option<&Arc<ActiveRoute>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = match self.by_host.get(name) {
             Some(routes) => routes,
--- a/src/membership/member.rs
+++ b/src/membership/member.rs
@@ -1,4 +1,4 @@
-//! What is known of one member.
+//! The state that is held about one member.
 
 use std::sync::Arc;
 
@@ -6,63 +6,64 @@
 use crate::core::TargetState;
 use crate::core::TimeMs;
 
-/// What others say about a member, on top of what it says of itself.
+/// The state of a member according to failure detection, in addition to the state that it publishes
+/// itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
-    /// Nobody doubts it.
-    Trusted,
-    /// It did not answer; the suspicion began at this time of the local clock. It is first hand
-    /// when a probe of this node's own failed.
-    Suspected { since: TimeMs, first_hand: bool },
-    /// It is taken to be gone.
+pub enum Liveness {
+    /// The member is not under suspicion.
+    Alive,
+    /// A probe was not answered. `since` is the start of the suspicion on the local clock.
+    /// `is_local` is set if one of this node's own probes failed.
+    Suspected { since: TimeMs, is_local: bool },
+    /// The member is considered dead.
     Dead,
 }
 
 /// One member as this node holds it.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// What the node said of itself last.
-    pub own: Target,
-    pub standing: Standing,
-    /// When this record last changed here.
+    /// The last record that the member published of itself.
+    pub record: Target,
+    pub liveness: Liveness,
+    /// When this entry last changed here.
     pub changed: TimeMs,
-    /// The record as it is published: `own` with the state that follows from the standing.
+    /// The record as it is published here: `record` with the state that results from the liveness.
     pub published: Arc<Target>,
 }
 
 impl Member {
-    /// A trusted member from what it says of itself.
-    pub fn new(own: Target, now: TimeMs) -> Self {
+    /// A member that is alive, with the record that it published.
+    pub fn new(record: Target, now: TimeMs) -> Self {
         Self {
-            published: Arc::new(own.clone()),
-            own,
-            standing: Standing::Trusted,
+            published: Arc::new(record.clone()),
+            record,
+            liveness: Liveness::Alive,
             changed: now,
         }
     }
 
-    /// Gone for good, as far as is known: dead, or departed by its own word.
+    /// Whether the member is dead or has left.
     pub fn is_tombstone(&self) -> bool {
-        self.standing == Standing::Dead || self.own.state == TargetState::Left
+        self.liveness == Liveness::Dead || self.record.state == TargetState::Left
     }
 
-    /// Changes the standing and what is published with it.
-    pub fn set_standing(&mut self, standing: Standing, now: TimeMs) {
-        self.standing = standing;
+    /// Sets the liveness and updates the published record.
+    pub fn set_liveness(&mut self, liveness: Liveness, now: TimeMs) {
+        self.liveness = liveness;
         self.changed = now;
-        let mut published = self.own.clone();
+        let mut published = self.record.clone();
         published.state = self.effective_state();
         self.published = Arc::new(published);
     }
 
-    /// The state that others should act on. A suspect that said it drains is still draining:
-    /// suspicion must not make it look as if it took work.
+    /// The state on which others should act. A suspected member that announced a drain is still
+    /// draining: the suspicion must not make it look as if it accepted work.
     fn effective_state(&self) -> TargetState {
-        match (self.standing, self.own.state) {
+        match (self.liveness, self.record.state) {
             (_, TargetState::Left) => TargetState::Left,
-            (Standing::Dead, _) => TargetState::Dead,
-            (Standing::Suspected { .. }, TargetState::Up) => TargetState::Suspect,
-            (_, own) => own,
+            (Liveness::Dead, _) => TargetState::Dead,
+            (Liveness::Suspected { .. }, TargetState::Up) => TargetState::Suspect,
+            (_, reported) => reported,
         }
     }
 }
--- a/src/node/keyed_forward.rs
+++ b/src/node/keyed_forward.rs
@@ -62,7 +62,7 @@
 ) -> Result<Answer, Refusal> {
     let claims = node.inputs.claims.as_ref();
     let now = node.inputs.clock.now();
-    if claims.is_some_and(|claims| claims.is_pause_suspected(now)) {
+    if claims.is_some_and(|claims| claims.may_predate_pause(now)) {
         return Err(no_word(RefusalReason::StaleAttempt));
     }
     let sends_until = call.arrived_at + sends_ms(node);
@@ -110,7 +110,7 @@
     let in_force = node.inputs.in_force.load();
     let known = in_force.as_ref().as_ref();
     let window_ms = known.map_or(0, |known| known.preset.resend_window_ms);
-    ResendLimits::new(window_ms).entry_sends_ms()
+    ResendLimits::new(window_ms).attempt_window_ms()
 }
 
 /// Where a call is sent again.
@@ -215,7 +215,7 @@
     let hint = node.slot_router().route(&call.service, key);
     call.owner_stamp = hint.as_ref().map_or(0, |hint| hint.stamp);
     let Some(hint) = hint else {
-        return choose(node, call, &search.asked()).or_else(|| choose(node, call, &[]));
+        return choose(node, call, &search.tried()).or_else(|| choose(node, call, &[]));
     };
     if !search.may_be_owner(&hint.node) {
         return None;
@@ -232,7 +232,7 @@
             // Another guard knows of a take-over; if it names the same owner, that is the end.
             node.slot_router().forget(&call.service, key);
             search.note_unreachable(hint.node);
-            choose(node, call, &search.asked())
+            choose(node, call, &search.tried())
         }
     }
 }
--- a/src/node/keyed_guard.rs
+++ b/src/node/keyed_guard.rs
@@ -8,10 +8,10 @@
 
 use tokio::sync::oneshot;
 
-use crate::claims::Admitted;
+use crate::claims::KeyedAdmission;
 use crate::claims::KeyedCall;
+use crate::claims::KeyedCallOutcome;
 use crate::claims::RunTicket;
-use crate::claims::Settled;
 use crate::claims::SharedLedger;
 use crate::control::KeptAnswer;
 use crate::core::Name;
@@ -68,26 +68,26 @@
     let left_ms = call.deadline.since(node.inputs.clock.now());
     let left = Duration::from_millis(left_ms);
     match admitted(node, &call, &key) {
-        Admitted::Run(ticket) => {
+        KeyedAdmission::Run(ticket) => {
             let told = start(node, call, ticket);
             within(left, told).await?
         }
-        Admitted::Join(told) => {
+        KeyedAdmission::Join(told) => {
             node.metrics.joined_calls.inc();
             answer_of(within(left, told).await?)
         }
-        Admitted::Answer(kept) => {
+        KeyedAdmission::Answer(kept) => {
             node.metrics.repeated_answers.inc();
             Ok(kept_answer::answer_of(&kept))
         }
-        Admitted::Refuse(refusal) => Err(refusal),
+        KeyedAdmission::Refuse(refusal) => Err(refusal),
     }
 }
 
-fn admitted(node: &Node, call: &GuardedCall, key: &Name) -> Admitted {
+fn admitted(node: &Node, call: &GuardedCall, key: &Name) -> KeyedAdmission {
     let Some(ledger) = ledger(node) else {
         let reason = RefusalReason::NotOwner;
-        return Admitted::Refuse(Refusal::unknown(reason, NO_LEDGER_RETRY_MS));
+        return KeyedAdmission::Refuse(Refusal::unknown(reason, NO_LEDGER_RETRY_MS));
     };
     ledger.begin(&KeyedCall {
         key,
@@ -118,13 +118,13 @@
     told
 }
 
-fn settled(end: &Result<Answer, Refusal>) -> Settled {
+fn settled(end: &Result<Answer, Refusal>) -> KeyedCallOutcome {
     match end {
-        Ok(answer) => Settled::Ran(to_kept(answer).map(Arc::new)),
+        Ok(answer) => KeyedCallOutcome::Ran(to_kept(answer).map(Arc::new)),
         Err(refusal) => match refusal.run_state {
-            RunState::NotRun => Settled::NotStarted(*refusal),
-            RunState::Ran => Settled::Ran(None),
-            RunState::Unknown => Settled::MayHaveRun,
+            RunState::NotRun => KeyedCallOutcome::NotStarted(*refusal),
+            RunState::Ran => KeyedCallOutcome::Ran(None),
+            RunState::Unknown => KeyedCallOutcome::MayHaveRun,
         },
     }
 }
@@ -137,16 +137,16 @@
     }
 }
 
-fn answer_of(settled: Settled) -> Result<Answer, Refusal> {
+fn answer_of(settled: KeyedCallOutcome) -> Result<Answer, Refusal> {
     match settled {
-        Settled::Ran(Some(kept)) => Ok(kept_answer::answer_of(&kept)),
-        Settled::Ran(None) => Err(Refusal {
+        KeyedCallOutcome::Ran(Some(kept)) => Ok(kept_answer::answer_of(&kept)),
+        KeyedCallOutcome::Ran(None) => Err(Refusal {
             reason: RefusalReason::AlreadyRan,
             run_state: RunState::Ran,
             retry_after_ms: 0,
         }),
-        Settled::MayHaveRun => Err(Refusal::unknown(RefusalReason::AlreadyRan, 0)),
-        Settled::NotStarted(refusal) => Err(refusal),
+        KeyedCallOutcome::MayHaveRun => Err(Refusal::unknown(RefusalReason::AlreadyRan, 0)),
+        KeyedCallOutcome::NotStarted(refusal) => Err(refusal),
     }
 }
 
--- a/src/node/poison_guard.rs
+++ b/src/node/poison_guard.rs
@@ -18,7 +18,7 @@
 use crate::node::live_calls::LiveCall;
 use crate::poison::CrashId;
 use crate::poison::PoisonSettings;
-use crate::poison::Running;
+use crate::poison::RunningRequest;
 use crate::poison::Suspects;
 use crate::poison::Verdict;
 
@@ -32,7 +32,7 @@
     id: CrashId,
     /// When it was noticed, in microseconds: what was sent before broke in it.
     at_us: u64,
-    running: Vec<Running>,
+    running: Vec<RunningRequest>,
 }
 
 /// The suspects of the local service.
@@ -63,7 +63,7 @@
 
     pub(super) fn note_success(&self, live: &LiveCall) {
         let mut suspects = self.lock();
-        if !suspects.is_empty() && suspects.note_success(live.fingerprint) {
+        if !suspects.is_empty() && suspects.record_completion(live.fingerprint) {
             log::info!("poison: cleared, fingerprint={:016x}", live.fingerprint);
         }
     }
@@ -114,7 +114,7 @@
         running.len()
     );
     let now = node.inputs.clock.now();
-    let report = poison.lock().note_crash(now, id, running);
+    let report = poison.lock().record_crash(now, id, running);
     tell_targets(node, report).await;
 }
 
@@ -122,7 +122,7 @@
     node.inputs.local.borrow().state() == TargetState::Starting
 }
 
-fn new_crash(node: &Node, this: Running) -> LastCrash {
+fn new_crash(node: &Node, this: RunningRequest) -> LastCrash {
     let mut running = node.live_calls.running();
     if !running.contains(&this) {
         running.push(this);
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,20 +1,20 @@
-//! Which target gets a call: first-hand figures of each target and the choice among them.
+//! Target selection: statistics of each target and the choice among them.
 
-mod domain_reach;
-mod failing_share;
+mod domain_reachability;
+mod failure_rate;
 mod owner_search;
 mod picker;
 mod smoothed;
 mod target_pressure;
 mod target_stats;
 
-pub use domain_reach::DomainReach;
-pub use failing_share::FailingShare;
+pub use domain_reachability::DomainReachability;
+pub use failure_rate::FailureRate;
 pub use owner_search::OwnerSearch;
-pub use picker::Choice;
 pub use picker::Pick;
+pub use picker::PickContext;
 pub use picker::PickerConf;
-pub use picker::Spill;
+pub use picker::SpillPolicy;
 pub use picker::pick;
 pub use smoothed::smoothed;
 pub use target_pressure::TargetPressure;
--- a/src/traffic/allowances.rs
+++ b/src/traffic/allowances.rs
@@ -10,11 +10,11 @@
 use crate::accounts::AccountUse;
 use crate::accounts::Allowance;
 use crate::accounts::AllowanceBound;
-use crate::accounts::AllowanceKeeper;
+use crate::accounts::AllowanceCoordinator;
+use crate::accounts::AllowanceExceeded;
 use crate::accounts::AllowanceMessage;
-use crate::accounts::Beyond;
 use crate::accounts::EntryAllowances;
-use crate::accounts::Report;
+use crate::accounts::UsageReport;
 use crate::core::FastMap;
 use crate::core::Name;
 use crate::core::TimeMs;
@@ -30,7 +30,7 @@
 
 #[derive(Debug)]
 struct CoordinatorState {
-    coordinator: AllowanceKeeper,
+    coordinator: AllowanceCoordinator,
     fleet: FleetWatch,
     /// The version of the desired state whose allowances are in use.
     version: u64,
@@ -65,7 +65,7 @@
             nodes: AtomicUsize::new(0),
             entry: Mutex::new(EntryAllowances::new(bound, is_first_start, process, now)),
             coordinator_state: Mutex::new(CoordinatorState {
-                coordinator: AllowanceKeeper::new(is_first_start, now),
+                coordinator: AllowanceCoordinator::new(is_first_start, now),
                 fleet: FleetWatch::default(),
                 version: 0,
                 last_domain_exchange: now,
@@ -78,21 +78,21 @@
         self.entry().set_bound(bound);
     }
 
-    /// Decides whether to admit a request, and counts it; see [`EntryAllowances::ask`].
+    /// Decides whether to admit a request, and counts it; see [`EntryAllowances::admit`].
     pub(super) fn ask(
         &self,
         now: TimeMs,
         account: AccountId,
         allowance: Allowance,
-    ) -> Result<(), Beyond> {
+    ) -> Result<(), AllowanceExceeded> {
         let nodes = self.nodes.load(Ordering::Relaxed);
         let random = fastrand::f32();
-        self.entry().ask(now, account, allowance, nodes, random)
+        self.entry().admit(now, account, allowance, nodes, random)
     }
 
     /// Refunds an admitted request that reached no backend server.
     pub(super) fn refund(&self, account: AccountId) {
-        self.entry().give_back(account);
+        self.entry().refund(account);
     }
 
     /// The usage of each account at this node; see [`EntryAllowances::uses`].
@@ -102,7 +102,7 @@
 
     /// When a coordinator last replied to a report.
     pub(super) fn last_reply(&self) -> Option<TimeMs> {
-        self.entry().worded()
+        self.entry().last_reply_at()
     }
 
     /// Performs the work that is due, and returns the messages to send.
@@ -133,8 +133,8 @@
     ) -> Option<PeerMessage> {
         match message {
             AllowanceMessage::Report(report) => self.handle_report(now, from, &report),
-            AllowanceMessage::Word(reply) => {
-                self.entry().take_word(now, &reply);
+            AllowanceMessage::Reply(reply) => {
+                self.entry().apply_reply(now, &reply);
                 None
             }
             AllowanceMessage::Domain(usage) => {
@@ -142,7 +142,7 @@
                 let mut coordinator_state = self.coordinator_state();
                 coordinator_state
                     .coordinator
-                    .take_domain(now, &sender.domain, &usage);
+                    .apply_domain_demands(now, &sender.domain, &usage);
                 None
             }
         }
@@ -170,37 +170,37 @@
         &self,
         now: TimeMs,
         coordinators: &[Name],
-        report: Report,
+        report: UsageReport,
         outgoing: &mut Vec<PeerMessage>,
     ) {
         let has_recent_reply = self
             .last_reply()
-            .is_some_and(|at| now.since(at) < EntryAllowances::WORD_MISSED_MS);
+            .is_some_and(|at| now.since(at) < EntryAllowances::REPLY_MISSED_MS);
         for (order, coordinator) in coordinators.iter().enumerate() {
-            let report = Report {
-                wants_word: order == 0 || !has_recent_reply,
+            let report = UsageReport {
+                wants_reply: order == 0 || !has_recent_reply,
                 ..report.clone()
             };
             if *coordinator != self.node {
                 outgoing.push((coordinator.clone(), AllowanceMessage::Report(report)));
                 continue;
             }
-            let reply = self
-                .coordinator_state()
-                .coordinator
-                .take_report(now, coordinator, &report);
+            let reply =
+                self.coordinator_state()
+                    .coordinator
+                    .apply_report(now, coordinator, &report);
             if let Some(reply) = reply {
-                self.entry().take_word(now, &reply);
+                self.entry().apply_reply(now, &reply);
             }
         }
     }
 
-    fn handle_report(&self, now: TimeMs, from: &Name, report: &Report) -> Option<PeerMessage> {
+    fn handle_report(&self, now: TimeMs, from: &Name, report: &UsageReport) -> Option<PeerMessage> {
         let reply = self
             .coordinator_state()
             .coordinator
-            .take_report(now, from, report)?;
-        Some((from.clone(), AllowanceMessage::Word(reply)))
+            .apply_report(now, from, report)?;
+        Some((from.clone(), AllowanceMessage::Reply(reply)))
     }
 
     fn send_to_other_domains(&self, now: TimeMs, outgoing: &mut Vec<PeerMessage>) {
@@ -209,7 +209,7 @@
             return;
         }
         coordinator_state.last_domain_exchange = now;
-        let usage = coordinator_state.coordinator.tell_domains(now);
+        let usage = coordinator_state.coordinator.domain_demands(now);
         for coordinator in coordinator_state.fleet.other_coordinators(&self.domain) {
             outgoing.push((coordinator.clone(), AllowanceMessage::Domain(usage.clone())));
         }
--- a/src/traffic/backend_answer.rs
+++ b/src/traffic/backend_answer.rs
@@ -7,8 +7,8 @@
 use hyper::body::Incoming;
 
 use crate::adapters::WholeAnswer;
+use crate::admission::AdvertisedRate;
 use crate::admission::RateChange;
-use crate::admission::RateWord;
 use crate::core::Name;
 use crate::core::Refusal;
 use crate::core::RefusalReason;
@@ -92,7 +92,7 @@
     advertisements
         .said()
         .for_each(|word| traffic.metrics.count_word(word));
-    if advertisements.rate == RateWord::Malformed {
+    if advertisements.rate == AdvertisedRate::Malformed {
         log::warn!("local: malformed rate limit, incarnation={incarnation}");
     }
     let now = traffic.clock.now();
--- a/src/traffic/desired_task.rs
+++ b/src/traffic/desired_task.rs
@@ -8,9 +8,9 @@
 use tokio::time::sleep;
 
 use crate::desired::DesiredState;
-use crate::desired::WATCH_LOOK_MS;
-use crate::desired::WATCH_PAUSE_MS;
-use crate::desired::WATCH_WAIT_MS;
+use crate::desired::WATCH_CHECK_INTERVAL_MS;
+use crate::desired::WATCH_LONG_POLL_MS;
+use crate::desired::WATCH_MAX_BACKOFF_MS;
 use crate::errors::DesiredStateError;
 use crate::store::RowChange;
 use crate::store::RowName;
@@ -64,7 +64,7 @@
         let mut was_reached = true;
         loop {
             self.wait_until_polling().await;
-            match watch.next(WATCH_WAIT_MS).await {
+            match watch.next(WATCH_LONG_POLL_MS).await {
                 Ok(changes) => {
                     pause.reset();
                     self.reached.set(1);
@@ -80,7 +80,7 @@
                         log::warn!("store: lost, error={error}");
                     }
                     was_reached = false;
-                    let pause_ms = pause.up_to(WATCH_PAUSE_MS, fastrand::f64());
+                    let pause_ms = pause.up_to(WATCH_MAX_BACKOFF_MS, fastrand::f64());
                     sleep(Duration::from_millis(pause_ms)).await;
                 }
             }
@@ -131,7 +131,7 @@
 
     async fn wait_until_polling(&self) {
         while !(self.should_poll)() {
-            let poll = sleep(Duration::from_millis(WATCH_LOOK_MS));
+            let poll = sleep(Duration::from_millis(WATCH_CHECK_INTERVAL_MS));
             tokio::select! {
                 () = poll => {}
                 () = self.poll_now.notified() => return,
--- a/src/traffic/entry.rs
+++ b/src/traffic/entry.rs
@@ -23,7 +23,7 @@
 use crate::core::RefusalReason;
 use crate::core::RouteOrigin;
 use crate::core::RunState;
-use crate::desired::RouteInForce;
+use crate::desired::ActiveRoute;
 use crate::errors::SendError;
 use crate::traffic::InForce;
 use crate::traffic::call::Call;
@@ -160,11 +160,11 @@
     let route = &found.route.name;
     let caller = identify_caller(traffic, &in_force, &found, &parts.headers);
     let caller = caller.map_err(Rejected::Refusal)?;
-    let is_certain_origin = !matches!(caller, Caller::Anybody);
+    let is_certain_origin = !matches!(caller, Caller::Anonymous);
     let origin = match &caller {
         Caller::Account(..) => Some(RouteOrigin::Callers),
         Caller::Backend => Some(RouteOrigin::Backends),
-        Caller::Anybody => traffic.origins.origin_of(route),
+        Caller::Anonymous => traffic.origins.origin_of(route),
     };
     let class = class(&in_force.ranking, &found, origin, &caller);
     let priority = priority(traffic, class, &parts.headers);
@@ -208,7 +208,7 @@
     in_force: &'a InForce,
     headers: &HeaderMap,
     path: &str,
-) -> Option<&'a Arc<RouteInForce>> {
+) -> Option<&'a Arc<ActiveRoute>> {
     let host = headers.get(HOST)?.to_str().ok()?;
     in_force.routes.find(host, path)
 }
--- a/src/traffic/entry_account.rs
+++ b/src/traffic/entry_account.rs
@@ -5,8 +5,8 @@
 
 use crate::accounts::AccountId;
 use crate::accounts::Caller;
-use crate::accounts::Identity;
-use crate::accounts::Presented;
+use crate::accounts::IdentityInputs;
+use crate::accounts::PresentedKey;
 use crate::accounts::Ranking;
 use crate::accounts::identify;
 use crate::core::Priority;
@@ -14,7 +14,7 @@
 use crate::core::RefusalReason;
 use crate::core::RequestId;
 use crate::core::RouteOrigin;
-use crate::desired::RouteInForce;
+use crate::desired::ActiveRoute;
 use crate::traffic::HeaderNames;
 use crate::traffic::InForce;
 use crate::traffic::call::Call;
@@ -32,14 +32,14 @@
 pub(super) fn identify_caller(
     traffic: &Traffic,
     in_force: &InForce,
-    found: &RouteInForce,
+    found: &ActiveRoute,
     headers: &HeaderMap,
 ) -> Result<Caller, Refusal> {
     let route = &found.route;
-    let identity = Identity {
+    let identity = IdentityInputs {
         accounts: in_force.accounts.as_ref(),
         route_is_public: route.is_public,
-        route_is_callers: traffic.keyed_routes.contains(&route.name),
+        route_saw_valid_key: traffic.keyed_routes.contains(&route.name),
         presented: presented(headers, &traffic.settings.header_names.account_key),
     };
     let caller = identify(identity).map_err(key_refusal)?;
@@ -52,12 +52,12 @@
     Ok(caller)
 }
 
-fn presented<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Presented<'a> {
+fn presented<'a>(headers: &'a HeaderMap, name: &HeaderName) -> PresentedKey<'a> {
     let mut keys = headers.get_all(name).iter();
     match (keys.next(), keys.next()) {
-        (None, _) => Presented::None,
-        (Some(key), None) => Presented::One(key.as_bytes()),
-        (Some(_), Some(_)) => Presented::Several,
+        (None, _) => PresentedKey::None,
+        (Some(key), None) => PresentedKey::One(key.as_bytes()),
+        (Some(_), Some(_)) => PresentedKey::Several,
     }
 }
 
@@ -83,7 +83,7 @@
 /// account and route.
 pub(super) fn class(
     ranking: &Ranking,
-    found: &RouteInForce,
+    found: &ActiveRoute,
     origin: Option<RouteOrigin>,
     caller: &Caller,
 ) -> u8 {
@@ -92,7 +92,7 @@
     }
     let account_rank = match caller {
         Caller::Account(account, _) => account.rank,
-        Caller::Backend | Caller::Anybody => None,
+        Caller::Backend | Caller::Anonymous => None,
     };
     let place = ranking.place(account_rank, found.route.rank);
     place.saturating_add(BACKEND_CALL_CLASS + 1)
--- a/src/traffic/fleet_watch.rs
+++ b/src/traffic/fleet_watch.rs
@@ -14,7 +14,7 @@
 const COORDINATORS_PER_DOMAIN: usize = 2;
 /// A dead node is counted for this time, in milliseconds: it may be alive on the other side of a
 /// network partition and still use its share.
-const DEAD_COUNTED_MS: u64 = EntryAllowances::SHARE_HOLDS_MS;
+const DEAD_COUNTED_MS: u64 = EntryAllowances::SHARE_VALID_MS;
 
 /// The nodes and coordinators as of the last view.
 #[derive(Clone, Debug, Default)]
--- a/src/traffic/guard.rs
+++ b/src/traffic/guard.rs
@@ -18,8 +18,8 @@
 
 use crate::adapters::WholeAnswer;
 use crate::adapters::read_whole;
+use crate::admission::OfferedCall;
 use crate::admission::Pressure;
-use crate::admission::QueuedCall;
 use crate::core::Name;
 use crate::core::Refusal;
 use crate::core::RefusalReason;
@@ -200,7 +200,7 @@
 }
 
 /// Refuses a retry if the budget of a downstream service is spent; see
-/// [`crate::retry::WindowBudget::has_left`].
+/// [`crate::retry::WindowBudget::has_remaining`].
 fn refuse_retry(traffic: &Traffic, call: &GuardedCall) -> Option<Refusal> {
     if call.hop.repeated_permille < CERTAIN_RETRY_PERMILLE {
         return None;
@@ -223,7 +223,7 @@
         return BackendEnd::not_sent(refusal);
     }
     let now = traffic.clock.now();
-    let queued = QueuedCall {
+    let queued = OfferedCall {
         ticket: 0,
         priority: call.hop.priority,
         depth: 0,
--- a/src/traffic/local_server.rs
+++ b/src/traffic/local_server.rs
@@ -2,9 +2,9 @@
 //!
 //! No I/O: reports and the outcomes of connections are passed in, each with its time.
 
-use crate::admission::NamedRate;
+use crate::admission::AdvertisedRate;
 use crate::admission::RateChange;
-use crate::admission::RateWord;
+use crate::admission::RateLimitState;
 use crate::core::Name;
 use crate::core::TargetState;
 use crate::core::TimeMs;
@@ -38,7 +38,7 @@
     is_down: bool,
     /// The time of its last new report, or of the answer that named it.
     last_contact: TimeMs,
-    rate: NamedRate,
+    rate: RateLimitState,
 }
 
 /// Whether an input changed what is known of the local backend server.
@@ -100,7 +100,7 @@
             is_leaving: false,
             is_down: false,
             last_contact: now,
-            rate: NamedRate::default(),
+            rate: RateLimitState::default(),
         });
         LocalChange::Changed
     }
@@ -220,7 +220,7 @@
             is_leaving: report.state != ReportedState::Ready,
             is_down: false,
             last_contact: now,
-            rate: NamedRate::default(),
+            rate: RateLimitState::default(),
         });
     }
 
@@ -242,7 +242,7 @@
         let started_unix_ms = current.started_unix_ms.take();
         current.sequence = 0;
         current.last_contact = now;
-        current.rate = NamedRate::default();
+        current.rate = RateLimitState::default();
         current.is_leaving = self.gone.contains(actual);
         self.mark_gone(&before, started_unix_ms);
         LocalChange::Changed
@@ -266,7 +266,7 @@
         now: TimeMs,
         incarnation: &Name,
         sent_at: TimeMs,
-        advertisement: RateWord,
+        advertisement: AdvertisedRate,
     ) -> RateChange {
         let current = self.current.as_mut();
         match current.filter(|current| current.incarnation == *incarnation) {
@@ -300,7 +300,7 @@
             .zip(advertisement.rate_milli)
             .map(|(current, rate_milli)| {
                 let per_s = rate_milli as f64 / MILLI;
-                current.rate.take_over(now, per_s)
+                current.rate.adopt(now, per_s)
             });
         match change {
             None | Some(RateChange::Unchanged) => leaving_change,
--- a/src/traffic/maintenance.rs
+++ b/src/traffic/maintenance.rs
@@ -21,7 +21,7 @@
         .max_downstream_permille(traffic.clock.now(), &running);
     traffic
         .gate
-        .set_deep_pressed(highest >= BOTTLENECK_PERMILLE);
+        .set_downstream_overloaded(highest >= BOTTLENECK_PERMILLE);
 }
 
 /// Logs once a second the overloaded services for which requests are refused, and the queue of the
--- a/src/traffic/poison_watch.rs
+++ b/src/traffic/poison_watch.rs
@@ -11,7 +11,7 @@
 use tokio::sync::mpsc::Sender;
 
 use crate::control::ControlHandle;
-use crate::control::Suspects as SuspectsNews;
+use crate::control::Suspects as SuspectsReport;
 use crate::core::Clock;
 use crate::core::RequestId;
 use crate::core::fingerprint_of;
@@ -19,7 +19,7 @@
 use crate::poison::CrashId;
 use crate::poison::CrashReport;
 use crate::poison::PoisonSettings;
-use crate::poison::Running;
+use crate::poison::RunningRequest;
 use crate::poison::Suspects;
 use crate::poison::Verdict;
 use crate::traffic::call::Message;
@@ -63,7 +63,7 @@
     }
 
     /// Whether a call may run.
-    pub(super) fn is_allowed(&self, call: &Running) -> bool {
+    pub(super) fn is_allowed(&self, call: &RunningRequest) -> bool {
         let now = self.clock.now();
         let state = self.lock();
         let (request, fingerprint) = (call.request, call.fingerprint);
@@ -71,17 +71,17 @@
     }
 
     /// Records a call that succeeded.
-    pub(super) fn record_success(&self, call: &Running) {
+    pub(super) fn record_success(&self, call: &RunningRequest) {
         let mut state = self.lock();
-        if !state.suspects.is_empty() && state.suspects.note_success(call.fingerprint) {
+        if !state.suspects.is_empty() && state.suspects.record_completion(call.fingerprint) {
             log::info!("poison: cleared, fingerprint={:016x}", call.fingerprint);
         }
     }
 
     /// Records a call whose connection to the backend server broke.
-    pub(super) fn record_broken(&self, call: Running) {
+    pub(super) fn record_broken(&self, call: RunningRequest) {
         let now = self.clock.now();
-        self.lock().broken.note(now, call);
+        self.lock().broken.record(now, call);
     }
 
     /// Records the end of the backend server, for any reason: calls that broke just before were
@@ -97,7 +97,9 @@
             "poison: the backend server crashed, running={}",
             running.len()
         );
-        let report = state.suspects.note_crash(now, CrashId::random(), &running);
+        let report = state
+            .suspects
+            .record_crash(now, CrashId::random(), &running);
         if self.reports.try_send(report).is_err() {
             log::warn!("poison: crash report dropped because the queue is full");
         }
@@ -118,10 +120,10 @@
 ///
 /// A caller that retries a poisoned request uses another identifier. So the fingerprint covers the
 /// content: calling service, method, path and body.
-pub(super) fn as_suspect(message: &Message, caller_service: &str, id: &str) -> Running {
+pub(super) fn as_suspect(message: &Message, caller_service: &str, id: &str) -> RunningRequest {
     let path = message.path_and_query.as_str();
     let method = message.method.as_str();
-    Running {
+    RunningRequest {
         request: RequestId::of_key("", id),
         fingerprint: fingerprint_of(caller_service, method, path, &message.body),
     }
@@ -144,13 +146,13 @@
     let others = view.targets(service).iter();
     let others = others.filter(|target| target.node != traffic.settings.node);
     let deliveries = others.map(|target| {
-        let notice = SuspectsNews {
+        let suspects_report = SuspectsReport {
             service: service.clone(),
             report: report.clone(),
         };
         let delivery = control
             .clients
-            .report_suspects(target.control_address, notice);
+            .report_suspects(target.control_address, suspects_report);
         async {
             if let Err(error) = delivery.await {
                 log::warn!(
@@ -164,13 +166,17 @@
 }
 
 /// Applies a peer's report. A report on another service than the local one is dropped.
-pub(super) fn apply_peer_report(watch: &PoisonWatch, local_service: &str, notice: &SuspectsNews) {
-    if &*notice.service == local_service {
-        watch.merge(&notice.report);
+pub(super) fn apply_peer_report(
+    watch: &PoisonWatch,
+    local_service: &str,
+    suspects_report: &SuspectsReport,
+) {
+    if &*suspects_report.service == local_service {
+        watch.merge(&suspects_report.report);
     } else {
         log::warn!(
             "poison: crash report for another service dropped, service={}",
-            notice.service
+            suspects_report.service
         );
     }
 }
--- a/src/traffic/request_log.rs
+++ b/src/traffic/request_log.rs
@@ -7,7 +7,7 @@
 use http::StatusCode;
 
 use crate::accounts::Allowance;
-use crate::accounts::Beyond;
+use crate::accounts::AllowanceExceeded;
 use crate::core::Name;
 use crate::core::Refusal;
 use crate::core::TimeMs;
@@ -246,9 +246,9 @@
     traffic: &Traffic,
     account: &CallAccount,
     allowance: Allowance,
-    exceeded: Beyond,
+    exceeded: AllowanceExceeded,
 ) {
-    let age = exceeded.told_ms_ago;
+    let age = exceeded.reply_age_ms;
     let age = age.map_or_else(|| "-".to_owned(), |ms| ms.to_string());
     log::info!(
         "account: beyond its allowance, account={} rate_per_s={} burst={} part_permille={} \
@@ -256,7 +256,7 @@
         account.name,
         allowance.rate_per_s,
         allowance.burst,
-        exceeded.part_permille,
+        exceeded.admitted_permille,
         traffic.desired.version(),
     );
 }
--- a/src/traffic/retry_budgets.rs
+++ b/src/traffic/retry_budgets.rs
@@ -54,11 +54,11 @@
         state.update_shares();
     }
 
-    /// Records the first attempt of a call; see [`WindowBudget::first_attempt`].
+    /// Records the first attempt of a call; see [`WindowBudget::record_first_attempt`].
     pub(super) fn first_attempt(&self, now: TimeMs, view: &View, service: &Name, repeated: f32) {
         let mut state = self.lock();
         state.update_nodes(view);
-        state.budget_of(service).first_attempt(now, repeated);
+        state.budget_of(service).record_first_attempt(now, repeated);
     }
 
     /// Takes a retry from the budget; returns false if the budget is spent.
@@ -67,9 +67,9 @@
     }
 
     /// Whether a retried request that makes calls to the service may start; see
-    /// [`WindowBudget::has_left`].
+    /// [`WindowBudget::has_remaining`].
     pub(super) fn has_left(&self, now: TimeMs, service: &Name) -> bool {
-        self.lock().budget_of(service).has_left(now)
+        self.lock().budget_of(service).has_remaining(now)
     }
 
     fn lock(&self) -> MutexGuard<'_, BudgetState> {
--- a/src/traffic/root_admission.rs
+++ b/src/traffic/root_admission.rs
@@ -4,7 +4,7 @@
 use std::sync::MutexGuard;
 use std::sync::PoisonError;
 
-use crate::admission::PressedService;
+use crate::admission::OverloadedService;
 use crate::admission::Pressure;
 use crate::admission::Pressures;
 use crate::admission::RootControl;
@@ -46,7 +46,7 @@
                 state.control.note(now, service, permille);
             }
             None => {
-                if let Some(service) = state.pressures.pressed_service(service, route).cloned() {
+                if let Some(service) = state.pressures.overloaded_service(service, route).cloned() {
                     state.control.note(now, &service, 0);
                 }
             }
@@ -79,7 +79,7 @@
         priority: Priority,
     ) -> bool {
         let mut state = self.lock();
-        let Some(overloaded) = state.pressures.pressed_service(service, route).cloned() else {
+        let Some(overloaded) = state.pressures.overloaded_service(service, route).cloned() else {
             return true;
         };
         state.control.may_pass(now, &overloaded, priority)
@@ -91,31 +91,31 @@
         &self,
         service: &str,
         route: &str,
-    ) -> Option<PressedService> {
+    ) -> Option<OverloadedService> {
         let state = self.lock();
-        let downstream = state.pressures.pressed_service(service, route)?;
-        let mut overloaded = state.control.pressed();
+        let downstream = state.pressures.overloaded_service(service, route)?;
+        let mut overloaded = state.control.overloaded();
         overloaded.find(|overloaded| overloaded.service == *downstream)
     }
 
     /// All overloaded services for which requests are refused.
-    pub(super) fn overloaded(&self) -> Vec<PressedService> {
-        self.lock().control.pressed().collect()
+    pub(super) fn overloaded(&self) -> Vec<OverloadedService> {
+        self.lock().control.overloaded().collect()
     }
 
     /// The pressure to report with an answer on `route` of the local service.
     pub(super) fn on_answer(&self, now: TimeMs, route: &str, own: Pressure) -> Option<Pressure> {
-        self.lock().pressures.on_answer(now, route, own)
+        self.lock().pressures.for_answer(now, route, own)
     }
 
     /// The services that requests on `route` of the local service may call.
     pub(super) fn downstream_services(&self, now: TimeMs, route: &str) -> Vec<Name> {
-        self.lock().pressures.services_behind(now, route)
+        self.lock().pressures.downstream_services(now, route)
     }
 
     /// The highest pressure downstream of any of these routes of the local service.
     pub(super) fn max_downstream_permille(&self, now: TimeMs, routes: &[Name]) -> u32 {
-        self.lock().pressures.deepest_permille(now, routes)
+        self.lock().pressures.max_downstream_permille(now, routes)
     }
 
     /// Logs the services for which requests are currently refused.
--- a/src/traffic/route_origins.rs
+++ b/src/traffic/route_origins.rs
@@ -8,7 +8,7 @@
 
 use crate::admission::CallingService;
 use crate::admission::CallingServices;
-use crate::admission::HeardCall;
+use crate::admission::ObservedCall;
 use crate::admission::OriginsByDomain;
 use crate::core::FastMap;
 use crate::core::Name;
@@ -70,14 +70,14 @@
             .unwrap_or_else(PoisonError::into_inner);
         let GuardState { origins, callers } = &mut *guard_state;
         callers.update(view, domain);
-        let observed = HeardCall {
+        let observed = ObservedCall {
             route: &call.route,
             caller_service: &call.caller_service,
-            is_near: call.is_near && callers.own_domain.len() > 1,
-            believed: call.origin,
+            same_domain: call.is_near && callers.own_domain.len() > 1,
+            reported_origin: call.origin,
         };
         let services = CallingServices {
-            near: &callers.own_domain,
+            own_domain: &callers.own_domain,
             all: &callers.all,
         };
         origins.note(observed, services)
@@ -139,15 +139,15 @@
             continue;
         }
         nodes += 1;
-        let (count, is_whole) = services.entry(&node.service).or_insert((0, true));
+        let (count, all_serving) = services.entry(&node.service).or_insert((0, true));
         *count += 1;
-        *is_whole &= node.state == TargetState::Up;
+        *all_serving &= node.state == TargetState::Up;
     }
     let services = services.into_iter();
-    let services = services.map(|(service, (count, is_whole))| CallingService {
+    let services = services.map(|(service, (count, all_serving))| CallingService {
         service: service.clone(),
         share: count as f32 / nodes as f32,
-        is_whole,
+        all_serving,
     });
     services.collect()
 }
--- a/src/traffic/version_fetch.rs
+++ b/src/traffic/version_fetch.rs
@@ -12,7 +12,7 @@
 
 use crate::control::ControlHandle;
 use crate::core::Name;
-use crate::desired::fetches_across;
+use crate::desired::should_fetch_across_domains;
 use crate::errors::PeerCallError;
 use crate::traffic::DesiredInForce;
 use crate::traffic::desired_task::AnnounceVersion;
@@ -83,7 +83,7 @@
 
     fn may_fetch_across(&self) -> bool {
         let view = self.control.view.load();
-        fetches_across(&view, &self.domain, fastrand::f64())
+        should_fetch_across_domains(&view, &self.domain, fastrand::f64())
     }
 
     async fn fetch(&self, announced: VersionAnnouncement) {
--- a/tests/claims_world/keys.rs
+++ b/tests/claims_simulation/keys.rs
@@ -1,8 +1,8 @@
-//! Keys on their way: sent by callers, routed by entries, started and finished at processes.
+//! Keyed calls: sent by callers, routed by entries, started and finished at processes.
 
 use std::sync::Arc;
 
-use sassafrasgap::claims::Begin;
+use sassafrasgap::claims::KeyDecision;
 use sassafrasgap::claims::KeyOutcome;
 use sassafrasgap::claims::KeyedCall;
 use sassafrasgap::claims::ResendLimits;
@@ -14,13 +14,13 @@
 
 use super::ATTEMPTS;
 use super::Event;
+use super::KeyedRequest;
 use super::Process;
-use super::Sending;
+use super::Simulation;
 use super::WINDOW_MS;
-use super::World;
 
-impl World {
-    /// A caller sends a key for the first time, and again within the resend window.
+impl Simulation {
+    /// A caller sends a new key, and sends it again `resends` times within the resend window.
     pub fn new_key(&mut self, resends: u64) -> Name {
         self.keys += 1;
         let key = Name::from(format!("key-{}", self.keys));
@@ -36,50 +36,52 @@
         key
     }
 
-    /// A caller sends a key through an entry, which may be paused for a while, unnoticed.
+    /// A caller sends a key through an entry, which may be paused for a time that is too short to
+    /// be detected.
     pub fn send_key(&mut self, key: &Name, after_ms: u64) {
         let limits = ResendLimits::new(WINDOW_MS);
-        let late = self.chance(self.noise.late_permille);
+        let late = self.chance(self.fault_rates.late_permille);
         let pause_ms = if late {
-            self.rng.u64(0..limits.unnoticed_pause_ms())
+            self.rng.u64(0..limits.max_undetected_pause_ms())
         } else {
             0
         };
-        let sending = Sending {
+        let request = KeyedRequest {
             key: key.clone(),
             arrived_at: self.now + after_ms + pause_ms,
             attempts: 0,
             next: None,
         };
-        self.push(after_ms + pause_ms, None, Event::Send { sending });
+        self.push(after_ms + pause_ms, None, Event::Send { request });
     }
 
-    pub(super) fn send(&mut self, mut sending: Sending) {
+    pub(super) fn send(&mut self, mut request: KeyedRequest) {
         let limits = ResendLimits::new(WINDOW_MS);
-        let too_late = self.now - sending.arrived_at > limits.entry_sends_ms();
-        if too_late || sending.attempts >= ATTEMPTS {
+        let too_late = self.now - request.arrived_at > limits.attempt_window_ms();
+        if too_late || request.attempts >= ATTEMPTS {
             let refusal = Refusal::unknown(RefusalReason::NotOwner, 0);
-            self.truth.told_refused(&sending.key, refusal);
+            self.truth.report_refused(&request.key, refusal);
             return;
         }
-        sending.attempts += 1;
-        let (to, stamp) = sending
+        request.attempts += 1;
+        let (to, stamp) = request
             .next
             .take()
-            .unwrap_or_else(|| (self.route(&sending.key), 0));
-        // Attempts may lie in a buffer for very long: the stamp has to notice.
-        let stuck = self.chance(self.noise.late_permille / 2);
+            .unwrap_or_else(|| (self.route(&request.key), 0));
+        // An attempt may stay in a buffer for a very long time. The stamp has to reveal that.
+        let stuck = self.chance(self.fault_rates.late_permille / 2);
         let delay = if stuck {
             Some(self.rng.u64(0..4 * WINDOW_MS))
         } else {
             self.delay()
         };
         if let Some(delay) = delay {
-            self.post(to, delay, Event::Attempt { sending, stamp });
+            self.post(to, delay, Event::Attempt { request, stamp });
         }
     }
 
-    /// Mostly to the owner by the row; else anywhere, as an entry with old news would.
+    /// Usually the owner named by the row; sometimes any process, as from an entry with outdated
+    /// hints.
     pub(super) fn route(&mut self, key: &str) -> usize {
         let owner = self
             .store
@@ -90,49 +92,49 @@
             self.processes.iter().position(is_owner)
         });
         match by_row {
-            Some(index) if !self.chance(self.noise.late_permille * 5) => index,
+            Some(index) if !self.chance(self.fault_rates.late_permille * 5) => index,
             _ => self.rng.usize(0..self.processes.len()),
         }
     }
 
-    pub(super) fn attempt(&mut self, index: usize, mut sending: Sending, stamp: u64) {
+    pub(super) fn attempt(&mut self, index: usize, mut request: KeyedRequest, stamp: u64) {
         let process = &mut self.processes[index];
         let now = process.clock(self.now);
         let call = KeyedCall {
-            key: &sending.key,
+            key: &request.key,
             fingerprint: 1,
             stamp,
             first_sending: false,
         };
         match process.ledger.begin(now, &call) {
-            Begin::Run => {
-                let key = sending.key;
-                let late = self.chance(self.noise.late_permille);
+            KeyDecision::Run => {
+                let key = request.key;
+                let late = self.chance(self.fault_rates.late_permille);
                 let wait_ms = self.rng.u64(0..if late { 5_000 } else { 200 });
                 self.post(index, wait_ms, Event::Dispatch { key });
             }
-            Begin::Join => {}
-            Begin::Answer(_) => self.truth.told_ran(&sending.key, self.now),
-            Begin::Refuse(refusal) if refusal.reason == RefusalReason::StaleAttempt => {
-                sending.next = Some((index, process.ledger.stamp(now)));
+            KeyDecision::Join => {}
+            KeyDecision::Answer(_) => self.truth.report_ran(&request.key, self.now),
+            KeyDecision::Refuse(refusal) if refusal.reason == RefusalReason::StaleAttempt => {
+                request.next = Some((index, process.ledger.stamp(now)));
                 let delay = self.rng.u64(1..20);
-                self.push(delay, None, Event::Send { sending });
+                self.push(delay, None, Event::Send { request });
             }
-            Begin::Refuse(refusal) if refusal.reason == RefusalReason::NotOwner => {
-                self.push(50, None, Event::Send { sending });
+            KeyDecision::Refuse(refusal) if refusal.reason == RefusalReason::NotOwner => {
+                self.push(50, None, Event::Send { request });
             }
-            Begin::Refuse(refusal) => self.truth.told_refused(&sending.key, refusal),
+            KeyDecision::Refuse(refusal) => self.truth.report_refused(&request.key, refusal),
         }
     }
 
     pub(super) fn dispatch(&mut self, index: usize, key: Name) {
-        if self.chance(self.noise.shed_permille) {
+        if self.chance(self.fault_rates.shed_permille) {
             self.processes[index].ledger.not_started(&key);
             let refusal = Refusal::not_run(RefusalReason::Overloaded, 0);
-            self.truth.told_refused(&key, refusal);
+            self.truth.report_refused(&key, refusal);
             return;
         }
-        self.truth.run(&key);
+        self.truth.record_run(&key);
         let runs_ms = self.rng.u64(1..300);
         self.post(index, runs_ms, Event::Finish { key });
     }
@@ -147,6 +149,6 @@
         let now = process.clock(self.now);
         let outcome = KeyOutcome::Ran(Some(Arc::new(answer)));
         process.ledger.finish(now, key, outcome);
-        self.truth.told_ran(key, self.now);
+        self.truth.report_ran(key, self.now);
     }
 }
--- a/tests/claims_world/process.rs
+++ b/tests/claims_simulation/process.rs
@@ -1,9 +1,9 @@
-//! One process of a node with its keeper and its ledger, on a clock of its own.
+//! One process of a node, with its lease manager, its ledger and its own clock.
 
 use sassafrasgap::claims::Action;
 use sassafrasgap::claims::Identity;
 use sassafrasgap::claims::LeaseConf;
-use sassafrasgap::claims::LeaseKeeper;
+use sassafrasgap::claims::LeaseManager;
 use sassafrasgap::claims::Ledger;
 use sassafrasgap::claims::LedgerBounds;
 use sassafrasgap::claims::ResendLimits;
@@ -16,18 +16,18 @@
     pub domain: usize,
     pub instance: u64,
     pub boot: u64,
-    pub keeper: LeaseKeeper,
+    pub manager: LeaseManager,
     pub ledger: Ledger,
     pub is_dead: bool,
     pub paused_until: u64,
     pub serving: bool,
     pub stopping: bool,
-    /// Cut off from everything but callers, though alive.
+    /// Alive, but cut off from everything except callers.
     pub is_isolated: bool,
-    /// What it takes for alive; refreshed while it runs.
+    /// The nodes that it considers alive; updated while it runs.
     pub alive: FastSet<Name>,
     started_at: u64,
-    /// The speed of its clock in thousandths of true time.
+    /// Speed of its clock in thousandths of true time.
     rate_permille: u64,
 }
 
@@ -53,13 +53,13 @@
             max_keys: 500,
             max_answer_bytes: 10_000,
         };
-        let keeper_rng = fastrand::Rng::with_seed(rng.u64(..));
+        let manager_rng = fastrand::Rng::with_seed(rng.u64(..));
         Self {
             node,
             domain,
             instance,
             boot,
-            keeper: LeaseKeeper::new(me.clone(), conf, limits, keeper_rng),
+            manager: LeaseManager::new(me.clone(), conf, limits, manager_rng),
             ledger: Ledger::new(me.service, instance, bounds, limits),
             is_dead: false,
             paused_until: 0,
@@ -72,22 +72,27 @@
         }
     }
 
-    /// Its own clock at a moment of true time.
+    /// The time on its own clock at a moment of true time.
     pub fn clock(&self, now: u64) -> TimeMs {
         TimeMs(1 + (now - self.started_at) * self.rate_permille / 1_000)
     }
 
-    /// Lets the keeper work, and the ledger see the result before any action is carried out.
-    pub fn keep(&mut self, work: impl FnOnce(&mut LeaseKeeper) -> Vec<Action>) -> Vec<Action> {
-        let actions = work(&mut self.keeper);
-        self.ledger.set_holding(self.keeper.holding().clone());
+    /// Runs `work` on the manager, and passes the slot lease to the ledger before any action is
+    /// executed.
+    pub fn with_manager(
+        &mut self,
+        work: impl FnOnce(&mut LeaseManager) -> Vec<Action>,
+    ) -> Vec<Action> {
+        let actions = work(&mut self.manager);
+        self.ledger
+            .set_slot_lease(self.manager.slot_lease().clone());
         actions
     }
 
-    /// Whether an unseen key of the slot could start now, but for the grace period.
+    /// Whether an unseen key of the slot could start now if no grace period applied.
     pub fn could_start(&self, slot: usize, now: u64) -> bool {
-        let holding = self.ledger.holding();
-        let open = holding.held[slot].is_some_and(|held| !held.giving);
-        !self.is_dead && open && self.clock(now) < holding.lease_until
+        let slot_lease = self.ledger.slot_lease();
+        let open = slot_lease.held[slot].is_some_and(|held| !held.handing_over);
+        !self.is_dead && open && self.clock(now) < slot_lease.lease_until
     }
 }
