--- a/src/traffic/attempt.rs
+++ b/src/traffic/attempt.rs
@@ -6,7 +6,7 @@
 use crate::core::RefusalReason;
 use crate::core::RouteOrigin;
 use crate::wire::LoadReport;
-use crate::wire::ServerWord;
+use crate::wire::Advertisement;
 
 /// What the guard said beside its answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -19,7 +19,7 @@
     /// Who uses the call's route.
     pub origin: Option<RouteOrigin>,
     /// What the backend server has said of itself, if it binds.
-    pub word: Option<ServerWord>,
+    pub word: Option<Advertisement>,
 }
 
 /// The end of an attempt.
--- a/src/traffic/local_server.rs
+++ b/src/traffic/local_server.rs
@@ -13,7 +13,7 @@
 use crate::traffic::ServerReport;
 use crate::traffic::gone_servers::GoneServers;
 use crate::traffic::gone_servers::is_later;
-use crate::wire::ServerWord;
+use crate::wire::Advertisement;
 
 /// A report with a sequence up to this is among an incarnation's first: it has just started.
 const FIRST_SEQUENCES: u64 = 2;
@@ -265,7 +265,7 @@
     }
 
     /// Takes in what a peer was told of a backend server, perhaps before this process started.
-    pub fn take_word(&mut self, now: TimeMs, word: &ServerWord) -> Reported {
+    pub fn take_word(&mut self, now: TimeMs, word: &Advertisement) -> Reported {
         let present = self.present.as_ref();
         let present = present.filter(|present| present.incarnation == word.incarnation);
         if present.is_some_and(|present| is_later(present.started_unix_ms, word.started_unix_ms)) {
@@ -293,10 +293,10 @@
     }
 
     /// What the incarnation that stands there has said of itself, if it binds whoever sends it requests.
-    pub fn word(&self) -> Option<ServerWord> {
+    pub fn word(&self) -> Option<Advertisement> {
         let present = self.present.as_ref()?;
         let rate_milli = present.rate.per_s().map(|per_s| (per_s * MILLI) as u64);
-        (present.is_leaving || rate_milli.is_some()).then(|| ServerWord {
+        (present.is_leaving || rate_milli.is_some()).then(|| Advertisement {
             incarnation: present.incarnation.clone(),
             started_unix_ms: present.started_unix_ms,
             is_leaving: present.is_leaving,
--- a/src/traffic/told_words.rs
+++ b/src/traffic/told_words.rs
@@ -3,14 +3,14 @@
 use crate::core::FastMap;
 use crate::core::Name;
 use crate::core::TimeMs;
-use crate::wire::ServerWord;
+use crate::wire::Advertisement;
 
 /// Backend servers whose words are remembered; beyond it the one that was heard of longest ago is forgotten.
 const MOST_TOLD: usize = 2_048;
 
 #[derive(Clone, Debug)]
 struct Told {
-    word: ServerWord,
+    word: Advertisement,
     at: TimeMs,
 }
 
@@ -28,7 +28,7 @@
 impl ToldWords {
     /// Takes in what came with an answer of the guard on `node`. `has_run` says that the backend server ran
     /// the call; without a word beside it, that one names no rate any more.
-    pub fn note(&mut self, now: TimeMs, node: &Name, word: Option<ServerWord>, has_run: bool) {
+    pub fn note(&mut self, now: TimeMs, node: &Name, word: Option<Advertisement>, has_run: bool) {
         match word {
             Some(word) => self.hold(now, node, word),
             None if has_run => self.forget_rate(node),
@@ -37,13 +37,13 @@
     }
 
     /// What the backend server beside a node has said, if anything binds.
-    pub fn of(&self, node: &Name) -> Option<&ServerWord> {
+    pub fn of(&self, node: &Name) -> Option<&Advertisement> {
         self.told.get(node).map(|told| &told.word)
     }
 
-    fn hold(&mut self, now: TimeMs, node: &Name, mut word: ServerWord) {
+    fn hold(&mut self, now: TimeMs, node: &Name, mut word: Advertisement) {
         let before = self.of(node);
-        let is_same = |before: &&ServerWord| before.incarnation == word.incarnation;
+        let is_same = |before: &&Advertisement| before.incarnation == word.incarnation;
         let was_leaving = before.filter(is_same).is_some_and(|before| {
             before.is_leaving && before.started_unix_ms >= word.started_unix_ms
         });
--- a/src/wire/server_word.rs
+++ b/src/wire/advertisement.rs
@@ -8,7 +8,7 @@
 /// The words of one incarnation. They travel with calls and answers only while there are any.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct ServerWord {
+pub struct Advertisement {
     pub incarnation: Name,
     /// When it started, in Unix milliseconds, if it has said so: an identifier may be borne again.
     pub started_unix_ms: Option<u64>,
--- a/src/wire/hop_answer.rs
+++ b/src/wire/hop_answer.rs
@@ -9,7 +9,7 @@
 use crate::core::RouteOrigin;
 use crate::errors::WireError;
 use crate::wire::LoadReport;
-use crate::wire::ServerWord;
+use crate::wire::Advertisement;
 use crate::wire::codec;
 use crate::wire::headers;
 
@@ -29,7 +29,7 @@
     /// Which share of calls fails at the backend server lately, in thousandths.
     pub failing_permille: u32,
     /// What the backend server has said of itself, if it binds whoever sends it requests.
-    pub word: Option<ServerWord>,
+    pub word: Option<Advertisement>,
 }
 
 impl HopAnswer {
--- a/src/wire/hop_call.rs
+++ b/src/wire/hop_call.rs
@@ -9,7 +9,7 @@
 use crate::core::Priority;
 use crate::core::RouteOrigin;
 use crate::errors::WireError;
-use crate::wire::ServerWord;
+use crate::wire::Advertisement;
 use crate::wire::codec;
 use crate::wire::headers;
 
@@ -52,7 +52,7 @@
     /// What remains of the deadline when the header is written.
     pub deadline_left_ms: u32,
     /// What the sender was told of the backend server, if it binds: the guard may have been restarted.
-    pub word: Option<ServerWord>,
+    pub word: Option<Advertisement>,
 }
 
 impl HopCall {
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -8,7 +8,7 @@
 mod hop_answer;
 mod hop_call;
 mod owner_hint;
-mod server_word;
+mod advertisement;
 mod server_words;
 
 pub use answer_header::AnswerHeader;
@@ -19,6 +19,6 @@
 pub use hop_call::CallAccount;
 pub use hop_call::HopCall;
 pub use owner_hint::OwnerHint;
-pub use server_word::ServerWord;
+pub use advertisement::Advertisement;
 pub use server_words::ServerWords;
 pub use server_words::rate_word;
--- a/tests/traffic_rate_fleet.rs
+++ b/tests/traffic_rate_fleet.rs
@@ -19,7 +19,7 @@
 use sassafrasgap::traffic::ReportedState;
 use sassafrasgap::traffic::ServerReport;
 use sassafrasgap::traffic::ToldWords;
-use sassafrasgap::wire::ServerWord;
+use sassafrasgap::wire::Advertisement;
 
 const WINDOW_MS: u64 = 4_000;
 /// An entry is bound by what it passed on this long before.
@@ -37,11 +37,11 @@
 #[derive(Clone, Debug)]
 enum Event {
     /// A call of this entry reaches the guard.
-    Reaches(usize, Option<ServerWord>),
+    Reaches(usize, Option<Advertisement>),
     /// The backend server answers the call with this ticket, of this entry.
     Answers(u64, usize),
     /// The guard's answer reaches its entry.
-    Returns(usize, Option<ServerWord>, bool),
+    Returns(usize, Option<Advertisement>, bool),
 }
 
 /// The guard's process.
@@ -167,7 +167,7 @@
         }
     }
 
-    fn reaches(&mut self, entry: usize, word: Option<ServerWord>) {
+    fn reaches(&mut self, entry: usize, word: Option<Advertisement>) {
         let now = self.now;
         if let Some(word) = word {
             self.guard.local.take_word(now, &word);
@@ -340,8 +340,8 @@
     }
 }
 
-fn word(incarnation: &str, is_leaving: bool, rate_milli: Option<u64>) -> ServerWord {
-    ServerWord {
+fn word(incarnation: &str, is_leaving: bool, rate_milli: Option<u64>) -> Advertisement {
+    Advertisement {
         incarnation: Name::from(incarnation),
         started_unix_ms: None,
         is_leaving,
