--- a/src/traffic/backend_answer.rs
+++ b/src/traffic/backend_answer.rs
@@ -18,7 +18,7 @@
 use crate::traffic::ServerReport;
 use crate::traffic::guard::not_run;
 use crate::traffic::traffic::Traffic;
-use crate::wire::ServerWords;
+use crate::wire::HeaderAdvertisement;
 
 /// Whether an answer bears the identifier of the call.
 ///
@@ -86,7 +86,7 @@
     traffic: &Traffic,
     incarnation: &Name,
     sent_at: TimeMs,
-    words: ServerWords,
+    words: HeaderAdvertisement,
 ) {
     words
         .said()
--- a/src/traffic/header_names.rs
+++ b/src/traffic/header_names.rs
@@ -3,7 +3,7 @@
 use http::HeaderMap;
 use http::HeaderName;
 
-use crate::wire::ServerWords;
+use crate::wire::HeaderAdvertisement;
 
 /// Header names by what they carry. An adapter fills them in once; traffic knows only the fields.
 #[derive(Clone, Debug)]
@@ -34,7 +34,7 @@
 
 impl HeaderNames {
     /// What a backend server says of itself in an answer.
-    pub fn words(&self, headers: &HeaderMap) -> ServerWords {
-        ServerWords::of(&self.rate_limit, &self.leaving, headers)
+    pub fn words(&self, headers: &HeaderMap) -> HeaderAdvertisement {
+        HeaderAdvertisement::of(&self.rate_limit, &self.leaving, headers)
     }
 }
--- a/src/traffic/recall.rs
+++ b/src/traffic/recall.rs
@@ -16,7 +16,7 @@
 use crate::core::Name;
 use crate::traffic::backend_answer::note_words;
 use crate::traffic::traffic::Traffic;
-use crate::wire::ServerWords;
+use crate::wire::HeaderAdvertisement;
 
 /// How long the backend server may take to answer. Its reports come every second or two, so a later
 /// answer is of no use.
@@ -62,7 +62,7 @@
 struct Checked {
     incarnation: Name,
     is_well: bool,
-    words: ServerWords,
+    words: HeaderAdvertisement,
 }
 
 /// Asks the backend server's health check.
--- a/src/wire/server_words.rs
+++ b/src/wire/header_advertisement.rs
@@ -11,7 +11,7 @@
 
 /// The words of one answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ServerWords {
+pub struct HeaderAdvertisement {
     /// How many requests a second it takes.
     pub rate: AdvertisedRate,
     /// It leaves: no new requests.
@@ -23,7 +23,7 @@
 const MALFORMED_RATE: &str = "malformed_rate";
 const LEAVING: &str = "leaving";
 
-impl ServerWords {
+impl HeaderAdvertisement {
     /// Reads the head of an answer, by the names that these words bear there.
     pub fn of(rate_limit: &HeaderName, leaving: &HeaderName, headers: &HeaderMap) -> Self {
         let mut leaving = headers.get_all(leaving).iter();
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -9,7 +9,7 @@
 mod hop_call;
 mod owner_hint;
 mod advertisement;
-mod server_words;
+mod header_advertisement;
 
 pub use answer_header::AnswerHeader;
 pub use answer_header::LoadReport;
@@ -20,5 +20,5 @@
 pub use hop_call::HopCall;
 pub use owner_hint::OwnerHint;
 pub use advertisement::Advertisement;
-pub use server_words::ServerWords;
-pub use server_words::rate_word;
+pub use header_advertisement::HeaderAdvertisement;
+pub use header_advertisement::rate_word;
