--- a/src/node/backend_words.rs
+++ b/src/node/backend_words.rs
@@ -12,7 +12,7 @@
 use crate::core::TimeMs;
 use crate::node::gate::Gate;
 use crate::wire::headers;
-use crate::wire::rate_word;
+use crate::wire::advertised_rate;
 
 const RATE_LIMIT: HeaderName = HeaderName::from_static(headers::RATE_LIMIT);
 
@@ -25,7 +25,7 @@
 impl BackendWords {
     /// Takes in the head of an answer to a call that was sent at `sent_at`.
     pub fn take(&self, gate: &Gate, now: TimeMs, sent_at: TimeMs, headers: &HeaderMap) {
-        let word = rate_word(&RATE_LIMIT, headers);
+        let word = advertised_rate(&RATE_LIMIT, headers);
         let mut rate = self.lock();
         let change = rate.note(now, sent_at, word);
         if change != RateChange::Unchanged {
--- a/src/wire/header_advertisement.rs
+++ b/src/wire/header_advertisement.rs
@@ -28,7 +28,7 @@
     pub fn of(rate_limit: &HeaderName, leaving: &HeaderName, headers: &HeaderMap) -> Self {
         let mut leaving = headers.get_all(leaving).iter();
         Self {
-            rate: rate_word(rate_limit, headers),
+            rate: advertised_rate(rate_limit, headers),
             is_leaving: leaving.any(|value| value.as_bytes().trim_ascii() == LEAVES.as_bytes()),
         }
     }
@@ -45,7 +45,7 @@
 }
 
 /// What an answer says of the rate; of two values the lower one that can be told.
-pub fn rate_word(name: &HeaderName, headers: &HeaderMap) -> AdvertisedRate {
+pub fn advertised_rate(name: &HeaderName, headers: &HeaderMap) -> AdvertisedRate {
     let rates = headers.get_all(name).iter();
     rates
         .map(rate_of)
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -21,4 +21,4 @@
 pub use owner_hint::OwnerHint;
 pub use advertisement::Advertisement;
 pub use header_advertisement::HeaderAdvertisement;
-pub use header_advertisement::rate_word;
+pub use header_advertisement::advertised_rate;
