--- a/src/traffic/backend_answer.rs
+++ b/src/traffic/backend_answer.rs
@@ -59,7 +59,7 @@
     }
     let is_sound = is_sound(names, answer);
     // A spoilt answer that says nothing is no word that nothing is to be said.
-    if is_sound || words.said().next().is_some() {
+    if is_sound || words.labels().next().is_some() {
         note_words(traffic, incarnation, sent_at, words);
     }
     if answer.headers.contains_key(&names.not_run) {
@@ -89,7 +89,7 @@
     words: HeaderAdvertisement,
 ) {
     words
-        .said()
+        .labels()
         .for_each(|word| traffic.metrics.count_word(word));
     if words.rate == AdvertisedRate::Malformed {
         log::warn!("local: a rate cannot be read, incarnation={incarnation}");
--- a/src/wire/header_advertisement.rs
+++ b/src/wire/header_advertisement.rs
@@ -34,7 +34,7 @@
     }
 
     /// What it says, by the words of the metrics.
-    pub fn said(&self) -> impl Iterator<Item = &'static str> {
+    pub fn labels(&self) -> impl Iterator<Item = &'static str> {
         let rate = match self.rate {
             AdvertisedRate::Absent => None,
             AdvertisedRate::PerSecond(_) => Some(RATE),
