--- a/src/store/row_keeper.rs
+++ b/src/store/row_writer.rs
@@ -32,14 +32,14 @@
 ///
 /// Guards against a store that was restored from an older copy, and gives versions out again: a write on a
 /// version of before counts only if the answer is of the era in which that was read.
-pub struct RowKeeper {
+pub struct RowWriter {
     store: Arc<dyn Store>,
     name: RowName,
     /// `None` while nothing is known of the row.
     held: Option<Held>,
 }
 
-impl RowKeeper {
+impl RowWriter {
     /// Keeps a row of which nothing is known yet.
     pub fn new(store: Arc<dyn Store>, name: RowName) -> Self {
         Self {
--- a/src/traffic/roster.rs
+++ b/src/traffic/roster.rs
@@ -15,7 +15,7 @@
 use crate::errors::StoreError;
 use crate::store::EraWatch;
 use crate::store::KeptRow;
-use crate::store::RowKeeper;
+use crate::store::RowWriter;
 use crate::store::RowName;
 use crate::store::Store;
 use crate::store::WatchPause;
@@ -55,7 +55,7 @@
             part: part_name(settings.store_rates.part_of(&settings.node)),
             key: own_key.clone(),
         };
-        let mut keeper = RowKeeper::new(self.store.clone(), name);
+        let mut keeper = RowWriter::new(self.store.clone(), name);
         // Holds true once others may be looked for; see [`FindOthers`].
         let (may_find, mut is_time) = watch::channel(!is_first_start);
         let others = FindOthers {
@@ -89,7 +89,7 @@
     ///
     /// Nothing is stored of a node when the whole system starts for the first time, so nothing is read.
     /// Should there be a row all the same, the write says so, and what it holds counts.
-    async fn write_first(&self, keeper: &mut RowKeeper) -> Option<RosterRow> {
+    async fn write_first(&self, keeper: &mut RowWriter) -> Option<RosterRow> {
         let mut news = self.traffic.local_news.subscribe();
         let is_known = |news: &LocalNews| news.known.is_some() || news.leaving.is_some();
         drop(timeout(FIRST_REPORT_WITHIN, news.wait_for(is_known)).await);
@@ -109,7 +109,7 @@
     /// report from before that, arriving late, would have it sent new work.
     ///
     /// Answers what the row holds.
-    async fn recall(&self, keeper: &mut RowKeeper) -> Option<RosterRow> {
+    async fn recall(&self, keeper: &mut RowWriter) -> Option<RosterRow> {
         let row = match timeout(OWN_ROW_WITHIN, keeper.read()).await {
             Ok(Ok(row)) => row,
             Ok(Err(error)) => {
@@ -130,7 +130,7 @@
     }
 
     /// Keeps the row as it has to be. `before` is what it holds, if that is known.
-    async fn keep(&self, keeper: &mut RowKeeper, before: Option<RosterRow>) {
+    async fn keep(&self, keeper: &mut RowWriter, before: Option<RosterRow>) {
         let known = before.as_ref().and_then(|before| before.known.clone());
         let asking = async {
             if let Some(known) = known {
@@ -140,7 +140,7 @@
         tokio::join!(asking, self.keep_own(keeper, before));
     }
 
-    async fn keep_own(&self, keeper: &mut RowKeeper, before: Option<RosterRow>) {
+    async fn keep_own(&self, keeper: &mut RowWriter, before: Option<RosterRow>) {
         let mut held = before.clone();
         let mut news = self.traffic.local_news.subscribe();
         let mut checks = RowChecks::new(&self.eras);
--- a/tests/store_rows.rs
+++ b/tests/store_rows.rs
@@ -14,7 +14,7 @@
 use sassafrasgap::store::EraStore;
 use sassafrasgap::store::EraWatch;
 use sassafrasgap::store::KeptRow;
-use sassafrasgap::store::RowKeeper;
+use sassafrasgap::store::RowWriter;
 use sassafrasgap::store::RowName;
 use sassafrasgap::store::Store;
 use sassafrasgap::store::StoreRates;
@@ -25,11 +25,11 @@
     RowName::new("nodes", "a")
 }
 
-fn keeper(store: &FakeStore) -> RowKeeper {
-    RowKeeper::new(Arc::new(store.clone()), row())
+fn keeper(store: &FakeStore) -> RowWriter {
+    RowWriter::new(Arc::new(store.clone()), row())
 }
 
-fn write(keeper: &mut RowKeeper, value: &[u8]) -> KeptRow {
+fn write(keeper: &mut RowWriter, value: &[u8]) -> KeptRow {
     keeper
         .write(value)
         .now_or_never()
