--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -22,7 +22,7 @@
 pub use era_watch::EraWatch;
 pub use port::Store;
 pub use port::StoreCall;
-pub use row_writer::KeptRow;
+pub use row_writer::WriteOutcome;
 pub use row_writer::RowWriter;
 pub use rows::Changes;
 pub use rows::RowChange;
--- a/src/store/row_writer.rs
+++ b/src/store/row_writer.rs
@@ -10,11 +10,11 @@
 
 /// What became of one try to write the row.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum KeptRow {
+pub enum WriteOutcome {
     /// The row holds the value.
     Written,
     /// It is not known to: try again after a pause.
-    Again(StoreError),
+    Retry(StoreError),
 }
 
 /// At which version the row was, and in which era of the store if that is known.
@@ -63,13 +63,13 @@
     }
 
     /// Makes one try to have the row hold `value`. Sends nothing when it does already.
-    pub async fn write(&mut self, value: &[u8]) -> KeptRow {
+    pub async fn write(&mut self, value: &[u8]) -> WriteOutcome {
         let held = match self.held {
             Some(held) => held,
             None => match self.read_back(value).await {
-                Ok(None) => return KeptRow::Written,
+                Ok(None) => return WriteOutcome::Written,
                 Ok(Some(held)) => held,
-                Err(error) => return KeptRow::Again(error),
+                Err(error) => return WriteOutcome::Retry(error),
             },
         };
         let put = RowPut {
@@ -80,7 +80,7 @@
         match self.store.put(put).await {
             Ok(answered) if held.era.is_some_and(|era| era != answered.era) => {
                 self.held = None;
-                KeptRow::Again(StoreError::EarlierEra {
+                WriteOutcome::Retry(StoreError::EarlierEra {
                     era: held.era.unwrap_or_default(),
                     newest: answered.era,
                 })
@@ -90,13 +90,13 @@
                     era: Some(answered.era),
                     version: answered.value,
                 });
-                KeptRow::Written
+                WriteOutcome::Written
             }
             Err(error) => {
                 if may_have_changed(&error) {
                     self.held = None;
                 }
-                KeptRow::Again(error)
+                WriteOutcome::Retry(error)
             }
         }
     }
--- a/src/traffic/roster.rs
+++ b/src/traffic/roster.rs
@@ -14,7 +14,7 @@
 use crate::core::Name;
 use crate::errors::StoreError;
 use crate::store::EraWatch;
-use crate::store::KeptRow;
+use crate::store::WriteOutcome;
 use crate::store::RowWriter;
 use crate::store::RowName;
 use crate::store::Store;
@@ -96,9 +96,9 @@
         keeper.take_as_absent();
         let wanted = self.wanted(None);
         match keeper.write(&wanted.encode()).await {
-            KeptRow::Written => Some(wanted),
-            KeptRow::Again(StoreError::Conflict { .. }) => self.recall(keeper).await,
-            KeptRow::Again(error) => {
+            WriteOutcome::Written => Some(wanted),
+            WriteOutcome::Retry(StoreError::Conflict { .. }) => self.recall(keeper).await,
+            WriteOutcome::Retry(error) => {
                 log::debug!("roster: the own row was not written, error={error}");
                 None
             }
@@ -161,11 +161,11 @@
                 continue;
             }
             match keeper.write(&wanted.encode()).await {
-                KeptRow::Written => {
+                WriteOutcome::Written => {
                     pause.reset();
                     held = Some(wanted);
                 }
-                KeptRow::Again(error) => {
+                WriteOutcome::Retry(error) => {
                     held = None;
                     log::debug!("roster: the own row was not written, error={error}");
                     sleep(Duration::from_millis(pause.after_failure(fastrand::f64()))).await;
--- a/tests/store_rows.rs
+++ b/tests/store_rows.rs
@@ -13,7 +13,7 @@
 use sassafrasgap::errors::StoreError;
 use sassafrasgap::store::EraStore;
 use sassafrasgap::store::EraWatch;
-use sassafrasgap::store::KeptRow;
+use sassafrasgap::store::WriteOutcome;
 use sassafrasgap::store::RowWriter;
 use sassafrasgap::store::RowName;
 use sassafrasgap::store::Store;
@@ -29,7 +29,7 @@
     RowWriter::new(Arc::new(store.clone()), row())
 }
 
-fn write(keeper: &mut RowWriter, value: &[u8]) -> KeptRow {
+fn write(keeper: &mut RowWriter, value: &[u8]) -> WriteOutcome {
     keeper
         .write(value)
         .now_or_never()
@@ -45,9 +45,9 @@
     for _ in 0..3 {
         store.next_put(NextPut::TurnedAway);
         let kept = write(&mut keeper, b"up");
-        assert_eq!(kept, KeptRow::Again(StoreError::TooManyCalls));
+        assert_eq!(kept, WriteOutcome::Retry(StoreError::TooManyCalls));
     }
-    assert_eq!(write(&mut keeper, b"up"), KeptRow::Written);
+    assert_eq!(write(&mut keeper, b"up"), WriteOutcome::Written);
     assert_eq!(store.calls(), (0, 4));
 }
 
@@ -136,7 +136,7 @@
     store.perform_late();
     keeper.forget();
     for _ in 0..8 {
-        if write(&mut keeper, &[wanted]) == KeptRow::Written {
+        if write(&mut keeper, &[wanted]) == WriteOutcome::Written {
             break;
         }
     }
@@ -160,15 +160,15 @@
 fn a_write_on_a_version_of_an_earlier_era_does_not_count() {
     let store = FakeStore::default();
     let mut keeper = keeper(&store);
-    assert_eq!(write(&mut keeper, b"one"), KeptRow::Written);
+    assert_eq!(write(&mut keeper, b"one"), WriteOutcome::Written);
     store.restore();
     store.write(&row(), b"other");
     let kept = write(&mut keeper, b"two");
     assert!(matches!(
         kept,
-        KeptRow::Again(StoreError::EarlierEra { era: 0, newest: 1 })
+        WriteOutcome::Retry(StoreError::EarlierEra { era: 0, newest: 1 })
     ));
-    assert_eq!(write(&mut keeper, b"two"), KeptRow::Written);
+    assert_eq!(write(&mut keeper, b"two"), WriteOutcome::Written);
     assert_eq!(store.value(&row()), Some(b"two".to_vec()));
 }
 
