--- a/src/store/row_writer.rs
+++ b/src/store/row_writer.rs
@@ -50,7 +50,7 @@
     }
 
     /// Takes the row to be absent. The next write says whether it is, and is made once more if not.
-    pub fn take_as_absent(&mut self) {
+    pub fn assume_absent(&mut self) {
         self.held = Some(Held {
             era: None,
             version: 0,
--- a/src/traffic/roster.rs
+++ b/src/traffic/roster.rs
@@ -93,7 +93,7 @@
         let mut news = self.traffic.local_news.subscribe();
         let is_known = |news: &LocalNews| news.known.is_some() || news.leaving.is_some();
         drop(timeout(FIRST_REPORT_WITHIN, news.wait_for(is_known)).await);
-        keeper.take_as_absent();
+        keeper.assume_absent();
         let wanted = self.wanted(None);
         match keeper.write(&wanted.encode()).await {
             WriteOutcome::Written => Some(wanted),
--- a/tests/store_rows.rs
+++ b/tests/store_rows.rs
@@ -41,7 +41,7 @@
 fn a_write_that_was_turned_away_is_not_read_back() {
     let store = FakeStore::default();
     let mut keeper = keeper(&store);
-    keeper.take_as_absent();
+    keeper.assume_absent();
     for _ in 0..3 {
         store.next_put(NextPut::TurnedAway);
         let kept = write(&mut keeper, b"up");
