--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -33,6 +33,6 @@
 pub use rows::key_after;
 pub use store_rates::StoreRates;
 pub use store_rates::part_name;
-pub use table_watch::TableNews;
+pub use table_watch::TableChanges;
 pub use table_watch::TableWatch;
 pub use table_watch::WatchPause;
--- a/src/store/table_watch.rs
+++ b/src/store/table_watch.rs
@@ -50,10 +50,10 @@
 
 /// What a table's feed brought.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct TableNews {
+pub struct TableChanges {
     pub rows: Vec<RowChange>,
     /// These are all rows that there are: what is not among them is gone.
-    pub is_whole: bool,
+    pub is_snapshot: bool,
 }
 
 /// One part of a table, followed from one version to the next.
@@ -88,7 +88,7 @@
     ///
     /// # Errors
     /// What the store's call failed with. The next call then reads the whole part.
-    pub async fn next(&mut self, wait_ms: u64) -> Result<TableNews, StoreError> {
+    pub async fn next(&mut self, wait_ms: u64) -> Result<TableChanges, StoreError> {
         let Some(known) = self.known_to.take() else {
             return self.read_all().await;
         };
@@ -104,13 +104,13 @@
         });
         let mut rows = changes.rows;
         rows.retain(|row| row.name.part == self.part);
-        Ok(TableNews {
+        Ok(TableChanges {
             rows,
-            is_whole: false,
+            is_snapshot: false,
         })
     }
 
-    async fn read_all(&mut self) -> Result<TableNews, StoreError> {
+    async fn read_all(&mut self) -> Result<TableChanges, StoreError> {
         let (table, part) = (self.table.clone(), self.part.clone());
         let answered = self.store.read_part(table, part).await?;
         let read = answered.value;
@@ -123,9 +123,9 @@
             value: Some(row.value),
             version: row.version,
         };
-        Ok(TableNews {
+        Ok(TableChanges {
             rows: read.rows.into_iter().map(as_change).collect(),
-            is_whole: true,
+            is_snapshot: true,
         })
     }
 }
--- a/src/traffic/desired_task.rs
+++ b/src/traffic/desired_task.rs
@@ -15,7 +15,7 @@
 use crate::store::RowChange;
 use crate::store::RowName;
 use crate::store::Store;
-use crate::store::TableNews;
+use crate::store::TableChanges;
 use crate::store::TableWatch;
 use crate::store::WatchPause;
 use crate::traffic::DesiredInForce;
@@ -91,8 +91,8 @@
     ///
     /// Guards against a store that was restored from an older copy and shows an older state than the one in
     /// force: that stays, and the store's word says nothing of whether it is the newest.
-    fn take(&mut self, news: &TableNews) {
-        if news.is_whole {
+    fn take(&mut self, news: &TableChanges) {
+        if news.is_snapshot {
             self.stored = None;
         }
         let of_operator = news.rows.iter().filter(|row| row.name == self.source.row);
--- a/tests/store_rows.rs
+++ b/tests/store_rows.rs
@@ -18,7 +18,7 @@
 use sassafrasgap::store::RowName;
 use sassafrasgap::store::Store;
 use sassafrasgap::store::StoreRates;
-use sassafrasgap::store::TableNews;
+use sassafrasgap::store::TableChanges;
 use sassafrasgap::store::TableWatch;
 
 fn row() -> RowName {
@@ -172,11 +172,11 @@
     assert_eq!(store.value(&row()), Some(b"two".to_vec()));
 }
 
-fn next(watch: &mut TableWatch) -> Result<TableNews, StoreError> {
+fn next(watch: &mut TableWatch) -> Result<TableChanges, StoreError> {
     watch.next(0).now_or_never().expect("answered at once")
 }
 
-fn values(news: &TableNews) -> Vec<&[u8]> {
+fn values(news: &TableChanges) -> Vec<&[u8]> {
     news.rows
         .iter()
         .filter_map(|row| row.value.as_deref())
@@ -197,7 +197,7 @@
     store.restore();
     store.write(&name, b"3");
     let news = next(&mut watch).unwrap();
-    assert!(news.is_whole);
+    assert!(news.is_snapshot);
     assert_eq!(values(&news), [b"3"]);
 }
 
