--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -35,4 +35,4 @@
 pub use store_rates::part_name;
 pub use table_watch::TableChanges;
 pub use table_watch::TableWatch;
-pub use table_watch::WatchPause;
+pub use table_watch::Backoff;
--- a/src/store/table_watch.rs
+++ b/src/store/table_watch.rs
@@ -18,18 +18,18 @@
 /// Growing pauses after failures, spread so that nodes that failed together do not return
 /// together.
 #[derive(Clone, Debug, Default)]
-pub struct WatchPause {
+pub struct Backoff {
     failures: u32,
 }
 
-impl WatchPause {
+impl Backoff {
     /// The pause after one more failure. `random` is uniform in 0..1.
     pub fn after_failure(&mut self, random: f64) -> u64 {
-        self.up_to(LONGEST_PAUSE_MS, random)
+        self.after_failure_up_to(LONGEST_PAUSE_MS, random)
     }
 
     /// The same, at most `longest_ms`.
-    pub fn up_to(&mut self, longest_ms: u64, random: f64) -> u64 {
+    pub fn after_failure_up_to(&mut self, longest_ms: u64, random: f64) -> u64 {
         let doubled = FIRST_PAUSE_MS << self.failures;
         self.failures = (self.failures + 1).min(MOST_DOUBLINGS);
         (doubled.min(longest_ms) as f64 * (0.5 + random / 2.0)) as u64
--- a/src/traffic/desired_task.rs
+++ b/src/traffic/desired_task.rs
@@ -17,7 +17,7 @@
 use crate::store::Store;
 use crate::store::TableChanges;
 use crate::store::TableWatch;
-use crate::store::WatchPause;
+use crate::store::Backoff;
 use crate::traffic::DesiredInForce;
 
 /// Decodes a desired state from the operator's row.
@@ -60,7 +60,7 @@
     pub(super) async fn run(mut self) {
         let (table, part) = (self.source.row.table.clone(), self.source.row.part.clone());
         let mut watch = TableWatch::new(self.store.clone(), table, part);
-        let mut pause = WatchPause::default();
+        let mut pause = Backoff::default();
         let mut was_reached = true;
         loop {
             self.until_it_asks().await;
@@ -80,7 +80,7 @@
                         log::warn!("store: lost, error={error}");
                     }
                     was_reached = false;
-                    let pause_ms = pause.up_to(WATCH_MAX_BACKOFF_MS, fastrand::f64());
+                    let pause_ms = pause.after_failure_up_to(WATCH_MAX_BACKOFF_MS, fastrand::f64());
                     sleep(Duration::from_millis(pause_ms)).await;
                 }
             }
--- a/src/traffic/find_others.rs
+++ b/src/traffic/find_others.rs
@@ -13,7 +13,7 @@
 use crate::store::Store;
 use crate::store::StoreRates;
 use crate::store::StoredRow;
-use crate::store::WatchPause;
+use crate::store::Backoff;
 use crate::store::key_after;
 use crate::store::part_name;
 use crate::traffic::roster_row::RosterRow;
@@ -92,7 +92,7 @@
         }
         // A node that knows nobody after that has started during an outage, or read of nodes that are
         // gone: it asks on.
-        let mut pause = WatchPause::default();
+        let mut pause = Backoff::default();
         while self.control.view.load().nodes.len() < 2 {
             sleep(Duration::from_millis(pause.after_failure(fastrand::f64()))).await;
             let seeds = self.next_sample(&mut cursor).await;
--- a/src/traffic/roster.rs
+++ b/src/traffic/roster.rs
@@ -18,7 +18,7 @@
 use crate::store::RowWriter;
 use crate::store::RowName;
 use crate::store::Store;
-use crate::store::WatchPause;
+use crate::store::Backoff;
 use crate::store::part_name;
 use crate::traffic::find_others::FindOthers;
 use crate::traffic::recall::recall_server;
@@ -144,7 +144,7 @@
         let mut held = before.clone();
         let mut news = self.traffic.local_news.subscribe();
         let mut checks = RowChecks::new(&self.eras);
-        let mut pause = WatchPause::default();
+        let mut pause = Backoff::default();
         loop {
             news.mark_unchanged();
             let wanted = self.wanted(before.as_ref());
