--- a/src/store/era_store.rs
+++ b/src/store/era_store.rs
@@ -32,7 +32,7 @@
     fn noted<'a, T: Send + 'a>(&'a self, call: StoreCall<'a, T>) -> StoreCall<'a, T> {
         let noted = async move {
             let answered = call.await?;
-            match self.eras.take(answered.era) {
+            match self.eras.observe(answered.era) {
                 true => Ok(answered),
                 false => Err(StoreError::EarlierEra {
                     era: answered.era,
--- a/src/store/era_watch.rs
+++ b/src/store/era_watch.rs
@@ -22,7 +22,7 @@
     }
 
     /// Takes in an era. Answers whether it is the newest, so that an answer of it counts.
-    pub fn take(&self, era: u64) -> bool {
+    pub fn observe(&self, era: u64) -> bool {
         let rises = |newest: &mut Option<u64>| {
             let rises = Some(era) > *newest;
             *newest = Some(era).max(*newest);
--- a/src/traffic/control_link.rs
+++ b/src/traffic/control_link.rs
@@ -146,7 +146,7 @@
 pub(super) fn take_era(eras: &EraWatch) -> Arc<dyn Fn(u64) + Send + Sync> {
     let eras = eras.clone();
     Arc::new(move |era| {
-        eras.take(era);
+        eras.observe(era);
     })
 }
 
--- a/tests/store_rows.rs
+++ b/tests/store_rows.rs
@@ -226,7 +226,7 @@
     let read = || watched.read_row(row()).now_or_never().unwrap();
     assert!(read().is_ok());
     assert_eq!(eras.newest(), Some(1));
-    eras.take(3);
+    eras.observe(3);
     let late = read();
     assert_eq!(late, Err(StoreError::EarlierEra { era: 1, newest: 3 }));
     assert_eq!(eras.newest(), Some(3));
