--- a/tests/fake_targets/mod.rs
+++ b/tests/fake_targets/mod.rs
@@ -12,7 +12,7 @@
 use sassafrasgap::routing::TargetStats;
 
 /// What a first attempt from failure domain `a` with a small body chooses from.
-pub fn choice<'a>(
+pub fn pick_context<'a>(
     targets: &'a [Arc<Target>],
     stats: &'a FastMap<Name, TargetStats>,
 ) -> PickContext<'a> {
--- a/tests/routing_failing.rs
+++ b/tests/routing_failing.rs
@@ -4,7 +4,7 @@
 
 use std::sync::Arc;
 
-use fake_targets::choice;
+use fake_targets::pick_context;
 use fake_targets::target;
 use rstest::rstest;
 use sassafrasgap::core::FastMap;
@@ -38,7 +38,7 @@
         .iter()
         .map(|(name, domain, _)| Arc::new(target(name, domain)))
         .collect();
-    let choice = choice(&targets, &stats);
+    let choice = pick_context(&targets, &stats);
     let mut random = fastrand::Rng::with_seed(7);
     let mut sent = FastMap::default();
     for _ in 0..CALLS {
--- a/tests/routing_speed.rs
+++ b/tests/routing_speed.rs
@@ -4,7 +4,7 @@
 
 use std::sync::Arc;
 
-use fake_targets::choice;
+use fake_targets::pick_context;
 use fake_targets::target;
 use rstest::rstest;
 use sassafrasgap::core::FastMap;
@@ -59,7 +59,7 @@
             known.note_run((took_ms * 1_000.0) as u64, USUAL_US);
             false
         });
-        let choice = choice(&targets, &stats);
+        let choice = pick_context(&targets, &stats);
         let Pick::Take(picked) = pick(&choice, conf, NOW, |n| random.usize(..n)) else {
             panic!("no target was picked although all take work");
         };
