--- a/tests/fake_store/mod.rs
+++ b/tests/fake_store/mod.rs
@@ -23,13 +23,13 @@
 
 /// What happens to the next write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NextPut {
+pub enum PutFault {
     /// It is turned away: nothing is done.
-    TurnedAway,
+    Rejected,
     /// It is done, and the answer is lost.
-    Unanswered,
-    /// It is not answered, and done when [`FakeStore::perform_late`] says so, if its condition holds then.
-    Late,
+    AnswerLost,
+    /// It is not answered, and done when [`FakeStore::apply_delayed`] says so, if its condition holds then.
+    Delayed,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -42,10 +42,10 @@
 #[derive(Debug, Default)]
 struct State {
     now: Rows,
-    copy: Rows,
+    backup: Rows,
     era: u64,
-    next_puts: VecDeque<NextPut>,
-    late: Vec<RowPut>,
+    put_faults: VecDeque<PutFault>,
+    delayed: Vec<RowPut>,
     reads: u64,
     puts: u64,
 }
@@ -56,28 +56,28 @@
 
 impl FakeStore {
     /// What happens to the next writes, in order; those after them are done and answered.
-    pub fn next_put(&self, next: NextPut) {
-        self.0.lock().unwrap().next_puts.push_back(next);
+    pub fn inject_fault(&self, next: PutFault) {
+        self.0.lock().unwrap().put_faults.push_back(next);
     }
 
-    /// Keeps a copy to restore later.
-    pub fn keep_copy(&self) {
+    /// Keeps a backup to restore later.
+    pub fn take_backup(&self) {
         let mut state = self.0.lock().unwrap();
-        state.copy = state.now.clone();
+        state.backup = state.now.clone();
     }
 
-    /// Goes back to the copy: what was acknowledged since is gone, and its versions are given out again.
+    /// Goes back to the backup: what was acknowledged since is gone, and its versions are given out again.
     pub fn restore(&self) {
         let mut state = self.0.lock().unwrap();
-        state.now = state.copy.clone();
+        state.now = state.backup.clone();
         state.era += 1;
     }
 
     /// Performs the writes that were not answered and wait.
-    pub fn perform_late(&self) {
+    pub fn apply_delayed(&self) {
         let mut state = self.0.lock().unwrap();
-        let late = std::mem::take(&mut state.late);
-        for put in late {
+        let delayed = std::mem::take(&mut state.delayed);
+        for put in delayed {
             drop(state.now.put(&put));
         }
     }
@@ -192,15 +192,15 @@
     fn put(&self, put: RowPut) -> StoreCall<'_, u64> {
         let mut state = self.0.lock().unwrap();
         state.puts += 1;
-        let next = state.next_puts.pop_front();
+        let next = state.put_faults.pop_front();
         let no_answer = || Err(StoreError::NoAnswer("lost".to_owned()));
         let result = match next {
-            Some(NextPut::TurnedAway) => Err(StoreError::TooManyCalls),
-            Some(NextPut::Late) => {
-                state.late.push(put);
+            Some(PutFault::Rejected) => Err(StoreError::TooManyCalls),
+            Some(PutFault::Delayed) => {
+                state.delayed.push(put);
                 no_answer()
             }
-            Some(NextPut::Unanswered) => {
+            Some(PutFault::AnswerLost) => {
                 drop(state.now.put(&put));
                 no_answer()
             }
--- a/tests/store_rows.rs
+++ b/tests/store_rows.rs
@@ -8,7 +8,7 @@
 use rstest::rstest;
 
 use fake_store::FakeStore;
-use fake_store::NextPut;
+use fake_store::PutFault;
 use sassafrasgap::core::Name;
 use sassafrasgap::errors::StoreError;
 use sassafrasgap::store::EraStore;
@@ -43,7 +43,7 @@
     let mut keeper = keeper(&store);
     keeper.assume_absent();
     for _ in 0..3 {
-        store.next_put(NextPut::TurnedAway);
+        store.inject_fault(PutFault::Rejected);
         let kept = write(&mut keeper, b"up");
         assert_eq!(kept, WriteOutcome::Retry(StoreError::TooManyCalls));
     }
@@ -89,24 +89,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
     /// The process has something new to keep, and makes one try.
-    Change,
-    Try,
-    LoseNext,
-    DelayNext,
-    PerformLate,
-    KeepCopy,
+    Update,
+    Retry,
+    LoseNextAnswer,
+    DelayNextPut,
+    ApplyDelayed,
+    TakeBackup,
     Restore,
     /// The process is restarted: it reads its row, and keeps what that holds if it knows no better.
     Restart,
 }
 
 const STEPS: [Step; 8] = [
-    Step::Change,
-    Step::Try,
-    Step::LoseNext,
-    Step::DelayNext,
-    Step::PerformLate,
-    Step::KeepCopy,
+    Step::Update,
+    Step::Retry,
+    Step::LoseNextAnswer,
+    Step::DelayNextPut,
+    Step::ApplyDelayed,
+    Step::TakeBackup,
     Step::Restore,
     Step::Restart,
 ];
@@ -120,20 +120,20 @@
     let mut wanted: u8 = 0;
     for step in steps {
         match step {
-            Step::Change => wanted += 1,
-            Step::Try => {}
-            Step::LoseNext => store.next_put(NextPut::Unanswered),
-            Step::DelayNext => store.next_put(NextPut::Late),
-            Step::PerformLate => store.perform_late(),
-            Step::KeepCopy => store.keep_copy(),
+            Step::Update => wanted += 1,
+            Step::Retry => {}
+            Step::LoseNextAnswer => store.inject_fault(PutFault::AnswerLost),
+            Step::DelayNextPut => store.inject_fault(PutFault::Delayed),
+            Step::ApplyDelayed => store.apply_delayed(),
+            Step::TakeBackup => store.take_backup(),
             Step::Restore => store.restore(),
             Step::Restart => keeper = self::keeper(&store),
         }
-        if matches!(step, Step::Change | Step::Try) {
+        if matches!(step, Step::Update | Step::Retry) {
             write(&mut keeper, &[wanted]);
         }
     }
-    store.perform_late();
+    store.apply_delayed();
     keeper.forget();
     for _ in 0..8 {
         if write(&mut keeper, &[wanted]) == WriteOutcome::Written {
@@ -189,7 +189,7 @@
     let store = FakeStore::default();
     let name = RowName::new("op", "config");
     store.write(&name, b"1");
-    store.keep_copy();
+    store.take_backup();
     let mut watch = TableWatch::new(Arc::new(store.clone()), Name::from("op"), Name::from(""));
     next(&mut watch).unwrap();
     store.write(&name, b"2");
@@ -207,7 +207,7 @@
     let store = FakeStore::default();
     let name = RowName::new("op", "config");
     store.write(&name, b"1");
-    store.keep_copy();
+    store.take_backup();
     store.write(&name, b"2");
     let mut watch = TableWatch::new(Arc::new(store.clone()), Name::from("op"), Name::from(""));
     next(&mut watch).unwrap();
