--- a/src/traffic/guard.rs
+++ b/src/traffic/guard.rs
@@ -147,7 +147,7 @@
 
 /// Takes over what the caller's entry was told of the local backend server.
 fn take_word(traffic: &Traffic, hop: &HopCall) {
-    let Some(word) = &hop.word else {
+    let Some(word) = &hop.advertisement else {
         return;
     };
     let now = traffic.clock.now();
@@ -299,7 +299,7 @@
         origin: news.origin,
         load: news.load,
         failing_permille: news.failing_permille,
-        word: news.word,
+        advertisement: news.word,
     };
     let refused = || WholeAnswer {
         status: StatusCode::SERVICE_UNAVAILABLE,
--- a/src/traffic/hop.rs
+++ b/src/traffic/hop.rs
@@ -58,7 +58,7 @@
             call.repeated_permille
         },
         deadline_left_ms: deadline.since(traffic.clock.now()) as u32,
-        word: traffic.told_words().of(&target.node).cloned(),
+        advertisement: traffic.told_words().of(&target.node).cloned(),
     }
 }
 
@@ -131,7 +131,7 @@
             failing_permille: hop.failing_permille,
             pressure: hop.pressure,
             origin: hop.origin,
-            word: hop.word,
+            word: hop.advertisement,
         }),
     }
 }
--- a/src/wire/hop_answer.rs
+++ b/src/wire/hop_answer.rs
@@ -29,7 +29,8 @@
     /// Which share of calls fails at the backend server lately, in thousandths.
     pub failing_permille: u32,
     /// What the backend server has said of itself, if it binds whoever sends it requests.
-    pub word: Option<Advertisement>,
+    #[serde(rename = "word")]
+    pub advertisement: Option<Advertisement>,
 }
 
 impl HopAnswer {
--- a/src/wire/hop_call.rs
+++ b/src/wire/hop_call.rs
@@ -52,7 +52,8 @@
     /// What remains of the deadline when the header is written.
     pub deadline_left_ms: u32,
     /// What the sender was told of the backend server, if it binds: the guard may have been restarted.
-    pub word: Option<Advertisement>,
+    #[serde(rename = "word")]
+    pub advertisement: Option<Advertisement>,
 }
 
 impl HopCall {
