--- a/src/traffic/hop.rs
+++ b/src/traffic/hop.rs
@@ -46,7 +46,7 @@
         service: call.service.clone(),
         route: call.route.clone(),
         caller_service: traffic.settings.service.clone(),
-        is_near: target.domain == traffic.settings.domain,
+        is_same_domain: target.domain == traffic.settings.domain,
         origin: call.origin,
         is_certain_origin: call.is_certain_origin,
         account: call.account.clone(),
--- a/src/traffic/route_origins.rs
+++ b/src/traffic/route_origins.rs
@@ -64,7 +64,7 @@
         let heard = ObservedCall {
             route: &call.route,
             caller_service: &call.caller_service,
-            same_domain: call.is_near && callers.near.len() > 1,
+            same_domain: call.is_same_domain && callers.near.len() > 1,
             reported_origin: call.origin,
         };
         let services = CallingServices {
--- a/src/wire/hop_call.rs
+++ b/src/wire/hop_call.rs
@@ -36,7 +36,8 @@
     /// The service beside which the call began.
     pub caller_service: Name,
     /// The sender is in the target's failure domain.
-    pub is_near: bool,
+    #[serde(rename = "is_near")]
+    pub is_same_domain: bool,
     /// Who uses the call's route, as far as the sender knows.
     pub origin: Option<RouteOrigin>,
     /// The sender knows who made this very call, and does not judge by its route.
