--- a/src/core/clock.rs
+++ b/src/core/clock.rs
@@ -1,4 +1,4 @@
-//! Monotonic time in milliseconds, the only time that decisions see.
+//! Monotonic time in milliseconds, the only time that decision modules use.
 
 use std::fmt;
 use std::ops::Add;
@@ -10,14 +10,14 @@
 
 /// A moment on this process's monotonic clock, in milliseconds since the process started.
 ///
-/// It never leaves the process: what is sent to others is always a remaining duration, because
-/// the clocks of two VMs have nothing in common (see docs/DESIGN.md, "Time").
+/// It never leaves the process. Messages carry remaining durations instead, because the clocks of
+/// two VMs are not comparable (see docs/DESIGN.md, "Time").
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct TimeMs(pub u64);
 
 impl TimeMs {
-    /// Milliseconds from `earlier` to `self`, or 0 when `earlier` is later.
+    /// Milliseconds from `earlier` to `self`, or 0 if `earlier` is later.
     pub fn since(self, earlier: Self) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
@@ -45,26 +45,27 @@
     }
 }
 
-/// The source of [`TimeMs`], read at the edges and handed into decisions as a value.
+/// The source of [`TimeMs`]. It is read in I/O code, and decision modules receive the time as a
+/// value.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
 }
 
 impl Clock {
-    /// Starts a clock whose first moment is now.
+    /// A clock that starts at 0 now.
     pub fn new() -> Self {
         Self {
             origin: Instant::now(),
         }
     }
 
-    /// The present moment in milliseconds.
+    /// The current time in milliseconds.
     pub fn now(&self) -> TimeMs {
         TimeMs(self.origin.elapsed().as_millis() as u64)
     }
 
-    /// The present moment in microseconds, for latency histograms only.
+    /// The current time in microseconds, for latency histograms only.
     pub fn now_us(&self) -> u64 {
         self.origin.elapsed().as_micros() as u64
     }
--- a/src/core/collections.rs
+++ b/src/core/collections.rs
@@ -1,17 +1,19 @@
-//! Hash maps with a fast hasher. Keys come from inside or are bounded, so the hasher need not
-//! resist chosen keys; every map in the product has a bound and an eviction rule of its own.
+//! Hash maps with a fast hasher.
+//!
+//! The hasher does not resist chosen keys. It need not, because keys are internal or bounded in
+//! number, and every map has a size bound and an eviction rule of its own.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
 
 use rustc_hash::FxBuildHasher;
 
-/// The map that the whole crate uses.
+/// The hash map used throughout the crate.
 pub type FastMap<K, V> = HashMap<K, V, FxBuildHasher>;
 
-/// A map of which a copy shares all that has not changed since: taking one costs the same at any size.
+/// A persistent map: a clone shares all unchanged entries, and cloning takes constant time.
 pub type SharedMap<K, V> =
     imbl::GenericHashMap<K, V, FxBuildHasher, imbl::shared_ptr::DefaultSharedPtr>;
 
-/// The set that the whole crate uses.
+/// The hash set used throughout the crate.
 pub type FastSet<T> = HashSet<T, FxBuildHasher>;
--- a/src/core/identifiers.rs
+++ b/src/core/identifiers.rs
@@ -1,4 +1,4 @@
-//! Identifiers of requests and of attempts to run them.
+//! Identifiers of requests and of attempts.
 
 use std::fmt;
 use std::hash::Hasher;
@@ -7,22 +7,22 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Names one root request and every call made on its behalf.
+/// Identifies one root request and every call made on its behalf.
 ///
-/// It is derived from the caller's idempotency key where there is one, so that a resend is seen
-/// as the same request at every entry; otherwise it is random.
+/// It is derived from the caller's idempotency key if there is one, so that every entry recognises
+/// a resend as the same request. Otherwise it is random.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct RequestId(pub u128);
 
 impl RequestId {
-    /// A fresh random identifier.
+    /// A new random identifier.
     pub fn random() -> Self {
         Self(fastrand::u128(..))
     }
 
-    /// The identifier of a request that its caller named by a key: the same at every entry and
-    /// for every resend.
+    /// The identifier of a request with an idempotency key: the same at every entry and for every
+    /// resend.
     pub fn of_key(service: &str, key: &str) -> Self {
         let half = |salt: u8| {
             let mut hasher = FxHasher::default();
@@ -35,8 +35,8 @@
         Self((half(1) << 64) | half(2))
     }
 
-    /// A stable value in 0..=u16::MAX, the same at every hop, by which requests of one class are
-    /// ranked so that the same requests survive everywhere (docs/DESIGN.md, "The whole chain").
+    /// The rank of the request within its class, the same at every hop, so that every hop sheds the
+    /// same requests (docs/DESIGN.md, "The whole chain").
     pub fn rank(self) -> u16 {
         let mut hasher = FxHasher::default();
         hasher.write_u128(self.0);
@@ -50,13 +50,13 @@
     }
 }
 
-/// Names one attempt to run one call at one target; never used twice.
+/// Identifies one attempt to run one call at one target. It is never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct AttemptId(pub u128);
 
 impl AttemptId {
-    /// A fresh random identifier.
+    /// A new random identifier.
     pub fn random() -> Self {
         Self(fastrand::u128(..))
     }
@@ -68,8 +68,8 @@
     }
 }
 
-/// A stable hash of a call's content, used to recognise a request that crashes backend servers
-/// even when it comes back under another identifier (docs/DESIGN.md, "Poisoned requests").
+/// A stable hash of a call's content. It identifies a request that crashes backend servers even
+/// when the request is sent again under another identifier (docs/DESIGN.md, "Poisoned requests").
 pub fn fingerprint_of(service: &str, method: &str, path: &str, body: &[u8]) -> u64 {
     let mut hasher = FxHasher::default();
     for part in [service.as_bytes(), method.as_bytes(), path.as_bytes(), body] {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,4 +1,4 @@
-//! The vocabulary shared by every concern: time, names, identifiers, priorities and outcomes.
+//! Types shared by all modules: time, names, identifiers, priorities and outcomes.
 
 mod clock;
 mod collections;
--- a/src/core/names.rs
+++ b/src/core/names.rs
@@ -2,5 +2,5 @@
 
 use std::sync::Arc;
 
-/// A shared immutable string, cheap to clone and to hand between threads.
+/// A shared immutable string that is cheap to clone and to pass between threads.
 pub type Name = Arc<str>;
--- a/src/core/outcome.rs
+++ b/src/core/outcome.rs
@@ -1,23 +1,23 @@
-//! What became of a call, as every answer and every refusal states it.
+//! The outcome of a call, as stated in every answer and refusal.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Whether the request was run, as far as the speaker can be certain.
+/// Whether the request was run, as far as the answering node can be certain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunState {
-    /// The request was provably not started and will not be.
+    /// The request was certainly not started and will not be.
     NotRun,
-    /// The request ran to its end.
+    /// The request ran to completion.
     Ran,
-    /// The request may have run; nobody who could be asked knows.
+    /// The request may have run. No node that could be asked knows.
     Unknown,
 }
 
 impl RunState {
-    /// The word used in headers, logs and reports.
+    /// The text used in headers, logs and reports.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not_run",
@@ -38,7 +38,7 @@
             /// Every reason, in the order in which metrics list them.
             pub const ALL: &'static [Self] = &[$(Self::$variant,)*];
 
-            /// The word used in headers, metric labels, logs and reports.
+            /// The text used in headers, metric labels, logs and reports.
             pub fn as_str(self) -> &'static str {
                 match self { $(Self::$variant => $text,)* }
             }
@@ -47,113 +47,115 @@
 }
 
 reasons! {
-    /// Why a call was refused. Each has a counter of its own (docs/OPERATIONS.md).
+    /// Why a call was refused. Each reason has its own counter (docs/OPERATIONS.md).
     RefusalReason {
-        /// The admission level learnt from answers says that the chain would shed it deeper down.
+        /// A downstream service would shed the call, by the admission level learnt from answers.
         ShedAtEntry => "shed_at_entry",
-        /// The guard's queue of the class is full or the priority is under its level.
+        /// The guard's queue for the class is full, or the priority is below the admission level.
         Overloaded => "overloaded",
         /// The call waited longer than the preset allows for its class.
         WaitExceeded => "wait_exceeded",
-        /// What is left of the deadline cannot be met any more.
+        /// The deadline has passed or can no longer be met.
         DeadlineExceeded => "deadline_exceeded",
         /// The target is draining or leaving.
         Draining => "draining",
-        /// The backend server shed the call itself, before it started it.
+        /// The backend server shed the call before starting it.
         BackendShed => "backend_shed",
-        /// It would be a repeat, and what its calls may repeat of a service behind it is spent.
+        /// The call would be a repeat, and the budget for repeats at a downstream service is used
+        /// up.
         RepeatsSpent => "repeats_spent",
-        /// Another incarnation of the backend server stands at the address; it did not run the call.
+        /// Another incarnation of the backend server now uses the address. It did not run the call.
         BackendReplaced => "backend_replaced",
-        /// The backend server could not be connected to.
+        /// The connection to the backend server failed.
         BackendDown => "backend_down",
-        /// The backend server broke off in the middle of the call.
+        /// The backend server closed the connection in the middle of the call.
         BackendBroke => "backend_broke",
         /// No target of the service is known or reachable.
         NoTarget => "no_target",
-        /// No such service has ever been announced.
+        /// The service has never been announced.
         UnknownService => "unknown_service",
-        /// The peer could not be reached or was lost before an answer came.
+        /// The peer was unreachable, or was lost before it answered.
         PeerLost => "peer_lost",
-        /// The request, or one of the same content, crashed backend servers.
+        /// The request, or one with the same content, crashed backend servers.
         Poisoned => "poisoned",
-        /// The key's home target does not own the slot (any more).
+        /// The target does not own the slot of the key, or no longer owns it.
         NotOwner => "not_owner",
-        /// The attempt was under way for so long that its key may have been forgotten.
+        /// The attempt took so long to arrive that its key may have been evicted from the ledger.
         StaleAttempt => "stale_attempt",
-        /// The slot's owner cannot prove that its lease holds.
+        /// The owner of the slot cannot prove that its lease is valid.
         LeaseLapsed => "lease_lapsed",
-        /// The slot was taken over lately and the key may have run before that.
+        /// The slot was taken over recently, and the key may have run before that.
         GracePeriod => "grace_period",
         /// The ledger of keys has no room for another key.
         LedgerFull => "ledger_full",
-        /// The key already ran or may have; its answer is no longer kept.
+        /// The key ran or may have run, and its answer is no longer kept.
         AlreadyRan => "already_ran",
-        /// The same key came with another content.
+        /// The same key was used with different content.
         KeyMismatch => "key_mismatch",
         /// No preset is known yet, so nothing can be classified.
         NoPreset => "no_preset",
-        /// The body ended early or disagrees with its announced length.
+        /// The body ended early, or its length differs from the announced one.
         BodyCutShort => "body_cut_short",
-        /// The headers or the body are larger than the settings allow.
+        /// The headers or the body exceed the configured limits.
         TooLarge => "too_large",
-        /// Bodies take all the memory that they may at this node.
+        /// The memory limit for request and answer bodies at this node is reached.
         BodyMemory => "body_memory",
         /// The request is malformed.
         BadRequest => "bad_request",
-        /// A peer speaks another version of the protocol.
+        /// A peer uses another version of the protocol.
         PeerVersion => "peer_version",
-        /// The attempt was revoked by its sender before it started.
+        /// The sender revoked the attempt before it started.
         Revoked => "revoked",
-        /// The caller went away before the call started.
+        /// The caller disconnected before the call started.
         CallerGone => "caller_gone",
-        /// No client account holds the key that the request came with.
+        /// No client account has the API key of the request.
         AccountKeyUnknown => "account_key_unknown",
-        /// The route asks for a key, and the request came without one.
+        /// The route requires an API key, and the request has none.
         AccountKeyMissing => "account_key_missing",
-        /// The request came with several keys.
+        /// The request has several API keys.
         AccountKeyAmbiguous => "account_key_ambiguous",
-        /// The key was taken away from its account while the request waited.
+        /// The API key was removed from its account while the request waited.
         AccountKeyRevoked => "account_key_revoked",
-        /// Whether keys still hold is not known here: the store's word on it is too old.
+        /// This node cannot tell whether API keys are still valid: its data from the store is too
+        /// old.
         AccountKeysUnsure => "account_keys_unsure",
-        /// The account has used what it may for now.
+        /// The client account has used up its current allowance.
         AllowanceSpent => "allowance_spent",
-        /// The backend server names a rate in its answers, and this call would be beyond it.
+        /// The call would exceed the rate that the backend server advertises in its answers.
         RateLimited => "rate_limited",
     }
 }
 
 reasons! {
-    /// Why a call was attempted again. Each has a counter of its own.
+    /// Why a call was retried. Each reason has its own counter.
     RetryReason {
-        /// The target refused before it started the call.
+        /// The target refused the call before starting it.
         NotRun => "not_run",
-        /// The target could not be reached at all.
+        /// The target was unreachable.
         Unreachable => "unreachable",
-        /// An idempotent call was lost with its connection.
+        /// The connection was lost during an idempotent call.
         ConnectionLost => "connection_lost",
-        /// The connection went silent and the target never saw the attempt.
+        /// The connection became silent, and the target never received the attempt.
         SilentConnection => "silent_connection",
         /// The slot of the key has another owner.
         OwnerMoved => "owner_moved",
-        /// The owner asked for its present stamp.
+        /// The owner requires its current stamp in the attempt.
         StampRenewed => "stamp_renewed",
     }
 }
 
-/// A typed refusal as it travels between nodes and to callers.
+/// A refusal, as sent between nodes and to callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Refusal {
     pub reason: RefusalReason,
     pub run_state: RunState,
-    /// When to come back, in milliseconds; already jittered by whoever worked it out.
+    /// When to retry, in milliseconds. Jitter is already included.
     pub retry_after_ms: u64,
 }
 
 impl Refusal {
-    /// A refusal of a call that was certainly not started.
+    /// Refuses a call that was certainly not started.
     pub fn not_run(reason: RefusalReason, retry_after_ms: u64) -> Self {
         Self {
             reason,
@@ -162,7 +164,7 @@
         }
     }
 
-    /// A refusal of a call that may have run.
+    /// Refuses a call that may have run.
     pub fn unknown(reason: RefusalReason, retry_after_ms: u64) -> Self {
         Self {
             reason,
--- a/src/core/route_origin.rs
+++ b/src/core/route_origin.rs
@@ -1,14 +1,14 @@
-//! Who uses a route.
+//! Which kind of client uses a route.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Who uses a route.
+/// Which kind of client uses a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum RouteOrigin {
-    /// Callers: their requests begin beside backend servers of every service.
+    /// Callers. Their requests enter at nodes of every service.
     Callers,
-    /// Backend servers of some services, on behalf of requests that run there.
+    /// Backend servers of some services, which make child calls for the requests that they run.
     Backends,
 }
--- a/src/core/view.rs
+++ b/src/core/view.rs
@@ -1,4 +1,4 @@
-//! The immutable picture of all targets that the control thread publishes.
+//! The immutable snapshot of all targets that the control thread publishes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,33 +10,34 @@
 use crate::core::Name;
 use crate::core::SharedMap;
 
-/// Where a target stands in its life.
+/// The lifecycle state of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetState {
-    /// The node runs; its backend server has not announced itself, or is down.
+    /// The node is running, but its backend server has not announced itself or is down.
     Starting,
-    /// The backend server takes work.
+    /// The backend server accepts new calls.
     Up,
-    /// No new work; what is in flight finishes.
+    /// No new calls are accepted. Calls in flight are completed.
     Draining,
-    /// Its node does not answer; others still check.
+    /// Its node does not answer. Other nodes are still probing it.
     Suspect,
-    /// Its node is taken to be gone.
+    /// Its node is considered dead.
     Dead,
-    /// It said that it leaves and has finished.
+    /// It announced its departure and has finished its calls.
     Left,
 }
 
 impl TargetState {
-    /// Whether new work may be sent there. A suspect is still tried: its own answers decide.
+    /// Whether new calls may be sent to the target. A suspect is still tried, and its answers decide
+    /// whether it stays in use.
     pub fn takes_work(self) -> bool {
         matches!(self, Self::Up | Self::Suspect)
     }
 }
 
-/// One backend server together with the node beside it.
+/// One backend server and the node beside it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Target {
@@ -45,31 +46,34 @@
     pub service: Name,
     pub region: Name,
     pub domain: Name,
-    /// HTTP address to which other nodes forward calls.
+    /// The HTTP address to which other nodes forward calls.
     pub peer_address: SocketAddr,
-    /// Address of the gossip datagrams (UDP) and of the control calls (TCP, tarpc).
+    /// The address for gossip datagrams (UDP) and control calls (TCP, tarpc).
     pub control_address: SocketAddr,
-    /// Orders the news about one node; a smaller one never overrides a larger.
+    /// Orders updates about one node: an update with a smaller incarnation never overrides a larger
+    /// one.
     pub incarnation: u64,
     pub state: TargetState,
-    /// How many calls the backend server says it runs at once; a hint that may only lower.
+    /// How many calls the backend server reports that it runs at once. The hint can only lower a
+    /// limit.
     pub slots: u32,
 }
 
-/// All targets known to this node, by service, with the count of changes so far.
+/// All targets known to this node, by service.
 #[derive(Clone, Debug, Default)]
 pub struct View {
+    /// The number of changes so far.
     pub changes: u64,
-    /// Targets of each service, ordered by node name so that every node sees the same order.
+    /// The targets of each service, ordered by node name so that every node has the same order.
     pub services: FastMap<Name, Arc<[Arc<Target>]>>,
-    /// Every node by name, also those without a backend server.
+    /// All nodes by name, including those without a backend server.
     pub nodes: SharedMap<Name, Arc<Target>>,
-    /// Failure domains from which nothing has been heard lately, as this node sees it.
+    /// Failure domains from which this node has received nothing recently.
     pub cut_off_domains: Vec<Name>,
 }
 
 impl View {
-    /// The targets of a service; empty when it is unknown.
+    /// The targets of a service; empty if the service is unknown.
     pub fn targets(&self, service: &str) -> &[Arc<Target>] {
         self.services.get(service).map_or(&[], |targets| targets)
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,9 @@
 //! Overload control for service call graphs: one small process beside each backend server.
 //!
-//! The folders are concerns. Decisions (`accounts`, `admission`, `routing`, `retry`, `poison`, `claims`,
-//! `membership`, `preset`) are pure: they take inputs and a time and return actions. `adapters`
-//! meets the outside; `node` puts both together. See [docs/DESIGN.md](../docs/DESIGN.md).
+//! Each module covers one concern. The decision modules (`accounts`, `admission`, `routing`,
+//! `retry`, `poison`, `claims`, `membership`, `preset`) are pure: they take inputs and a time and
+//! return actions. `adapters` does the I/O; `node` connects the two. See
+//! [docs/DESIGN.md](../docs/DESIGN.md).
 
 pub mod accounts;
 pub mod adapters;
--- a/src/node/backend_words.rs
+++ b/src/node/backend_words.rs
@@ -11,8 +11,8 @@
 use crate::admission::RateLimitState;
 use crate::core::TimeMs;
 use crate::node::gate::Gate;
-use crate::wire::headers;
 use crate::wire::advertised_rate;
+use crate::wire::headers;
 
 const RATE_LIMIT: HeaderName = HeaderName::from_static(headers::RATE_LIMIT);
 
--- a/src/store/answered.rs
+++ b/src/store/answered.rs
@@ -1,7 +1,9 @@
-//! An answer of the store, and the era that it is of.
+//! An answer of the store, with the era in which it was given.
 
-/// What the store answered. Versions mean something within one era only: a store that was restored from
-/// an older copy gives them out again, and its era rises.
+/// An answer of the store.
+///
+/// Versions can be compared only within one era. A store that was restored from an older backup
+/// assigns the same versions again, and increments its era.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Answered<T> {
     pub era: u64,
--- a/src/store/counted_store.rs
+++ b/src/store/counted_store.rs
@@ -1,4 +1,4 @@
-//! A store whose calls are counted by purpose and result.
+//! A store wrapper that counts calls by purpose and result.
 
 use std::sync::Arc;
 
@@ -18,20 +18,22 @@
 /// Counters of calls to the store.
 #[derive(Clone)]
 pub struct StoreCounters {
-    /// By table and kind of call, when a call is made: each is paid for, also one that fails.
+    /// All calls, by table and kind. They are counted when sent, because failed calls are billed as
+    /// well.
     pub calls: IntCounterVec,
-    /// By table, kind of call and reason, for those that failed.
+    /// Failed calls, by table, kind and reason.
     pub failures: IntCounterVec,
 }
 
-/// Passes calls on and counts them, by table and kind of call: together these say what for.
+/// Forwards calls to a store and counts them by table and kind, which together identify the
+/// purpose.
 pub struct CountedStore {
     store: Arc<dyn Store>,
     counters: StoreCounters,
 }
 
 impl CountedStore {
-    /// Counts in `counters`.
+    /// Wraps `store` and counts its calls in `counters`.
     pub fn new(store: Arc<dyn Store>, counters: StoreCounters) -> Self {
         Self { store, counters }
     }
@@ -86,9 +88,9 @@
         table: Name,
         part: Name,
         from: Name,
-        most: usize,
+        max_rows: usize,
     ) -> StoreCall<'_, Vec<StoredRow>> {
-        let call = self.store.read_some(table.clone(), part, from, most);
+        let call = self.store.read_some(table.clone(), part, from, max_rows);
         self.counted(table, "read_some", call)
     }
 
--- a/src/store/era_store.rs
+++ b/src/store/era_store.rs
@@ -1,4 +1,4 @@
-//! A store of whose answers those of an earlier era count for nothing.
+//! A store wrapper that rejects answers of an earlier era.
 
 use futures::FutureExt;
 
@@ -13,24 +13,25 @@
 use crate::store::StoreCall;
 use crate::store::StoredRow;
 
-/// Passes calls on and notes the era of each answer.
+/// Forwards calls to a store, and records and checks the era of each answer.
 ///
-/// Guards against an answer that was given before the store was restored and arrives after a later one:
-/// what it says was undone, and its version may mean something else by now. It holds because the era that
-/// was seen never goes back, whoever saw it first.
+/// Guards against an answer that was given before the store was restored and that arrives after one
+/// of the restored store. Its content was undone by the restore, and its version may since have
+/// been assigned to another change. The recorded era never decreases, whichever node saw it first,
+/// so the late answer is rejected.
 pub struct EraStore<S> {
     store: S,
     eras: EraWatch,
 }
 
 impl<S: Store> EraStore<S> {
-    /// Notes eras in `eras`.
+    /// Wraps `store` and records eras in `eras`.
     pub fn new(store: S, eras: EraWatch) -> Self {
         Self { store, eras }
     }
 
-    fn noted<'a, T: Send + 'a>(&'a self, call: StoreCall<'a, T>) -> StoreCall<'a, T> {
-        let noted = async move {
+    fn checked<'a, T: Send + 'a>(&'a self, call: StoreCall<'a, T>) -> StoreCall<'a, T> {
+        let checked = async move {
             let answered = call.await?;
             match self.eras.observe(answered.era) {
                 true => Ok(answered),
@@ -40,17 +41,17 @@
                 }),
             }
         };
-        noted.boxed()
+        checked.boxed()
     }
 }
 
 impl<S: Store> Store for EraStore<S> {
     fn read_part(&self, table: Name, part: Name) -> StoreCall<'_, RowsRead> {
-        self.noted(self.store.read_part(table, part))
+        self.checked(self.store.read_part(table, part))
     }
 
     fn read_row(&self, name: RowName) -> StoreCall<'_, Option<StoredRow>> {
-        self.noted(self.store.read_row(name))
+        self.checked(self.store.read_row(name))
     }
 
     fn read_some(
@@ -58,16 +59,16 @@
         table: Name,
         part: Name,
         from: Name,
-        most: usize,
+        max_rows: usize,
     ) -> StoreCall<'_, Vec<StoredRow>> {
-        self.noted(self.store.read_some(table, part, from, most))
+        self.checked(self.store.read_some(table, part, from, max_rows))
     }
 
     fn changes(&self, table: Name, after: u64, wait_ms: u64) -> StoreCall<'_, Changes> {
-        self.noted(self.store.changes(table, after, wait_ms))
+        self.checked(self.store.changes(table, after, wait_ms))
     }
 
     fn put(&self, put: RowPut) -> StoreCall<'_, u64> {
-        self.noted(self.store.put(put))
+        self.checked(self.store.put(put))
     }
 }
--- a/src/store/era_watch.rs
+++ b/src/store/era_watch.rs
@@ -1,27 +1,29 @@
-//! The newest era of the store that anybody has seen.
+//! The newest era of the store that any node has reported.
 
 use tokio::sync::watch;
 
-/// Follows the era of the store, from its own answers and by others' word. It never goes back.
+/// Tracks the era of the store, from the store's answers and from reports of other nodes.
+/// The era never decreases.
 #[derive(Clone, Debug)]
 pub struct EraWatch {
     newest: watch::Sender<Option<u64>>,
 }
 
 impl EraWatch {
-    /// No era was heard of.
+    /// A watch that has seen no era yet.
     pub fn new() -> Self {
         Self {
             newest: watch::Sender::new(None),
         }
     }
 
-    /// The newest era heard of, if any was.
+    /// The newest era seen, if any.
     pub fn newest(&self) -> Option<u64> {
         *self.newest.borrow()
     }
 
-    /// Takes in an era. Answers whether it is the newest, so that an answer of it counts.
+    /// Records an era. Returns whether it is the newest, that is, whether an answer of this era is
+    /// valid.
     pub fn observe(&self, era: u64) -> bool {
         let rises = |newest: &mut Option<u64>| {
             let rises = Some(era) > *newest;
@@ -34,7 +36,7 @@
         self.newest() == Some(era)
     }
 
-    /// Tells of the first era and of each later one.
+    /// A receiver that is notified of the first era and of each newer one.
     pub fn subscribe(&self) -> watch::Receiver<Option<u64>> {
         self.newest.subscribe()
     }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,9 +1,8 @@
-//! The port to a store of rows that outlives all processes: reads, conditional transactions and a
-//! feed of changes, whoever provides it.
+//! The port to a durable row store: reads, conditional writes and a change feed.
 //!
-//! An implementation only speaks a store's protocol. What has to be right whatever the store is
-//! stands here once: reading anew when the history is gone, pauses after failures, and finding out
-//! what became of a write whose answer was lost.
+//! An implementation covers only the protocol of one store. The rules that hold for every store are
+//! implemented here once: rereading a table when the history is gone, backoff after failures, and
+//! resolving a write whose answer was lost.
 
 mod answered;
 mod counted_store;
@@ -22,8 +21,8 @@
 pub use era_watch::EraWatch;
 pub use port::Store;
 pub use port::StoreCall;
-pub use row_writer::WriteOutcome;
 pub use row_writer::RowWriter;
+pub use row_writer::WriteOutcome;
 pub use rows::Changes;
 pub use rows::RowChange;
 pub use rows::RowName;
@@ -33,6 +32,6 @@
 pub use rows::key_after;
 pub use store_rates::StoreRates;
 pub use store_rates::part_name;
+pub use table_watch::Backoff;
 pub use table_watch::TableChanges;
 pub use table_watch::TableWatch;
-pub use table_watch::Backoff;
--- a/src/store/port.rs
+++ b/src/store/port.rs
@@ -1,4 +1,4 @@
-//! What a store offers.
+//! The interface of a store.
 
 use futures::future::BoxFuture;
 
@@ -11,30 +11,33 @@
 use crate::store::RowsRead;
 use crate::store::StoredRow;
 
-/// What a call to a store comes to.
+/// The pending result of a call to a store.
 pub type StoreCall<'a, T> = BoxFuture<'a, Result<Answered<T>, StoreError>>;
 
-/// A store of rows. Every call ends within a bounded time, and is sent once: callers decide about
-/// another try.
+/// A store of rows.
+///
+/// Every call ends within a bounded time and is sent once. Retries are up to the code that calls.
 pub trait Store: Send + Sync {
-    /// All rows of one part of a table as of one moment, and the store's version at that moment.
+    /// Reads a consistent snapshot of one part of a table, with the version of the store at that
+    /// moment.
     fn read_part(&self, table: Name, part: Name) -> StoreCall<'_, RowsRead>;
 
-    /// One row, if there is one.
+    /// Reads one row, if it exists.
     fn read_row(&self, name: RowName) -> StoreCall<'_, Option<StoredRow>>;
 
-    /// At most `most` rows of a part, in the order of their keys, beginning at the key `from`.
+    /// Reads at most `max_rows` rows of a part in key order, starting at the key `from`.
     fn read_some(
         &self,
         table: Name,
         part: Name,
         from: Name,
-        most: usize,
+        max_rows: usize,
     ) -> StoreCall<'_, Vec<StoredRow>>;
 
-    /// The changes of a table after a version, as soon as there are any; none after `wait_ms`.
+    /// Waits for changes of a table after the version `after`, and returns none when `wait_ms` have
+    /// passed.
     fn changes(&self, table: Name, after: u64, wait_ms: u64) -> StoreCall<'_, Changes>;
 
-    /// Writes a row if it is still at the expected version. Answers its new version.
+    /// Writes a row if it is still at the expected version, and returns its new version.
     fn put(&self, put: RowPut) -> StoreCall<'_, u64>;
 }
--- a/src/store/row_writer.rs
+++ b/src/store/row_writer.rs
@@ -1,4 +1,4 @@
-//! A row that one process keeps up to date.
+//! Writes to a row that is owned by one process.
 
 use std::sync::Arc;
 
@@ -8,85 +8,88 @@
 use crate::store::Store;
 use crate::store::StoredRow;
 
-/// What became of one try to write the row.
+/// The outcome of one attempt to write the row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
     /// The row holds the value.
     Written,
-    /// It is not known to: try again after a pause.
+    /// The row is not known to hold the value: retry after a pause.
     Retry(StoreError),
 }
 
-/// At which version the row was, and in which era of the store if that is known.
+/// The last known version of the row, and the era of the store in which it was read or written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Held {
+struct KnownRow {
     era: Option<u64>,
     version: u64,
 }
 
-/// Writes one row, always on the condition of its version.
+/// Writes one row, always conditional on its version.
 ///
-/// Guards against a write whose answer was lost and that the store performs seconds later: without
-/// a condition it would put an old value over a newer one. It holds because after a lost answer the
-/// row is read back, and the next write names the version that was read: the late one then fails.
+/// Guards against a write whose answer was lost and that the store applies seconds later. Without a
+/// condition it would overwrite a newer value. After a lost answer the row is therefore read back,
+/// and the next write is conditional on the version that was read, so that the late write fails.
 ///
-/// Guards against a store that was restored from an older copy, and gives versions out again: a write on a
-/// version of before counts only if the answer is of the era in which that was read.
+/// Guards against a store that was restored from an older backup and assigns the same versions
+/// again. A write on a version counts only if its answer is of the era in which that version was
+/// read.
 pub struct RowWriter {
     store: Arc<dyn Store>,
     name: RowName,
-    /// `None` while nothing is known of the row.
-    held: Option<Held>,
+    /// `None` while the version of the row is unknown.
+    known: Option<KnownRow>,
 }
 
 impl RowWriter {
-    /// Keeps a row of which nothing is known yet.
+    /// A writer for a row whose version is unknown.
     pub fn new(store: Arc<dyn Store>, name: RowName) -> Self {
         Self {
             store,
             name,
-            held: None,
+            known: None,
         }
     }
 
-    /// Takes the row to be absent. The next write says whether it is, and is made once more if not.
+    /// Assumes that the row does not exist, which saves a read. If it does, the next write fails
+    /// with a conflict, and has to be retried.
     pub fn assume_absent(&mut self) {
-        self.held = Some(Held {
+        self.known = Some(KnownRow {
             era: None,
             version: 0,
         });
     }
 
-    /// Forgets what is known of the row: the next write reads it back first.
+    /// Discards the known version: the next write reads the row back first.
     pub fn forget(&mut self) {
-        self.held = None;
+        self.known = None;
     }
 
-    /// Makes one try to have the row hold `value`. Sends nothing when it does already.
+    /// Makes one attempt to set the row to `value`. If the version is unknown, the row is read
+    /// first, and not written when it already holds the value.
     pub async fn write(&mut self, value: &[u8]) -> WriteOutcome {
-        let held = match self.held {
-            Some(held) => held,
+        let known = match self.known {
+            Some(known) => known,
             None => match self.read_back(value).await {
                 Ok(None) => return WriteOutcome::Written,
-                Ok(Some(held)) => held,
+                Ok(Some(known)) => known,
                 Err(error) => return WriteOutcome::Retry(error),
             },
         };
         let put = RowPut {
             name: self.name.clone(),
             value: value.to_vec(),
-            expected_version: held.version,
+            expected_version: known.version,
         };
         match self.store.put(put).await {
-            Ok(answered) if held.era.is_some_and(|era| era != answered.era) => {
-                self.held = None;
+            Ok(answered) if known.era.is_some_and(|era| era != answered.era) => {
+                self.known = None;
                 WriteOutcome::Retry(StoreError::EarlierEra {
-                    era: held.era.unwrap_or_default(),
+                    era: known.era.unwrap_or_default(),
                     newest: answered.era,
                 })
             }
             Ok(answered) => {
-                self.held = Some(Held {
+                self.known = Some(KnownRow {
                     era: Some(answered.era),
                     version: answered.value,
                 });
@@ -94,44 +97,45 @@
             }
             Err(error) => {
                 if may_have_changed(&error) {
-                    self.held = None;
+                    self.known = None;
                 }
                 WriteOutcome::Retry(error)
             }
         }
     }
 
-    /// The row as the store holds it, if there is one.
+    /// Reads the row from the store, if it exists.
     ///
     /// # Errors
-    /// When the store does not say.
+    /// When the read fails.
     pub async fn read(&mut self) -> Result<Option<StoredRow>, StoreError> {
-        Ok(self.read_held().await?.0)
+        Ok(self.read_known().await?.0)
     }
 
-    async fn read_held(&mut self) -> Result<(Option<StoredRow>, Held), StoreError> {
+    async fn read_known(&mut self) -> Result<(Option<StoredRow>, KnownRow), StoreError> {
         let answered = self.store.read_row(self.name.clone()).await?;
         let row = answered.value;
-        let held = Held {
+        let known = KnownRow {
             era: Some(answered.era),
             version: row.as_ref().map_or(0, |row| row.version),
         };
-        self.held = Some(held);
-        Ok((row, held))
+        self.known = Some(known);
+        Ok((row, known))
     }
 
-    /// `None` when the row holds the value already, else the version on which to build.
-    async fn read_back(&mut self, value: &[u8]) -> Result<Option<Held>, StoreError> {
-        let (row, held) = self.read_held().await?;
-        let holds_it = row.is_some_and(|row| row.value == value);
-        Ok((!holds_it).then_some(held))
+    /// Returns `None` when the row already holds the value, else the version for the next write.
+    async fn read_back(&mut self, value: &[u8]) -> Result<Option<KnownRow>, StoreError> {
+        let (row, known) = self.read_known().await?;
+        let is_current = row.is_some_and(|row| row.value == value);
+        Ok((!is_current).then_some(known))
     }
 }
 
-/// Whether the row may be at another version than the one that was written on.
+/// Whether the row may no longer be at the version that the failed write was conditional on.
 ///
-/// Guards against two calls for each try while the store turns calls away: it shows as most of a large
-/// fleet's calls at its start. What was not done leaves the version as it was.
+/// Guards against a read in addition to each write attempt while the store rejects calls. These
+/// reads would be most of the calls of a large fleet when it starts. A write that was certainly not
+/// applied leaves the version unchanged, so no read is needed.
 fn may_have_changed(error: &StoreError) -> bool {
     matches!(error, StoreError::Conflict { .. }) || !error.is_not_done()
 }
--- a/src/store/rows.rs
+++ b/src/store/rows.rs
@@ -1,8 +1,8 @@
-//! Rows, and what is said about them.
+//! Rows of the store, and the types for reading and changing them.
 
 use crate::core::Name;
 
-/// Where a row lies. Rows of one part can be changed in one transaction.
+/// The address of a row. Rows of one part can be changed in one transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RowName {
     pub table: Name,
@@ -11,7 +11,7 @@
 }
 
 impl RowName {
-    /// A row of a table that has one part without a name.
+    /// A row of a table whose only part is unnamed.
     pub fn new(table: impl Into<Name>, key: impl Into<Name>) -> Self {
         Self {
             table: table.into(),
@@ -21,23 +21,23 @@
     }
 }
 
-/// A row as the store holds it.
+/// A row as read from the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredRow {
     pub name: RowName,
     pub value: Vec<u8>,
-    /// Rises with every change of the row, and does not repeat within an era of the store.
+    /// Increases with every change of the row, and is unique within an era of the store.
     pub version: u64,
 }
 
-/// All rows of a part, and the store's version when they were read.
+/// All rows of a part, and the version of the store when they were read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RowsRead {
     pub rows: Vec<StoredRow>,
     pub version: u64,
 }
 
-/// One row to write, on the condition that it is still at a version (0: that there is none).
+/// A conditional write: it is applied only if the row is at `expected_version` (0: does not exist).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RowPut {
     pub name: RowName,
@@ -45,23 +45,24 @@
     pub expected_version: u64,
 }
 
-/// A row that changed, or was dropped.
+/// A row that was written or deleted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RowChange {
     pub name: RowName,
-    /// `None` when the row was dropped.
+    /// `None` when the row was deleted.
     pub value: Option<Vec<u8>>,
     pub version: u64,
 }
 
-/// Changes in order, and the version from which to ask on.
+/// Changes in order, and the version to continue from.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
     pub rows: Vec<RowChange>,
     pub version: u64,
 }
 
-/// The first key that may come after this one: no key lies between a key and the same with a zero byte.
+/// The smallest key greater than `key`: no key sorts between a key and the same key with a zero
+/// byte appended.
 pub fn key_after(key: &str) -> Name {
     Name::from(format!("{key}\0"))
 }
--- a/src/store/store_rates.rs
+++ b/src/store/store_rates.rs
@@ -1,12 +1,12 @@
-//! How many writes a store takes, and over how many parts rows are spread for it.
+//! The write rates of a store, and the number of parts that rows are spread over for them.
 
 use crate::core::Name;
 use crate::core::stable_hash;
 
-/// Parts at most, so that a sample of rows is found in few of them.
-const MOST_PARTS: u64 = 64;
+/// The largest number of parts, so that a sample of rows can be read from few of them.
+const MAX_PARTS: u64 = 64;
 
-/// Writes that a store takes a second.
+/// The writes per second that a store accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreRates {
     /// In all parts together.
@@ -16,7 +16,7 @@
 }
 
 impl Default for StoreRates {
-    /// A store whose parts are not told of: one part does.
+    /// The default for a store without known limits: a single part.
     fn default() -> Self {
         Self {
             writes_per_s: 1,
@@ -26,22 +26,23 @@
 }
 
 impl StoreRates {
-    /// Over how many parts rows that all nodes write are spread: no part is then slower than the whole.
+    /// The number of parts over which the rows of all nodes are spread, so that no single part
+    /// limits the write rate.
     ///
-    /// Guards against a fleet that starts and whose first rows, all in one part, are turned away again and
-    /// again: each try is paid for.
+    /// Guards against a starting fleet whose first rows all go to one part and are rejected again
+    /// and again. Each attempt is billed.
     pub fn parts(self) -> u64 {
         let parts = self.writes_per_s.div_ceil(self.part_writes_per_s.max(1));
-        parts.clamp(1, MOST_PARTS)
+        parts.clamp(1, MAX_PARTS)
     }
 
-    /// The part of these in which a row lies that belongs to `owner`.
+    /// The part that holds the row of `owner`.
     pub fn part_of(self, owner: &str) -> u64 {
         stable_hash(owner.bytes()) % self.parts()
     }
 }
 
-/// The name of a part. The first one has none, as the only one of a small store.
+/// The name of a part. The first part is unnamed, as is the only part of a small store.
 pub fn part_name(part: u64) -> Name {
     match part {
         0 => Name::from(""),
--- a/src/store/table_watch.rs
+++ b/src/store/table_watch.rs
@@ -1,4 +1,4 @@
-//! Following a table: its rows first, then every change.
+//! Watching a table: a snapshot of its rows first, then every change.
 
 use std::sync::Arc;
 
@@ -8,88 +8,89 @@
 use crate::store::Store;
 use crate::store::StoredRow;
 
-/// The pause after a first failure, in milliseconds; it doubles with each further one.
-const FIRST_PAUSE_MS: u64 = 100;
-/// The longest pause unless another one is asked for, in milliseconds.
-const LONGEST_PAUSE_MS: u64 = 1_000;
-/// How often a pause doubles at most, so that it cannot overflow.
-const MOST_DOUBLINGS: u32 = 16;
+/// The backoff after the first failure, in milliseconds. It doubles with each further failure.
+const INITIAL_BACKOFF_MS: u64 = 100;
+/// The default upper bound of the backoff, in milliseconds.
+const MAX_BACKOFF_MS: u64 = 1_000;
+/// The largest number of doublings, so that the shift cannot overflow.
+const MAX_DOUBLINGS: u32 = 16;
 
-/// Growing pauses after failures, spread so that nodes that failed together do not return
-/// together.
+/// Exponential backoff with jitter, so that nodes that failed together do not retry together.
 #[derive(Clone, Debug, Default)]
 pub struct Backoff {
     failures: u32,
 }
 
 impl Backoff {
-    /// The pause after one more failure. `random` is uniform in 0..1.
+    /// Records a failure and returns the backoff in milliseconds. `random` is uniform in 0..1.
     pub fn after_failure(&mut self, random: f64) -> u64 {
-        self.after_failure_up_to(LONGEST_PAUSE_MS, random)
+        self.after_failure_up_to(MAX_BACKOFF_MS, random)
     }
 
-    /// The same, at most `longest_ms`.
-    pub fn after_failure_up_to(&mut self, longest_ms: u64, random: f64) -> u64 {
-        let doubled = FIRST_PAUSE_MS << self.failures;
-        self.failures = (self.failures + 1).min(MOST_DOUBLINGS);
-        (doubled.min(longest_ms) as f64 * (0.5 + random / 2.0)) as u64
+    /// Like [`Backoff::after_failure`], but at most `max_ms`.
+    pub fn after_failure_up_to(&mut self, max_ms: u64, random: f64) -> u64 {
+        let doubled = INITIAL_BACKOFF_MS << self.failures;
+        self.failures = (self.failures + 1).min(MAX_DOUBLINGS);
+        (doubled.min(max_ms) as f64 * (0.5 + random / 2.0)) as u64
     }
 
-    /// A call succeeded.
+    /// Resets the backoff after a successful call.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
 }
 
-/// Up to where a table is known.
+/// The position in a table's change feed up to which all changes are known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct KnownTo {
+struct Position {
     era: u64,
     version: u64,
 }
 
-/// What a table's feed brought.
+/// A batch of rows from a table's change feed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TableChanges {
     pub rows: Vec<RowChange>,
-    /// These are all rows that there are: what is not among them is gone.
+    /// These are all rows of the part: a row that is not among them does not exist.
     pub is_snapshot: bool,
 }
 
-/// One part of a table, followed from one version to the next.
+/// Watches one part of a table for changes.
 ///
-/// Guards against a feed that has forgotten what was missed: it shows as [`StoreError::HistoryGone`]
-/// or not at all, so after every failure the whole part is read anew. It holds because a read is of
-/// one moment and the feed goes on from just that moment.
+/// Guards against a feed that no longer holds the changes that were missed. The store may report
+/// this as [`StoreError::HistoryGone`] or not at all, so the whole part is reread after every
+/// failure. No change is lost, because a read is a consistent snapshot and the feed continues from
+/// its version.
 ///
-/// Guards against a store that was restored from an older copy: its versions are given out again, and the
-/// changes up to the one that was known would be missed without a sign. A risen era is read whole.
+/// Guards against a store that was restored from an older backup. It assigns the same versions
+/// again, and changes up to the known version would be missed without an error. When the era has
+/// increased, the whole part is therefore reread.
 pub struct TableWatch {
     store: Arc<dyn Store>,
     table: Name,
     part: Name,
-    /// Up to where everything is known; `None` before the first read.
-    known_to: Option<KnownTo>,
+    /// `None` before the first read and after a failure: the next call reads the whole part.
+    position: Option<Position>,
 }
 
 impl TableWatch {
-    /// Follows a part from its present rows on.
+    /// A watch on a part, starting with a snapshot of its rows.
     pub fn new(store: Arc<dyn Store>, table: Name, part: Name) -> Self {
         Self {
             store,
             table,
             part,
-            known_to: None,
+            position: None,
         }
     }
 
-    /// The next news: all rows after a start, a failure or a restored store, later what changed within
-    /// `wait_ms`.
+    /// The next batch: all rows after a start, a failure or a restore of the store, else the
+    /// changes within `wait_ms`.
     ///
     /// # Errors
-    /// What the store's call failed with. The next call then reads the whole part.
+    /// When the call to the store fails. The next call then reads the whole part.
     pub async fn next(&mut self, wait_ms: u64) -> Result<TableChanges, StoreError> {
-        let Some(known) = self.known_to.take() else {
+        let Some(known) = self.position.take() else {
             return self.read_all().await;
         };
         let table = self.table.clone();
@@ -98,7 +99,7 @@
             return self.read_all().await;
         }
         let changes = answered.value;
-        self.known_to = Some(KnownTo {
+        self.position = Some(Position {
             era: known.era,
             version: changes.version.max(known.version),
         });
@@ -114,7 +115,7 @@
         let (table, part) = (self.table.clone(), self.part.clone());
         let answered = self.store.read_part(table, part).await?;
         let read = answered.value;
-        self.known_to = Some(KnownTo {
+        self.position = Some(Position {
             era: answered.era,
             version: read.version,
         });
--- a/src/traffic/attempt.rs
+++ b/src/traffic/attempt.rs
@@ -5,8 +5,8 @@
 use crate::core::Refusal;
 use crate::core::RefusalReason;
 use crate::core::RouteOrigin;
-use crate::wire::LoadReport;
 use crate::wire::Advertisement;
+use crate::wire::LoadReport;
 
 /// What the guard said beside its answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/src/traffic/desired_task.rs
+++ b/src/traffic/desired_task.rs
@@ -12,12 +12,12 @@
 use crate::desired::WATCH_LONG_POLL_MS;
 use crate::desired::WATCH_MAX_BACKOFF_MS;
 use crate::errors::DesiredStateError;
+use crate::store::Backoff;
 use crate::store::RowChange;
 use crate::store::RowName;
 use crate::store::Store;
 use crate::store::TableChanges;
 use crate::store::TableWatch;
-use crate::store::Backoff;
 use crate::traffic::DesiredInForce;
 
 /// Decodes a desired state from the operator's row.
--- a/src/wire/advertisement.rs
+++ b/src/wire/advertisement.rs
@@ -1,19 +1,22 @@
-//! What a backend server has said of itself in its answers, as nodes tell it each other.
+//! The advertisement of a backend server, as nodes pass it on to each other.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::core::Name;
 
-/// The words of one incarnation. They travel with calls and answers only while there are any.
+/// What one incarnation of a backend server has stated in the headers of its answers.
+///
+/// Calls and answers carry it only while it states a rate or a departure.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Advertisement {
     pub incarnation: Name,
-    /// When it started, in Unix milliseconds, if it has said so: an identifier may be borne again.
+    /// When the incarnation started, in Unix milliseconds, if it reported this. It tells
+    /// incarnations apart that use the same identifier.
     pub started_unix_ms: Option<u64>,
-    /// It has said that it leaves, in an answer or in a report.
+    /// It announced its departure, in an answer or in a report.
     pub is_leaving: bool,
-    /// How many requests a second it takes from all nodes together, in thousandths.
+    /// The advertised rate, in thousandths of a request per second from all nodes together.
     pub rate_milli: Option<u64>,
 }
--- a/src/wire/answer_header.rs
+++ b/src/wire/answer_header.rs
@@ -1,4 +1,5 @@
-//! What a guard says beside every answer and refusal: news at no cost in messages.
+//! The header that a guard adds to every answer and refusal. It carries load and admission updates,
+//! so these need no messages of their own.
 
 use http::HeaderMap;
 use serde::Deserialize;
@@ -13,7 +14,7 @@
 use crate::wire::codec;
 use crate::wire::headers;
 
-/// The guard's own first-hand figures.
+/// The load of a guard, as measured by the guard itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct LoadReport {
@@ -22,25 +23,25 @@
     pub queued: u32,
 }
 
-/// The part of an answer that is meant for the forwarding node.
+/// The part of an answer that the forwarding node reads; it is not passed on to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct AnswerHeader {
-    /// Repeats the attempt, so that an answer is never taken for that of another call.
+    /// Echoes the attempt of the call, so that an answer is never matched to another call.
     pub attempt: AttemptId,
     pub run_state: RunState,
-    /// Set when the guard refused instead of answering.
+    /// Set when the guard refused the call.
     pub refusal: Option<Refusal>,
-    /// What the call and those below it left of their allotment.
+    /// How many further attempts of the allotment the call and its child calls did not use.
     pub allotment_unused: u16,
-    /// The lowest priority that the target and the services behind it admit at present.
+    /// The lowest priority that the target and its downstream services admit at present.
     pub admit: Priority,
     pub load: LoadReport,
     /// The version of the configuration in force at the guard.
     pub config_version: u64,
-    /// The length of the body that follows, where known; a shorter one is an error.
+    /// The length of the body that follows, if known. A shorter body is an error.
     pub body_len: Option<u64>,
-    /// For calls with a key: the owner of its slot as this guard knows it.
+    /// For calls with a key: the owner of the key's slot, as far as this guard knows.
     pub owner: Option<OwnerHint>,
 }
 
--- a/src/wire/call_header.rs
+++ b/src/wire/call_header.rs
@@ -1,4 +1,4 @@
-//! The context with which one node forwards a call to another.
+//! The header that one node adds to a call with a key when it forwards it to another.
 
 use http::HeaderMap;
 use serde::Deserialize;
@@ -12,36 +12,36 @@
 use crate::wire::codec;
 use crate::wire::headers;
 
-/// What a guard has to know of a call.
+/// The context of a call that the receiving guard needs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct CallHeader {
     pub request: RequestId,
     pub attempt: AttemptId,
     pub priority: Priority,
-    /// How deep in the chain: 0 for the caller's own call.
+    /// The depth in the call chain: 0 for the caller's own call.
     pub depth: u8,
-    /// What remains of the deadline when the header is written.
+    /// The time left until the deadline when the header is written.
     pub deadline_left_ms: u32,
-    /// How long the preset lets the call wait in the guard's queue.
+    /// The longest time that the call may wait in the guard's queue, from the preset.
     pub wait_ms: u32,
-    /// How many further attempts the call and all calls below it may make.
+    /// How many further attempts the call and all its child calls may make together.
     pub allotment: u16,
-    /// Whether a second run would do harm.
+    /// Whether the call must not run twice.
     pub non_idempotent: bool,
-    /// The key under which it runs at most once.
+    /// The idempotency key under which the call runs at most once.
     pub key: Option<Name>,
-    /// The owner's stamp that the sender heard last, 0 if none: it proves that the attempt was
-    /// sent lately (docs/AT_MOST_ONCE.md, "Attempts that arrive late").
+    /// The last stamp of the owner that the sender received, or 0. It proves that the attempt was
+    /// sent recently (docs/AT_MOST_ONCE.md, "Attempts that arrive late").
     pub owner_stamp: u64,
-    /// No earlier sending of the key exists, so that not even a new owner has to doubt it
+    /// The key was never sent before, so that even a new owner need not assume an earlier run
     /// (docs/DESIGN.md, "Keys of child calls").
     pub first_sending: bool,
-    /// The version of the configuration by which the call was classified.
+    /// The version of the configuration that the call was classified with.
     pub config_version: u64,
-    /// The length of the body that follows, checked on arrival.
+    /// The length of the body that follows, if known. The receiver checks it.
     pub body_len: Option<u64>,
-    /// The node that forwards, to which outcomes are reported.
+    /// The forwarding node, to which outcomes are reported.
     pub from_node: Name,
 }
 
--- a/src/wire/codec.rs
+++ b/src/wire/codec.rs
@@ -1,4 +1,4 @@
-//! Header values: one version byte and a postcard message, in base64.
+//! Encoding of header values: a version byte and a postcard message, in URL-safe base64.
 
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -7,20 +7,21 @@
 
 use crate::errors::WireError;
 
-/// The version of the protocol between nodes; a peer of another version is refused by name.
+/// The version of the protocol between nodes. A message of another version is rejected with an
+/// error that names both versions.
 pub const PROTOCOL_VERSION: u8 = 5;
 
-/// Encodes a message for a header.
+/// Encodes a message as a header value.
 pub fn encode<T: Serialize>(message: &T) -> String {
     let mut bytes = vec![PROTOCOL_VERSION];
     bytes = postcard::to_extend(message, bytes).expect("plain structs always encode");
     URL_SAFE_NO_PAD.encode(bytes)
 }
 
-/// Decodes a message out of a header value.
+/// Decodes a message from a header value.
 ///
 /// # Errors
-/// Says which header is malformed, or that the peer speaks another version.
+/// When the header is malformed, or the peer uses another version of the protocol.
 pub fn decode<T: DeserializeOwned>(header: &'static str, value: &[u8]) -> Result<T, WireError> {
     let bytes = URL_SAFE_NO_PAD
         .decode(value)
--- a/src/wire/header_advertisement.rs
+++ b/src/wire/header_advertisement.rs
@@ -1,4 +1,4 @@
-//! What a backend server says of itself in its answers.
+//! The advertisement that a backend server puts in the headers of an answer.
 
 use http::HeaderMap;
 use http::HeaderName;
@@ -6,34 +6,35 @@
 
 use crate::admission::AdvertisedRate;
 
-/// The value that says that a backend server leaves.
-const LEAVES: &str = "1";
+/// The header value by which a backend server announces its departure.
+const LEAVING_VALUE: &str = "1";
 
-/// The words of one answer.
+/// The advertisement in one answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HeaderAdvertisement {
-    /// How many requests a second it takes.
+    /// The rate that the backend server accepts.
     pub rate: AdvertisedRate,
-    /// It leaves: no new requests.
+    /// The backend server is leaving and accepts no new requests.
     pub is_leaving: bool,
 }
 
-/// The words by which metrics count.
+/// The label values of the metric that counts advertisements.
 const RATE: &str = "rate";
 const MALFORMED_RATE: &str = "malformed_rate";
 const LEAVING: &str = "leaving";
 
 impl HeaderAdvertisement {
-    /// Reads the head of an answer, by the names that these words bear there.
+    /// Reads the advertisement from the headers of an answer, under the given header names.
     pub fn of(rate_limit: &HeaderName, leaving: &HeaderName, headers: &HeaderMap) -> Self {
         let mut leaving = headers.get_all(leaving).iter();
         Self {
             rate: advertised_rate(rate_limit, headers),
-            is_leaving: leaving.any(|value| value.as_bytes().trim_ascii() == LEAVES.as_bytes()),
+            is_leaving: leaving
+                .any(|value| value.as_bytes().trim_ascii() == LEAVING_VALUE.as_bytes()),
         }
     }
 
-    /// What it says, by the words of the metrics.
+    /// The label values under which metrics count this advertisement.
     pub fn labels(&self) -> impl Iterator<Item = &'static str> {
         let rate = match self.rate {
             AdvertisedRate::Absent => None,
@@ -44,15 +45,15 @@
     }
 }
 
-/// What an answer says of the rate; of two values the lower one that can be told.
+/// The rate that an answer advertises. Of several well-formed values the lowest one counts.
 pub fn advertised_rate(name: &HeaderName, headers: &HeaderMap) -> AdvertisedRate {
     let rates = headers.get_all(name).iter();
     rates
-        .map(rate_of)
+        .map(parse_rate)
         .fold(AdvertisedRate::Absent, AdvertisedRate::combine)
 }
 
-fn rate_of(value: &HeaderValue) -> AdvertisedRate {
+fn parse_rate(value: &HeaderValue) -> AdvertisedRate {
     let per_s = value.to_str().ok();
     let per_s = per_s.and_then(|text| text.trim().parse::<f64>().ok());
     per_s.map_or(AdvertisedRate::Malformed, AdvertisedRate::of)
--- a/src/wire/headers.rs
+++ b/src/wire/headers.rs
@@ -1,18 +1,18 @@
-//! Header names. Those that begin with `sassafrasgap-` belong to the product.
+//! HTTP header names. Names with the prefix `sassafrasgap-` are reserved for this project.
 
-/// From callers: the key under which a call runs at most once.
+/// From callers: the idempotency key under which a call runs at most once.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// From callers: the longest useful wait for the answer, in milliseconds.
+/// From callers: the deadline, as the number of milliseconds that the caller waits for the answer.
 pub const DEADLINE_MS: &str = "sassafrasgap-deadline-ms";
-/// To callers: `not_run`, `ran` or `unknown`.
+/// To callers: whether the request ran, as `not_run`, `ran` or `unknown`.
 pub const OUTCOME: &str = "sassafrasgap-outcome";
-/// To callers: why the call was refused.
+/// To callers: the reason of a refusal.
 pub const REASON: &str = "sassafrasgap-reason";
-/// To callers: when to come back, in milliseconds; `Retry-After` carries it in whole seconds.
+/// To callers: when to retry, in milliseconds. `Retry-After` carries the same in whole seconds.
 pub const RETRY_AFTER_MS: &str = "sassafrasgap-retry-after-ms";
 /// To callers and backend servers: the identifier of the root request.
 pub const REQUEST_ID: &str = "sassafrasgap-request-id";
-/// To backend servers, and back from them on their own calls: the live call they work for.
+/// To backend servers: the running call. They repeat it on the child calls that they make for it.
 pub const CONTEXT: &str = "sassafrasgap-context";
 /// Between nodes: an encoded `CallHeader`.
 pub const CALL: &str = "sassafrasgap-call";
@@ -22,14 +22,16 @@
 pub const HOP: &str = "sassafrasgap-hop";
 /// Between nodes: an encoded `HopAnswer`.
 pub const HOP_ANSWER: &str = "sassafrasgap-hop-answer";
-/// From backend servers: `1` on a 503 that was shed before it was started.
+/// From backend servers: `1` on a 503 answer to a request that was shed before it was started.
 pub const SHED: &str = "sassafrasgap-shed";
-/// From backend servers, in their answers: how many requests a second they take from all nodes together.
+/// From backend servers, in their answers: the advertised rate, in requests per second from all
+/// nodes together.
 pub const RATE_LIMIT: &str = "sassafrasgap-rate-limit";
 
-/// The prefix of every header of the product. On the callers' listener, incoming headers with it
-/// are dropped unless listed in [`CALLER_MAY_SET`], so that a caller cannot forge a class, a retry
-/// allotment or an identity.
+/// The prefix of every header of this project.
+///
+/// The callers' listener drops incoming headers with this prefix unless [`CALLER_MAY_SET`] lists
+/// them, so that a caller cannot forge a class, a retry allotment or an identity.
 pub const PREFIX: &str = "sassafrasgap-";
-/// The headers with the prefix that a caller may set.
+/// The headers with [`PREFIX`] that a caller may set.
 pub const CALLER_MAY_SET: &[&str] = &[DEADLINE_MS];
--- a/src/wire/hop_answer.rs
+++ b/src/wire/hop_answer.rs
@@ -1,4 +1,4 @@
-//! What a guard says beside its answer to a call without a key.
+//! The header that a guard adds to its answer to a call without a key.
 
 use http::HeaderMap;
 use serde::Deserialize;
@@ -8,27 +8,27 @@
 use crate::core::Refusal;
 use crate::core::RouteOrigin;
 use crate::errors::WireError;
-use crate::wire::LoadReport;
 use crate::wire::Advertisement;
+use crate::wire::LoadReport;
 use crate::wire::codec;
 use crate::wire::headers;
 
-/// The part of an answer that is meant for the forwarding node.
+/// The part of an answer that the forwarding node reads; it is not passed on to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct HopAnswer {
-    /// Set when the guard refused instead of answering.
+    /// Set when the guard refused the call.
     pub refusal: Option<Refusal>,
-    /// The backend server was sent the call, whatever it did with it.
+    /// The call was sent to the backend server, whatever its outcome.
     pub reached_backend: bool,
-    /// The service on this call's way, here or deeper, that is pressed most.
+    /// The most overloaded service on this call's path: the guard's own or one downstream.
     pub pressure: Option<Pressure>,
-    /// Who uses the call's route, as far as this guard knows.
+    /// Whether callers or backend servers use the call's route, as far as this guard knows.
     pub origin: Option<RouteOrigin>,
     pub load: LoadReport,
-    /// Which share of calls fails at the backend server lately, in thousandths.
+    /// The recent share of calls that fail at the backend server, in thousandths.
     pub failing_permille: u32,
-    /// What the backend server has said of itself, if it binds whoever sends it requests.
+    /// The backend server's advertisement, if it states a rate or a departure.
     #[serde(rename = "word")]
     pub advertisement: Option<Advertisement>,
 }
--- a/src/wire/hop_call.rs
+++ b/src/wire/hop_call.rs
@@ -1,4 +1,5 @@
-//! What a guard has to know of a call that has no key: the short form of the call header.
+//! The header that one node adds to a call without a key when it forwards it: a short form of the
+//! call header.
 
 use http::HeaderMap;
 use serde::Deserialize;
@@ -13,46 +14,50 @@
 use crate::wire::codec;
 use crate::wire::headers;
 
-/// On whose behalf a call is made, for a guard that may know better than the entry.
+/// The client account on whose behalf a call is made. The guard checks it again, since it may have
+/// a newer desired state than the entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct CallAccount {
     pub name: Name,
-    /// Of the key that the request came with.
+    /// The tag of the API key that the request carried.
     pub key: KeyTag,
-    /// The version of the desired state by which the entry found the account.
+    /// The version of the desired state in which the entry found the account.
     pub version: u64,
 }
 
-/// The context of a call between two nodes. Bytes between failure domains are paid for, so it
-/// carries nothing that the request itself says.
+/// The context of a call between two nodes.
+///
+/// Traffic between failure domains is billed by the byte, so the header repeats nothing that the
+/// request itself contains.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct HopCall {
-    /// The service that is to run the call; a guard beside another one refuses.
+    /// The service that is to run the call. A guard of another service refuses it.
     pub service: Name,
-    /// The name of its route.
+    /// The name of the call's route.
     pub route: Name,
-    /// The service beside which the call began.
+    /// The service whose node the call entered at.
     pub caller_service: Name,
-    /// The sender is in the target's failure domain.
+    /// The sender is in the failure domain of the target.
     #[serde(rename = "is_near")]
     pub is_same_domain: bool,
-    /// Who uses the call's route, as far as the sender knows.
+    /// Whether callers or backend servers use the call's route, as far as the sender knows.
     pub origin: Option<RouteOrigin>,
-    /// The sender knows who made this very call, and does not judge by its route.
+    /// The sender knows the origin of this call itself and does not derive it from the route.
     pub is_certain_origin: bool,
-    /// The client account whose request it is.
+    /// The client account that the request belongs to.
     pub account: Option<CallAccount>,
     pub priority: Priority,
-    /// The latency objective: the time within which an answer is worth most.
+    /// The latency objective in milliseconds: an answer within this time has the highest value.
     pub objective_ms: u32,
-    /// How likely the call is to be a repeat, of its own or for being made by work that is one, in
-    /// thousandths. The bound on repeats counts both.
+    /// The probability that the call is a repeat, in thousandths: either the call itself is
+    /// repeated, or it is made by work that is. The bound on repeats counts both.
     pub repeated_permille: u16,
-    /// What remains of the deadline when the header is written.
+    /// The time left until the deadline when the header is written.
     pub deadline_left_ms: u32,
-    /// What the sender was told of the backend server, if it binds: the guard may have been restarted.
+    /// The last advertisement of the backend server that the sender knows, if it states a rate or a
+    /// departure. Without it a restarted guard would not know of either.
     #[serde(rename = "word")]
     pub advertisement: Option<Advertisement>,
 }
--- a/src/wire/owner_hint.rs
+++ b/src/wire/owner_hint.rs
@@ -1,4 +1,4 @@
-//! Who owns the slot of a key, as a guard tells the entry that asked.
+//! The owner of a key's slot, as a guard reports it to the entry.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,15 +7,15 @@
 
 /// The owner of a slot as the answering guard knows it.
 ///
-/// Entries learn owners from answers alone: no message spreads the slot maps (docs/AT_MOST_ONCE.md,
-/// "How entries find the owner").
+/// Entries learn owners only from answers: no message distributes the slot maps
+/// (docs/AT_MOST_ONCE.md, "How entries find the owner").
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct OwnerHint {
     /// The node whose guard owns the slot.
     pub node: Name,
-    /// The epoch of the slot; a hint of a smaller one never replaces one of a larger.
+    /// The epoch of the slot. A hint with a smaller epoch never replaces one with a larger epoch.
     pub epoch: u64,
-    /// The present stamp of the answering guard if it is the owner itself, else 0.
+    /// The current stamp of the answering guard if the guard is the owner, else 0.
     pub stamp: u64,
 }
--- a/tests/fake_store/mod.rs
+++ b/tests/fake_store/mod.rs
@@ -1,4 +1,4 @@
-//! A store in memory, with copies to restore and writes that are performed late.
+//! An in-memory store with backup and restore, rejected and delayed writes, and lost answers.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -21,14 +21,15 @@
 use sassafrasgap::store::StoreCall;
 use sassafrasgap::store::StoredRow;
 
-/// What happens to the next write.
+/// A fault of one write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PutFault {
-    /// It is turned away: nothing is done.
+    /// The write is rejected and not applied.
     Rejected,
-    /// It is done, and the answer is lost.
+    /// The write is applied, and its answer is lost.
     AnswerLost,
-    /// It is not answered, and done when [`FakeStore::apply_delayed`] says so, if its condition holds then.
+    /// The write is not answered. [`FakeStore::apply_delayed`] applies it if its condition holds
+    /// then.
     Delayed,
 }
 
@@ -50,30 +51,32 @@
     puts: u64,
 }
 
-/// Shared by all that use it.
+/// Clones share one store.
 #[derive(Clone, Debug, Default)]
 pub struct FakeStore(Arc<Mutex<State>>);
 
 impl FakeStore {
-    /// What happens to the next writes, in order; those after them are done and answered.
+    /// Adds a fault to the queue: each of the next writes takes one. Later writes are applied and
+    /// answered.
     pub fn inject_fault(&self, next: PutFault) {
         self.0.lock().unwrap().put_faults.push_back(next);
     }
 
-    /// Keeps a backup to restore later.
+    /// Saves a backup for [`FakeStore::restore`].
     pub fn take_backup(&self) {
         let mut state = self.0.lock().unwrap();
         state.backup = state.now.clone();
     }
 
-    /// Goes back to the backup: what was acknowledged since is gone, and its versions are given out again.
+    /// Restores the backup: later writes are lost, also acknowledged ones, and their versions are
+    /// assigned again.
     pub fn restore(&self) {
         let mut state = self.0.lock().unwrap();
         state.now = state.backup.clone();
         state.era += 1;
     }
 
-    /// Performs the writes that were not answered and wait.
+    /// Applies the delayed writes.
     pub fn apply_delayed(&self) {
         let mut state = self.0.lock().unwrap();
         let delayed = std::mem::take(&mut state.delayed);
@@ -82,14 +85,14 @@
         }
     }
 
-    /// Writes a row as somebody else does, without a condition.
+    /// Writes a row unconditionally, as another process would.
     pub fn write(&self, name: &RowName, value: &[u8]) {
         let mut state = self.0.lock().unwrap();
-        let held = state.now.rows.get(name).map_or(0, |(_, version)| *version);
+        let current = state.now.rows.get(name).map_or(0, |(_, version)| *version);
         let put = RowPut {
             name: name.clone(),
             value: value.to_vec(),
-            expected_version: held,
+            expected_version: current,
         };
         state.now.put(&put).unwrap();
     }
@@ -99,7 +102,7 @@
         state.now.rows.get(name).map(|(value, _)| value.clone())
     }
 
-    /// How many reads and writes were asked for.
+    /// The numbers of reads and writes requested.
     pub fn calls(&self) -> (u64, u64) {
         let state = self.0.lock().unwrap();
         (state.reads, state.puts)
@@ -118,9 +121,9 @@
 
 impl Rows {
     fn put(&mut self, put: &RowPut) -> Result<u64, StoreError> {
-        let held = self.rows.get(&put.name).map_or(0, |(_, version)| *version);
-        if held != put.expected_version {
-            return Err(StoreError::Conflict { version: held });
+        let current = self.rows.get(&put.name).map_or(0, |(_, version)| *version);
+        if current != put.expected_version {
+            return Err(StoreError::Conflict { version: current });
         }
         self.version += 1;
         let row = (put.value.clone(), self.version);
@@ -165,11 +168,13 @@
         table: Name,
         part: Name,
         from: Name,
-        most: usize,
+        max_rows: usize,
     ) -> StoreCall<'_, Vec<StoredRow>> {
         self.read(|state| {
             let rows = state.now.rows_of(&table, &part).into_iter();
-            rows.filter(|row| row.name.key >= from).take(most).collect()
+            rows.filter(|row| row.name.key >= from)
+                .take(max_rows)
+                .collect()
         })
     }
 
--- a/tests/fake_targets/mod.rs
+++ b/tests/fake_targets/mod.rs
@@ -1,4 +1,4 @@
-//! Targets made by hand, for decisions that only look at them.
+//! Targets with fixed values, for tests of target selection.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -11,7 +11,8 @@
 use sassafrasgap::routing::PickContext;
 use sassafrasgap::routing::TargetStats;
 
-/// What a first attempt from failure domain `a` with a small body chooses from.
+/// The context for picking the target of a first attempt, with a small body, from failure domain
+/// `a`.
 pub fn pick_context<'a>(
     targets: &'a [Arc<Target>],
     stats: &'a FastMap<Name, TargetStats>,
@@ -26,7 +27,7 @@
     }
 }
 
-/// A target that takes work, of ten slots, in a failure domain.
+/// A target that is up and has ten slots, in the given failure domain.
 pub fn target(name: &str, domain: &str) -> Target {
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
     Target {
--- a/tests/store_rows.rs
+++ b/tests/store_rows.rs
@@ -1,4 +1,4 @@
-//! Rows that one process keeps, and tables that are followed, while the store fails and goes back.
+//! Row writes and table watches while the store fails or is restored from a backup.
 
 mod fake_store;
 
@@ -13,45 +13,45 @@
 use sassafrasgap::errors::StoreError;
 use sassafrasgap::store::EraStore;
 use sassafrasgap::store::EraWatch;
-use sassafrasgap::store::WriteOutcome;
-use sassafrasgap::store::RowWriter;
 use sassafrasgap::store::RowName;
+use sassafrasgap::store::RowWriter;
 use sassafrasgap::store::Store;
 use sassafrasgap::store::StoreRates;
 use sassafrasgap::store::TableChanges;
 use sassafrasgap::store::TableWatch;
+use sassafrasgap::store::WriteOutcome;
 
 fn row() -> RowName {
     RowName::new("nodes", "a")
 }
 
-fn keeper(store: &FakeStore) -> RowWriter {
+fn writer(store: &FakeStore) -> RowWriter {
     RowWriter::new(Arc::new(store.clone()), row())
 }
 
-fn write(keeper: &mut RowWriter, value: &[u8]) -> WriteOutcome {
-    keeper
+fn write(writer: &mut RowWriter, value: &[u8]) -> WriteOutcome {
+    writer
         .write(value)
         .now_or_never()
         .expect("answered at once")
 }
 
-/// Each try that the store turned away cost a read as well.
+/// Guards against a read in addition to each write that the store rejects.
 #[rstest]
-fn a_write_that_was_turned_away_is_not_read_back() {
+fn a_rejected_write_is_not_read_back() {
     let store = FakeStore::default();
-    let mut keeper = keeper(&store);
-    keeper.assume_absent();
+    let mut writer = writer(&store);
+    writer.assume_absent();
     for _ in 0..3 {
         store.inject_fault(PutFault::Rejected);
-        let kept = write(&mut keeper, b"up");
-        assert_eq!(kept, WriteOutcome::Retry(StoreError::TooManyCalls));
+        let outcome = write(&mut writer, b"up");
+        assert_eq!(outcome, WriteOutcome::Retry(StoreError::TooManyCalls));
     }
-    assert_eq!(write(&mut keeper, b"up"), WriteOutcome::Written);
+    assert_eq!(write(&mut writer, b"up"), WriteOutcome::Written);
     assert_eq!(store.calls(), (0, 4));
 }
 
-/// All first rows lay in one part, which takes a few of them a second.
+/// Guards against placing all first rows in one part, which accepts few writes per second.
 #[rstest]
 #[case(400, 150, 3)]
 #[case(3_200, 150, 22)]
@@ -69,11 +69,12 @@
     assert_eq!(rates.parts(), parts);
 }
 
-/// Twice the fleet that one deployment has today: no part gets more than it takes in a second.
+/// Covers fleets of up to twice the size of one deployment: no part gets more rows than it accepts
+/// writes in a second.
 #[rstest]
 #[case(986)]
 #[case(1_972)]
-fn no_part_gets_more_rows_than_it_takes_in_a_second(#[case] nodes: usize) {
+fn no_part_gets_more_rows_than_its_writes_per_second(#[case] nodes: usize) {
     let rates = StoreRates {
         writes_per_s: 3_200,
         part_writes_per_s: 150,
@@ -85,10 +86,10 @@
     assert!(rows.iter().all(|rows| *rows <= 150), "{rows:?}");
 }
 
-/// What may happen around one write.
+/// An event in a sequence around writes of one row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
-    /// The process has something new to keep, and makes one try.
+    /// The process has a new value, and makes one attempt to write it.
     Update,
     Retry,
     LoseNextAnswer,
@@ -96,7 +97,7 @@
     ApplyDelayed,
     TakeBackup,
     Restore,
-    /// The process is restarted: it reads its row, and keeps what that holds if it knows no better.
+    /// The process is restarted: its new writer does not know the version of the row, and reads it.
     Restart,
 }
 
@@ -112,11 +113,11 @@
 ];
 const DEPTH: u32 = 6;
 
-/// Plays one order of steps, and then the look at the row that every process takes once it knows of a
-/// new era, after the last late write.
+/// Runs one sequence of steps and applies the last delayed writes. It then rereads and rewrites the
+/// row, as every process does when it learns of a new era.
 fn play(steps: impl Iterator<Item = Step>) -> (Option<Vec<u8>>, Vec<u8>) {
     let store = FakeStore::default();
-    let mut keeper = keeper(&store);
+    let mut writer = writer(&store);
     let mut wanted: u8 = 0;
     for step in steps {
         match step {
@@ -127,48 +128,50 @@
             Step::ApplyDelayed => store.apply_delayed(),
             Step::TakeBackup => store.take_backup(),
             Step::Restore => store.restore(),
-            Step::Restart => keeper = self::keeper(&store),
+            Step::Restart => writer = self::writer(&store),
         }
         if matches!(step, Step::Update | Step::Retry) {
-            write(&mut keeper, &[wanted]);
+            write(&mut writer, &[wanted]);
         }
     }
     store.apply_delayed();
-    keeper.forget();
+    writer.forget();
     for _ in 0..8 {
-        if write(&mut keeper, &[wanted]) == WriteOutcome::Written {
+        if write(&mut writer, &[wanted]) == WriteOutcome::Written {
             break;
         }
     }
     (store.value(&row()), vec![wanted])
 }
 
-/// A departure that was acknowledged was forgotten: the store lost it, and the process took it for written.
+/// Guards against losing an acknowledged departure: a restored store no longer held it, and the
+/// process still took it as written.
 #[rstest]
 fn in_all_orders_the_row_is_written_again() {
     let count = STEPS.len().pow(DEPTH);
     for order in 0..count {
         let steps = (0..DEPTH).map(|place| STEPS[order / STEPS.len().pow(place) % STEPS.len()]);
-        let (held, wanted) = play(steps.clone());
+        let (stored, wanted) = play(steps.clone());
         let steps: Vec<Step> = steps.collect();
-        assert_eq!(held, Some(wanted), "{steps:?}");
+        assert_eq!(stored, Some(wanted), "{steps:?}");
     }
 }
 
-/// A version of before the restore was given out again to the same row, and a write on it counted.
+/// Guards against accepting a write on a version of before a restore, which the restored store had
+/// assigned again to the same row.
 #[rstest]
-fn a_write_on_a_version_of_an_earlier_era_does_not_count() {
+fn a_write_on_a_version_of_an_earlier_era_is_not_accepted() {
     let store = FakeStore::default();
-    let mut keeper = keeper(&store);
-    assert_eq!(write(&mut keeper, b"one"), WriteOutcome::Written);
+    let mut writer = writer(&store);
+    assert_eq!(write(&mut writer, b"one"), WriteOutcome::Written);
     store.restore();
     store.write(&row(), b"other");
-    let kept = write(&mut keeper, b"two");
+    let outcome = write(&mut writer, b"two");
     assert!(matches!(
-        kept,
+        outcome,
         WriteOutcome::Retry(StoreError::EarlierEra { era: 0, newest: 1 })
     ));
-    assert_eq!(write(&mut keeper, b"two"), WriteOutcome::Written);
+    assert_eq!(write(&mut writer, b"two"), WriteOutcome::Written);
     assert_eq!(store.value(&row()), Some(b"two".to_vec()));
 }
 
@@ -176,16 +179,18 @@
     watch.next(0).now_or_never().expect("answered at once")
 }
 
-fn values(news: &TableChanges) -> Vec<&[u8]> {
-    news.rows
+fn values(changes: &TableChanges) -> Vec<&[u8]> {
+    changes
+        .rows
         .iter()
         .filter_map(|row| row.value.as_deref())
         .collect()
 }
 
-/// Versions were given out again up to the one that was known, and the changes at them were missed.
+/// Guards against missing changes after a restore: the store assigned versions again, up to the one
+/// that the watch already knew.
 #[rstest]
-fn a_change_under_a_version_given_out_again_is_seen() {
+fn a_change_at_a_reassigned_version_is_seen() {
     let store = FakeStore::default();
     let name = RowName::new("op", "config");
     store.write(&name, b"1");
@@ -196,14 +201,15 @@
     assert_eq!(values(&next(&mut watch).unwrap()), [b"2"]);
     store.restore();
     store.write(&name, b"3");
-    let news = next(&mut watch).unwrap();
-    assert!(news.is_snapshot);
-    assert_eq!(values(&news), [b"3"]);
+    let changes = next(&mut watch).unwrap();
+    assert!(changes.is_snapshot);
+    assert_eq!(values(&changes), [b"3"]);
 }
 
-/// The store is behind the version that was known: it says that it has no such history, and is read whole.
+/// The restored store is at an earlier version than the watch. It reports that the history is gone,
+/// and the next call reads a snapshot.
 #[rstest]
-fn a_store_behind_what_is_known_is_read_whole() {
+fn a_store_at_an_earlier_version_is_reread() {
     let store = FakeStore::default();
     let name = RowName::new("op", "config");
     store.write(&name, b"1");
@@ -216,9 +222,10 @@
     assert_eq!(values(&next(&mut watch).unwrap()), [b"1"]);
 }
 
-/// An answer that was given before the restore arrives after a later one, or after another node's word.
+/// Guards against an answer from before a restore that arrives after an answer of the restored
+/// store, or after another node has reported the new era.
 #[rstest]
-fn an_answer_of_an_earlier_era_counts_for_nothing() {
+fn an_answer_of_an_earlier_era_is_rejected() {
     let store = FakeStore::default();
     store.restore();
     let eras = EraWatch::new();
