--- a/tests/store_rows.rs
+++ b/tests/store_rows.rs
@@ -91,7 +91,7 @@
 enum Step {
     /// The process has a new value, and makes one attempt to write it.
     Update,
-    Retry,
+    WriteAgain,
     LoseNextAnswer,
     DelayNextPut,
     ApplyDelayed,
@@ -103,7 +103,7 @@
 
 const STEPS: [Step; 8] = [
     Step::Update,
-    Step::Retry,
+    Step::WriteAgain,
     Step::LoseNextAnswer,
     Step::DelayNextPut,
     Step::ApplyDelayed,
@@ -122,7 +122,7 @@
     for step in steps {
         match step {
             Step::Update => wanted += 1,
-            Step::Retry => {}
+            Step::WriteAgain => {}
             Step::LoseNextAnswer => store.inject_fault(PutFault::AnswerLost),
             Step::DelayNextPut => store.inject_fault(PutFault::Delayed),
             Step::ApplyDelayed => store.apply_delayed(),
@@ -130,7 +130,7 @@
             Step::Restore => store.restore(),
             Step::Restart => writer = self::writer(&store),
         }
-        if matches!(step, Step::Update | Step::Retry) {
+        if matches!(step, Step::Update | Step::WriteAgain) {
             write(&mut writer, &[wanted]);
         }
     }
