--- a/src/core/collections.rs
+++ b/src/core/collections.rs
@@ -1,7 +1,7 @@
 //! Hash maps with a fast hasher.
 //!
-//! The hasher does not resist chosen keys. It need not, because keys are internal or bounded in
-//! number, and every map has a size bound and an eviction rule of its own.
+//! The hasher does not resist chosen keys. It need not, because keys are internal or bounded. Every
+//! map has a size bound and an eviction rule of its own.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
--- a/src/core/outcome.rs
+++ b/src/core/outcome.rs
@@ -68,7 +68,7 @@
         BackendReplaced => "backend_replaced",
         /// The connection to the backend server failed.
         BackendDown => "backend_down",
-        /// The backend server closed the connection in the middle of the call.
+        /// The backend server failed in the middle of the call.
         BackendBroke => "backend_broke",
         /// No target of the service is known or reachable.
         NoTarget => "no_target",
--- a/src/wire/advertisement.rs
+++ b/src/wire/advertisement.rs
@@ -13,7 +13,7 @@
 pub struct Advertisement {
     pub incarnation: Name,
     /// When the incarnation started, in Unix milliseconds, if it reported this. It tells
-    /// incarnations apart that use the same identifier.
+    /// apart incarnations that reuse the same identifier.
     pub started_unix_ms: Option<u64>,
     /// It announced its departure, in an answer or in a report.
     pub is_leaving: bool,
--- a/src/wire/answer_header.rs
+++ b/src/wire/answer_header.rs
@@ -23,7 +23,7 @@
     pub queued: u32,
 }
 
-/// The part of an answer that the forwarding node reads; it is not passed on to the caller.
+/// The part of an answer that is addressed to the forwarding node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct AnswerHeader {
--- a/src/wire/call_header.rs
+++ b/src/wire/call_header.rs
@@ -1,4 +1,4 @@
-//! The header that one node adds to a call with a key when it forwards it to another.
+//! The header that one node adds to a call when it forwards it to another.
 
 use http::HeaderMap;
 use serde::Deserialize;
--- a/src/wire/hop_answer.rs
+++ b/src/wire/hop_answer.rs
@@ -13,7 +13,7 @@
 use crate::wire::codec;
 use crate::wire::headers;
 
-/// The part of an answer that the forwarding node reads; it is not passed on to the caller.
+/// The part of an answer that is addressed to the forwarding node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct HopAnswer {
--- a/src/wire/hop_call.rs
+++ b/src/wire/hop_call.rs
@@ -14,8 +14,8 @@
 use crate::wire::codec;
 use crate::wire::headers;
 
-/// The client account on whose behalf a call is made. The guard checks it again, since it may have
-/// a newer desired state than the entry.
+/// The client account on whose behalf a call is made, for a guard that may have a newer desired
+/// state than the entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct CallAccount {
