--- a/tests/fake_store/mod.rs
+++ b/tests/fake_store/mod.rs
@@ -58,8 +58,8 @@
 impl FakeStore {
     /// Adds a fault to the queue: each of the next writes takes one. Later writes are applied and
     /// answered.
-    pub fn inject_fault(&self, next: PutFault) {
-        self.0.lock().unwrap().put_faults.push_back(next);
+    pub fn inject_fault(&self, fault: PutFault) {
+        self.0.lock().unwrap().put_faults.push_back(fault);
     }
 
     /// Saves a backup for [`FakeStore::restore`].
@@ -197,9 +197,9 @@
     fn put(&self, put: RowPut) -> StoreCall<'_, u64> {
         let mut state = self.0.lock().unwrap();
         state.puts += 1;
-        let next = state.put_faults.pop_front();
+        let fault = state.put_faults.pop_front();
         let no_answer = || Err(StoreError::NoAnswer("lost".to_owned()));
-        let result = match next {
+        let result = match fault {
             Some(PutFault::Rejected) => Err(StoreError::TooManyCalls),
             Some(PutFault::Delayed) => {
                 state.delayed.push(put);
