--- a/src/core/view.rs
+++ b/src/core/view.rs
@@ -32,7 +32,7 @@
 impl TargetState {
     /// Whether new calls may be sent to the target. A suspect is still tried, and its answers
     /// decide whether it stays in use.
-    pub fn takes_work(self) -> bool {
+    pub fn accepts_calls(self) -> bool {
         matches!(self, Self::Up | Self::Suspect)
     }
 }
--- a/src/node/baseline.rs
+++ b/src/node/baseline.rs
@@ -44,7 +44,7 @@
 fn any_target(node: &Node, call: &Call) -> Option<Arc<Target>> {
     let view = node.inputs.view.load();
     let targets = view.targets(&call.service).iter();
-    let open: Vec<&Arc<Target>> = targets.filter(|it| it.state.takes_work()).collect();
+    let open: Vec<&Arc<Target>> = targets.filter(|it| it.state.accepts_calls()).collect();
     let place = fastrand::usize(..open.len().max(1));
     open.get(place).map(|target| (*target).clone())
 }
--- a/src/node/targets.rs
+++ b/src/node/targets.rs
@@ -139,7 +139,7 @@
         }
         let unheard = targets
             .iter()
-            .filter(|target| target.state.takes_work() && pressure_of(target).is_none());
+            .filter(|target| target.state.accepts_calls() && pressure_of(target).is_none());
         let largest = unheard.map(|target| target.slots).max();
         let with_room = largest.map(TargetPressure::assumed_idle);
         TargetPressure::of_service(heard.chain(with_room)).unwrap_or(told.permille)
@@ -158,7 +158,7 @@
         let known = self.lock();
         view.targets(service)
             .iter()
-            .filter(|target| target.state.takes_work() && !tried.contains(&target.node))
+            .filter(|target| target.state.accepts_calls() && !tried.contains(&target.node))
             .any(|target| {
                 let stats = known.stats.get(&target.node);
                 stats.is_none_or(|stats| stats.load_permille(target.slots, now) < 1_000)
--- a/src/routing/picker.rs
+++ b/src/routing/picker.rs
@@ -220,7 +220,7 @@
     let candidates: Vec<Arc<Target>> = context
         .targets
         .iter()
-        .filter(|target| target.state.takes_work())
+        .filter(|target| target.state.accepts_calls())
         .filter(|target| !context.tried.contains(&target.node))
         .filter(|target| !context.cut_off_domains.contains(&target.domain))
         .cloned()
--- a/src/traffic/process.rs
+++ b/src/traffic/process.rs
@@ -229,7 +229,7 @@
     pub fn slots_of(&self, service: &str) -> Vec<u32> {
         let view = self.traffic.view.load();
         let targets = view.targets(service).iter();
-        let open = targets.filter(|target| target.state.takes_work());
+        let open = targets.filter(|target| target.state.accepts_calls());
         open.map(|target| target.slots).collect()
     }
 }
--- a/tests/membership_bounds.rs
+++ b/tests/membership_bounds.rs
@@ -89,7 +89,7 @@
         net.run_ms(100);
         for node in net.nodes.iter().filter(|node| node.is_running) {
             let state = node.state_of(&name).expect("it is remembered");
-            assert!(!state.takes_work(), "{state:?}");
+            assert!(!state.accepts_calls(), "{state:?}");
         }
     }
     let node = &net.nodes[0];
--- a/tests/mesh_planned_stop.rs
+++ b/tests/mesh_planned_stop.rs
@@ -67,7 +67,7 @@
         pass_ms(2_900).await;
         for node in nodes {
             let state = state_seen_by(&mesh, node, "menus-1").await;
-            assert!(!state.takes_work(), "{node} sees {state:?}");
+            assert!(!state.accepts_calls(), "{node} sees {state:?}");
         }
     });
     assert_eq!(not_good(&heard), Vec::<String>::new());
