--- a/src/core/clock.rs
+++ b/src/core/clock.rs
@@ -26,16 +26,16 @@
 impl Add<u64> for TimeMs {
     type Output = Self;
 
-    fn add(self, wait_ms: u64) -> Self {
-        Self(self.0.saturating_add(wait_ms))
+    fn add(self, duration_ms: u64) -> Self {
+        Self(self.0.saturating_add(duration_ms))
     }
 }
 
 impl Sub<u64> for TimeMs {
     type Output = Self;
 
-    fn sub(self, wait_ms: u64) -> Self {
-        Self(self.0.saturating_sub(wait_ms))
+    fn sub(self, duration_ms: u64) -> Self {
+        Self(self.0.saturating_sub(duration_ms))
     }
 }
 
--- a/src/core/identifiers.rs
+++ b/src/core/identifiers.rs
@@ -35,8 +35,8 @@
         Self((half(1) << 64) | half(2))
     }
 
-    /// The rank of the request within its class, the same at every hop, so that every hop sheds the
-    /// same requests (docs/DESIGN.md, "The whole chain").
+    /// The rank of the request within its class, from 0 to `u16::MAX`. It is the same at every hop,
+    /// so that every hop sheds the same requests (docs/DESIGN.md, "The whole chain").
     pub fn rank(self) -> u16 {
         let mut hasher = FxHasher::default();
         hasher.write_u128(self.0);
@@ -68,8 +68,8 @@
     }
 }
 
-/// A stable hash of a call's content. It identifies a request that crashes backend servers even
-/// when the request is sent again under another identifier (docs/DESIGN.md, "Poisoned requests").
+/// A hash of a call's content, the same at every node. It identifies a request that crashes backend
+/// servers even when the request is sent again under another identifier (docs/DESIGN.md, "Poisoned requests").
 pub fn fingerprint_of(service: &str, method: &str, path: &str, body: &[u8]) -> u64 {
     let mut hasher = FxHasher::default();
     for part in [service.as_bytes(), method.as_bytes(), path.as_bytes(), body] {
--- a/src/core/outcome.rs
+++ b/src/core/outcome.rs
@@ -12,7 +12,7 @@
     NotRun,
     /// The request ran to completion.
     Ran,
-    /// The request may have run. No node that could be asked knows.
+    /// The request may have run: no reachable node knows whether it did.
     Unknown,
 }
 
@@ -49,7 +49,8 @@
 reasons! {
     /// Why a call was refused. Each reason has its own counter (docs/OPERATIONS.md).
     RefusalReason {
-        /// A downstream service would shed the call, by the admission level learnt from answers.
+        /// A downstream service would shed the call, according to the admission level in earlier
+        /// answers.
         ShedAtEntry => "shed_at_entry",
         /// The guard's queue for the class is full, or the priority is below the admission level.
         Overloaded => "overloaded",
@@ -116,8 +117,7 @@
         AccountKeyAmbiguous => "account_key_ambiguous",
         /// The API key was removed from its account while the request waited.
         AccountKeyRevoked => "account_key_revoked",
-        /// This node cannot tell whether API keys are still valid: its data from the store is too
-        /// old.
+        /// This node's data from the store is too old to decide whether the API key is still valid.
         AccountKeysUnsure => "account_keys_unsure",
         /// The client account has used up its current allowance.
         AllowanceSpent => "allowance_spent",
@@ -135,7 +135,7 @@
         Unreachable => "unreachable",
         /// The connection was lost during an idempotent call.
         ConnectionLost => "connection_lost",
-        /// The connection became silent, and the target never received the attempt.
+        /// Nothing more was received on the connection, and the target never received the attempt.
         SilentConnection => "silent_connection",
         /// The slot of the key has another owner.
         OwnerMoved => "owner_moved",
--- a/src/core/route_origin.rs
+++ b/src/core/route_origin.rs
@@ -1,9 +1,9 @@
-//! Which kind of client uses a route.
+//! Whether callers or backend servers use a route.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Which kind of client uses a route.
+/// Whether callers or backend servers use a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum RouteOrigin {
--- a/src/store/era_watch.rs
+++ b/src/store/era_watch.rs
@@ -25,12 +25,12 @@
     /// Records an era. Returns whether it is the newest, that is, whether an answer of this era is
     /// valid.
     pub fn observe(&self, era: u64) -> bool {
-        let rises = |newest: &mut Option<u64>| {
-            let rises = Some(era) > *newest;
+        let raise = |newest: &mut Option<u64>| {
+            let is_newer = Some(era) > *newest;
             *newest = Some(era).max(*newest);
-            rises
+            is_newer
         };
-        if self.newest.send_if_modified(rises) {
+        if self.newest.send_if_modified(raise) {
             log::info!("store: a new era, era={era}");
         }
         self.newest() == Some(era)
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! An implementation covers only the protocol of one store. The rules that hold for every store are
 //! implemented here once: rereading a table when the history is gone, backoff after failures, and
-//! resolving a write whose answer was lost.
+//! reading a row back after a write whose answer was lost.
 
 mod answered;
 mod counted_store;
--- a/src/store/port.rs
+++ b/src/store/port.rs
@@ -16,7 +16,7 @@
 
 /// A store of rows.
 ///
-/// Every call ends within a bounded time and is sent once. Retries are up to the code that calls.
+/// Every call ends within a bounded time and is sent once. The calling code decides on retries.
 pub trait Store: Send + Sync {
     /// Reads a consistent snapshot of one part of a table, with the version of the store at that
     /// moment.
@@ -34,8 +34,8 @@
         max_rows: usize,
     ) -> StoreCall<'_, Vec<StoredRow>>;
 
-    /// Waits for changes of a table after the version `after`, and returns none when `wait_ms` have
-    /// passed.
+    /// Waits for changes of a table after the version `after`. If there are none within `wait_ms`,
+    /// the returned list is empty.
     fn changes(&self, table: Name, after: u64, wait_ms: u64) -> StoreCall<'_, Changes>;
 
     /// Writes a row if it is still at the expected version, and returns its new version.
--- a/src/store/row_writer.rs
+++ b/src/store/row_writer.rs
@@ -20,6 +20,7 @@
 /// The last known version of the row, and the era of the store in which it was read or written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct KnownRow {
+    /// `None` if the row was only assumed absent: a write on it is then accepted in any era.
     era: Option<u64>,
     version: u64,
 }
@@ -31,8 +32,8 @@
 /// and the next write is conditional on the version that was read, so that the late write fails.
 ///
 /// Guards against a store that was restored from an older backup and assigns the same versions
-/// again. A write on a version counts only if its answer is of the era in which that version was
-/// read.
+/// again. A write is accepted only if its answer is of the era in which the expected version was
+/// read or written.
 pub struct RowWriter {
     store: Arc<dyn Store>,
     name: RowName,
--- a/src/store/store_rates.rs
+++ b/src/store/store_rates.rs
@@ -1,9 +1,10 @@
-//! The write rates of a store, and the number of parts that rows are spread over for them.
+//! The write rates of a store, and the number of parts over which rows are spread to use them.
 
 use crate::core::Name;
 use crate::core::stable_hash;
 
-/// The largest number of parts, so that a sample of rows can be read from few of them.
+/// The largest number of parts. A starting node finds other nodes by a sample of rows from few
+/// parts: with more parts, each would hold too few rows.
 const MAX_PARTS: u64 = 64;
 
 /// The writes per second that a store accepts.
@@ -29,8 +30,8 @@
     /// The number of parts over which the rows of all nodes are spread, so that no single part
     /// limits the write rate.
     ///
-    /// Guards against a starting fleet whose first rows all go to one part and are rejected again
-    /// and again. Each attempt is billed.
+    /// Guards against repeated rejections when a fleet starts and all its first rows go to one
+    /// part. Each attempt is billed.
     pub fn parts(self) -> u64 {
         let parts = self.writes_per_s.div_ceil(self.part_writes_per_s.max(1));
         parts.clamp(1, MAX_PARTS)
--- a/src/store/table_watch.rs
+++ b/src/store/table_watch.rs
@@ -12,7 +12,7 @@
 const INITIAL_BACKOFF_MS: u64 = 100;
 /// The default upper bound of the backoff, in milliseconds.
 const MAX_BACKOFF_MS: u64 = 1_000;
-/// The largest number of doublings, so that the shift cannot overflow.
+/// The largest number of doublings, so that `INITIAL_BACKOFF_MS << failures` cannot overflow.
 const MAX_DOUBLINGS: u32 = 16;
 
 /// Exponential backoff with jitter, so that nodes that failed together do not retry together.
--- a/src/wire/advertisement.rs
+++ b/src/wire/advertisement.rs
@@ -11,11 +11,12 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Advertisement {
+    /// The identifier that the backend server reported for this incarnation.
     pub incarnation: Name,
-    /// When the incarnation started, in Unix milliseconds, if it reported this. It tells
-    /// apart incarnations that reuse the same identifier.
+    /// When the incarnation started, in Unix milliseconds, if it was reported. It distinguishes
+    /// incarnations that reuse the same identifier.
     pub started_unix_ms: Option<u64>,
-    /// It announced its departure, in an answer or in a report.
+    /// The incarnation announced its departure, in an answer or in a report.
     pub is_leaving: bool,
     /// The advertised rate, in thousandths of a request per second from all nodes together.
     pub rate_milli: Option<u64>,
--- a/src/wire/answer_header.rs
+++ b/src/wire/answer_header.rs
@@ -1,5 +1,5 @@
-//! The header that a guard adds to every answer and refusal. It carries load and admission updates,
-//! so these need no messages of their own.
+//! The header that a guard of the `node` module adds to every answer and refusal. It carries load
+//! and admission updates, so these need no messages of their own.
 
 use http::HeaderMap;
 use serde::Deserialize;
@@ -32,7 +32,8 @@
     pub run_state: RunState,
     /// Set when the guard refused the call.
     pub refusal: Option<Refusal>,
-    /// How many further attempts of the allotment the call and its child calls did not use.
+    /// How many attempts of the call's allotment were used neither by the call nor by its child
+    /// calls.
     pub allotment_unused: u16,
     /// The lowest priority that the target and its downstream services admit at present.
     pub admit: Priority,
--- a/src/wire/call_header.rs
+++ b/src/wire/call_header.rs
@@ -1,4 +1,4 @@
-//! The header that one node adds to a call when it forwards it to another.
+//! The header that the `node` module adds to every call that it forwards to another node.
 
 use http::HeaderMap;
 use serde::Deserialize;
@@ -31,8 +31,8 @@
     pub non_idempotent: bool,
     /// The idempotency key under which the call runs at most once.
     pub key: Option<Name>,
-    /// The last stamp of the owner that the sender received, or 0. It proves that the attempt was
-    /// sent recently (docs/AT_MOST_ONCE.md, "Attempts that arrive late").
+    /// The last stamp that the sender received from the owner of the key's slot, or 0 if none. It
+    /// proves that the attempt was sent recently (docs/AT_MOST_ONCE.md, "Attempts that arrive late").
     pub owner_stamp: u64,
     /// The key was never sent before, so that even a new owner need not assume an earlier run
     /// (docs/DESIGN.md, "Keys of child calls").
--- a/src/wire/header_advertisement.rs
+++ b/src/wire/header_advertisement.rs
@@ -1,4 +1,5 @@
-//! The advertisement that a backend server puts in the headers of an answer.
+//! The advertisement that a backend server puts in the headers of one answer. Nodes pass it on as
+//! an [`Advertisement`](crate::wire::Advertisement).
 
 use http::HeaderMap;
 use http::HeaderName;
@@ -18,7 +19,7 @@
     pub is_leaving: bool,
 }
 
-/// The label values of the metric that counts advertisements.
+/// The label values of the metric `sassafrasgap_backend_words_total`.
 const RATE: &str = "rate";
 const MALFORMED_RATE: &str = "malformed_rate";
 const LEAVING: &str = "leaving";
--- a/src/wire/headers.rs
+++ b/src/wire/headers.rs
@@ -12,7 +12,8 @@
 pub const RETRY_AFTER_MS: &str = "sassafrasgap-retry-after-ms";
 /// To callers and backend servers: the identifier of the root request.
 pub const REQUEST_ID: &str = "sassafrasgap-request-id";
-/// To backend servers: the running call. They repeat it on the child calls that they make for it.
+/// To backend servers: the context of the running call. They copy this header to the child calls
+/// that they make for that call.
 pub const CONTEXT: &str = "sassafrasgap-context";
 /// Between nodes: an encoded `CallHeader`.
 pub const CALL: &str = "sassafrasgap-call";
--- a/src/wire/hop_answer.rs
+++ b/src/wire/hop_answer.rs
@@ -1,4 +1,5 @@
-//! The header that a guard adds to its answer to a call without a key.
+//! The header that a guard of the `traffic` module adds to every answer and refusal. Calls that this
+//! module forwards have no keys.
 
 use http::HeaderMap;
 use serde::Deserialize;
--- a/src/wire/hop_call.rs
+++ b/src/wire/hop_call.rs
@@ -1,5 +1,5 @@
-//! The header that one node adds to a call without a key when it forwards it: a short form of the
-//! call header.
+//! The header that the `traffic` module adds to every call that it forwards to another node: a
+//! short form of the call header, for calls without a key.
 
 use http::HeaderMap;
 use serde::Deserialize;
@@ -37,7 +37,7 @@
     pub service: Name,
     /// The name of the call's route.
     pub route: Name,
-    /// The service whose node the call entered at.
+    /// The service of the node at which the call entered.
     pub caller_service: Name,
     /// The sender is in the failure domain of the target.
     #[serde(rename = "is_near")]
@@ -49,15 +49,16 @@
     /// The client account that the request belongs to.
     pub account: Option<CallAccount>,
     pub priority: Priority,
-    /// The latency objective in milliseconds: an answer within this time has the highest value.
+    /// The latency objective in milliseconds: a later answer is worth less to the caller.
     pub objective_ms: u32,
     /// The probability that the call is a repeat, in thousandths: either the call itself is
-    /// repeated, or it is made by work that is. The bound on repeats counts both.
+    /// repeated, or it is made by work that is. The budget for repeats counts both.
     pub repeated_permille: u16,
     /// The time left until the deadline when the header is written.
     pub deadline_left_ms: u32,
-    /// The last advertisement of the backend server that the sender knows, if it states a rate or a
-    /// departure. Without it a restarted guard would not know of either.
+    /// The last advertisement that the sender received of the target's backend server, if it states
+    /// a rate or a departure. A restarted guard has neither until the backend server states it
+    /// again.
     #[serde(rename = "word")]
     pub advertisement: Option<Advertisement>,
 }
--- a/src/wire/owner_hint.rs
+++ b/src/wire/owner_hint.rs
@@ -5,7 +5,7 @@
 
 use crate::core::Name;
 
-/// The owner of a slot as the answering guard knows it.
+/// The owner of a slot, as far as the answering guard knows.
 ///
 /// Entries learn owners only from answers: no message distributes the slot maps
 /// (docs/AT_MOST_ONCE.md, "How entries find the owner").
--- a/tests/fake_store/mod.rs
+++ b/tests/fake_store/mod.rs
@@ -42,7 +42,7 @@
 
 #[derive(Debug, Default)]
 struct State {
-    now: Rows,
+    current: Rows,
     backup: Rows,
     era: u64,
     put_faults: VecDeque<PutFault>,
@@ -56,7 +56,7 @@
 pub struct FakeStore(Arc<Mutex<State>>);
 
 impl FakeStore {
-    /// Adds a fault to the queue: each of the next writes takes one. Later writes are applied and
+    /// Queues a fault. Each write takes the oldest queued fault; without one it is applied and
     /// answered.
     pub fn inject_fault(&self, fault: PutFault) {
         self.0.lock().unwrap().put_faults.push_back(fault);
@@ -65,14 +65,14 @@
     /// Saves a backup for [`FakeStore::restore`].
     pub fn take_backup(&self) {
         let mut state = self.0.lock().unwrap();
-        state.backup = state.now.clone();
+        state.backup = state.current.clone();
     }
 
     /// Restores the backup: later writes are lost, also acknowledged ones, and their versions are
     /// assigned again.
     pub fn restore(&self) {
         let mut state = self.0.lock().unwrap();
-        state.now = state.backup.clone();
+        state.current = state.backup.clone();
         state.era += 1;
     }
 
@@ -81,25 +81,29 @@
         let mut state = self.0.lock().unwrap();
         let delayed = std::mem::take(&mut state.delayed);
         for put in delayed {
-            drop(state.now.put(&put));
+            drop(state.current.put(&put));
         }
     }
 
     /// Writes a row unconditionally, as another process would.
     pub fn write(&self, name: &RowName, value: &[u8]) {
         let mut state = self.0.lock().unwrap();
-        let current = state.now.rows.get(name).map_or(0, |(_, version)| *version);
+        let current = state
+            .current
+            .rows
+            .get(name)
+            .map_or(0, |(_, version)| *version);
         let put = RowPut {
             name: name.clone(),
             value: value.to_vec(),
             expected_version: current,
         };
-        state.now.put(&put).unwrap();
+        state.current.put(&put).unwrap();
     }
 
     pub fn value(&self, name: &RowName) -> Option<Vec<u8>> {
         let state = self.0.lock().unwrap();
-        state.now.rows.get(name).map(|(value, _)| value.clone())
+        state.current.rows.get(name).map(|(value, _)| value.clone())
     }
 
     /// The numbers of reads and writes requested.
@@ -151,14 +155,14 @@
 impl Store for FakeStore {
     fn read_part(&self, table: Name, part: Name) -> StoreCall<'_, RowsRead> {
         self.read(|state| RowsRead {
-            rows: state.now.rows_of(&table, &part),
-            version: state.now.version,
+            rows: state.current.rows_of(&table, &part),
+            version: state.current.version,
         })
     }
 
     fn read_row(&self, name: RowName) -> StoreCall<'_, Option<StoredRow>> {
         self.read(|state| {
-            let rows = state.now.rows_of(&name.table, &name.part);
+            let rows = state.current.rows_of(&name.table, &name.part);
             rows.into_iter().find(|row| row.name == name)
         })
     }
@@ -171,7 +175,7 @@
         max_rows: usize,
     ) -> StoreCall<'_, Vec<StoredRow>> {
         self.read(|state| {
-            let rows = state.now.rows_of(&table, &part).into_iter();
+            let rows = state.current.rows_of(&table, &part).into_iter();
             rows.filter(|row| row.name.key >= from)
                 .take(max_rows)
                 .collect()
@@ -180,16 +184,16 @@
 
     fn changes(&self, table: Name, after: u64, _wait_ms: u64) -> StoreCall<'_, Changes> {
         let state = self.0.lock().unwrap();
-        if after > state.now.version {
+        if after > state.current.version {
             return ready(Err(StoreError::HistoryGone)).boxed();
         }
         drop(state);
         self.read(|state| {
-            let rows = state.now.history.iter();
+            let rows = state.current.history.iter();
             let rows = rows.filter(|row| row.name.table == table && row.version > after);
             Changes {
                 rows: rows.cloned().collect(),
-                version: state.now.version,
+                version: state.current.version,
             }
         })
     }
@@ -206,10 +210,10 @@
                 no_answer()
             }
             Some(PutFault::AnswerLost) => {
-                drop(state.now.put(&put));
+                drop(state.current.put(&put));
                 no_answer()
             }
-            None => state.now.put(&put).map(|version| Answered {
+            None => state.current.put(&put).map(|version| Answered {
                 era: state.era,
                 value: version,
             }),
--- a/tests/store_rows.rs
+++ b/tests/store_rows.rs
@@ -69,8 +69,8 @@
     assert_eq!(rates.parts(), parts);
 }
 
-/// Covers fleets of up to twice the size of one deployment: no part gets more rows than it accepts
-/// writes in a second.
+/// Guards against a part that gets more rows of a starting fleet than it accepts writes in a
+/// second. The fleets are one of the size of a deployment, and one of twice that size.
 #[rstest]
 #[case(986)]
 #[case(1_972)]
@@ -111,11 +111,11 @@
     Step::Restore,
     Step::Restart,
 ];
-const DEPTH: u32 = 6;
+const SEQUENCE_STEPS: u32 = 6;
 
 /// Runs one sequence of steps and applies the last delayed writes. It then rereads and rewrites the
-/// row, as every process does when it learns of a new era.
-fn play(steps: impl Iterator<Item = Step>) -> (Option<Vec<u8>>, Vec<u8>) {
+/// row, as every process does when it learns of a new era. Returns the stored and the wanted value.
+fn run_steps(steps: impl Iterator<Item = Step>) -> (Option<Vec<u8>>, Vec<u8>) {
     let store = FakeStore::default();
     let mut writer = writer(&store);
     let mut wanted: u8 = 0;
@@ -136,6 +136,7 @@
     }
     store.apply_delayed();
     writer.forget();
+    // Each fault that is still queued fails one write, and at most SEQUENCE_STEPS are.
     for _ in 0..8 {
         if write(&mut writer, &[wanted]) == WriteOutcome::Written {
             break;
@@ -144,21 +145,22 @@
     (store.value(&row()), vec![wanted])
 }
 
-/// Guards against losing an acknowledged departure: a restored store no longer held it, and the
-/// process still took it as written.
+/// Guards against losing an acknowledged write, such as the departure of a node: a restored store
+/// no longer holds it, and the process still treats it as written.
 #[rstest]
-fn in_all_orders_the_row_is_written_again() {
-    let count = STEPS.len().pow(DEPTH);
-    for order in 0..count {
-        let steps = (0..DEPTH).map(|place| STEPS[order / STEPS.len().pow(place) % STEPS.len()]);
-        let (stored, wanted) = play(steps.clone());
+fn after_every_sequence_of_steps_the_row_holds_the_wanted_value() {
+    let count = STEPS.len().pow(SEQUENCE_STEPS);
+    for sequence in 0..count {
+        let steps = (0..SEQUENCE_STEPS)
+            .map(|position| STEPS[sequence / STEPS.len().pow(position) % STEPS.len()]);
+        let (stored, wanted) = run_steps(steps.clone());
         let steps: Vec<Step> = steps.collect();
         assert_eq!(stored, Some(wanted), "{steps:?}");
     }
 }
 
-/// Guards against accepting a write on a version of before a restore, which the restored store had
-/// assigned again to the same row.
+/// Guards against accepting a write that expects a version from before a restore, after the
+/// restored store has assigned that version again to the same row.
 #[rstest]
 fn a_write_on_a_version_of_an_earlier_era_is_not_accepted() {
     let store = FakeStore::default();
