--- a/src/core/identifiers.rs
+++ b/src/core/identifiers.rs
@@ -68,8 +68,10 @@
     }
 }
 
-/// A hash of a call's content, the same at every node. It identifies a request that crashes backend
-/// servers even when the request is sent again under another identifier (docs/DESIGN.md, "Poisoned requests").
+/// A hash of a call's content, the same at every node.
+///
+/// It identifies a request that crashes backend servers even when the request is sent again under
+/// another identifier (docs/DESIGN.md, "Poisoned requests").
 pub fn fingerprint_of(service: &str, method: &str, path: &str, body: &[u8]) -> u64 {
     let mut hasher = FxHasher::default();
     for part in [service.as_bytes(), method.as_bytes(), path.as_bytes(), body] {
--- a/src/wire/call_header.rs
+++ b/src/wire/call_header.rs
@@ -32,7 +32,8 @@
     /// The idempotency key under which the call runs at most once.
     pub key: Option<Name>,
     /// The last stamp that the sender received from the owner of the key's slot, or 0 if none. It
-    /// proves that the attempt was sent recently (docs/AT_MOST_ONCE.md, "Attempts that arrive late").
+    /// proves that the attempt was sent recently (docs/AT_MOST_ONCE.md, "Attempts that arrive
+    /// late").
     pub owner_stamp: u64,
     /// The key was never sent before, so that even a new owner need not assume an earlier run
     /// (docs/DESIGN.md, "Keys of child calls").
--- a/src/wire/hop_answer.rs
+++ b/src/wire/hop_answer.rs
@@ -1,5 +1,5 @@
-//! The header that a guard of the `traffic` module adds to every answer and refusal. Calls that this
-//! module forwards have no keys.
+//! The header that a guard of the `traffic` module adds to every answer and refusal. The calls that
+//! this module forwards have no keys.
 
 use http::HeaderMap;
 use serde::Deserialize;
--- a/tests/fake_store/mod.rs
+++ b/tests/fake_store/mod.rs
@@ -88,7 +88,7 @@
     /// Writes a row unconditionally, as another process would.
     pub fn write(&self, name: &RowName, value: &[u8]) {
         let mut state = self.0.lock().unwrap();
-        let current = state
+        let current_version = state
             .current
             .rows
             .get(name)
@@ -96,7 +96,7 @@
         let put = RowPut {
             name: name.clone(),
             value: value.to_vec(),
-            expected_version: current,
+            expected_version: current_version,
         };
         state.current.put(&put).unwrap();
     }
@@ -125,9 +125,11 @@
 
 impl Rows {
     fn put(&mut self, put: &RowPut) -> Result<u64, StoreError> {
-        let current = self.rows.get(&put.name).map_or(0, |(_, version)| *version);
-        if current != put.expected_version {
-            return Err(StoreError::Conflict { version: current });
+        let current_version = self.rows.get(&put.name).map_or(0, |(_, version)| *version);
+        if current_version != put.expected_version {
+            return Err(StoreError::Conflict {
+                version: current_version,
+            });
         }
         self.version += 1;
         let row = (put.value.clone(), self.version);
