--- a/src/traffic/advertisement_cache.rs
+++ b/src/traffic/advertisement_cache.rs
@@ -3,14 +3,14 @@
 use crate::core::FastMap;
 use crate::core::Name;
 use crate::core::TimeMs;
-use crate::wire::ServerWord;
+use crate::wire::Advertisement;
 
 /// Maximum number of entries; beyond it the entry that was updated longest ago is evicted.
 const MAX_ENTRIES: usize = 2_048;
 
 #[derive(Clone, Debug)]
 struct Entry {
-    advertisement: ServerWord,
+    advertisement: Advertisement,
     at: TimeMs,
 }
 
@@ -33,7 +33,7 @@
         &mut self,
         now: TimeMs,
         node: &Name,
-        advertisement: Option<ServerWord>,
+        advertisement: Option<Advertisement>,
         has_run: bool,
     ) {
         match advertisement {
@@ -44,13 +44,13 @@
     }
 
     /// The departure or rate limit advertised by the backend server of a node, if any.
-    pub fn get(&self, node: &Name) -> Option<&ServerWord> {
+    pub fn get(&self, node: &Name) -> Option<&Advertisement> {
         self.entries.get(node).map(|entry| &entry.advertisement)
     }
 
-    fn insert(&mut self, now: TimeMs, node: &Name, mut advertisement: ServerWord) {
+    fn insert(&mut self, now: TimeMs, node: &Name, mut advertisement: Advertisement) {
         let before = self.get(node);
-        let is_same = |before: &&ServerWord| before.incarnation == advertisement.incarnation;
+        let is_same = |before: &&Advertisement| before.incarnation == advertisement.incarnation;
         let was_leaving = before.filter(is_same).is_some_and(|before| {
             before.is_leaving && before.started_unix_ms >= advertisement.started_unix_ms
         });
--- a/src/traffic/attempt.rs
+++ b/src/traffic/attempt.rs
@@ -5,8 +5,8 @@
 use crate::core::Refusal;
 use crate::core::RefusalReason;
 use crate::core::RouteOrigin;
+use crate::wire::Advertisement;
 use crate::wire::LoadReport;
-use crate::wire::ServerWord;
 
 /// The status of the guard, sent with its answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -19,7 +19,7 @@
     /// Whether callers or backend servers use the call's route.
     pub origin: Option<RouteOrigin>,
     /// The departure or rate limit advertised by the backend server, if any.
-    pub advertisement: Option<ServerWord>,
+    pub advertisement: Option<Advertisement>,
 }
 
 /// The outcome of an attempt.
--- a/src/traffic/backend_answer.rs
+++ b/src/traffic/backend_answer.rs
@@ -18,7 +18,7 @@
 use crate::traffic::ServerReport;
 use crate::traffic::guard::not_run;
 use crate::traffic::traffic::Traffic;
-use crate::wire::ServerWords;
+use crate::wire::HeaderAdvertisement;
 
 /// Whether an answer has the request identifier of the call.
 ///
@@ -59,7 +59,7 @@
     }
     let is_valid = is_valid(names, answer);
     // An invalid answer without advertisements must not revoke earlier ones.
-    if is_valid || advertisements.said().next().is_some() {
+    if is_valid || advertisements.labels().next().is_some() {
         apply_advertisements(traffic, incarnation, sent_at, advertisements);
     }
     if answer.headers.contains_key(&names.not_run) {
@@ -87,10 +87,10 @@
     traffic: &Traffic,
     incarnation: &Name,
     sent_at: TimeMs,
-    advertisements: ServerWords,
+    advertisements: HeaderAdvertisement,
 ) {
     advertisements
-        .said()
+        .labels()
         .for_each(|word| traffic.metrics.count_word(word));
     if advertisements.rate == AdvertisedRate::Malformed {
         log::warn!("local: malformed rate limit, incarnation={incarnation}");
--- a/src/traffic/control_link.rs
+++ b/src/traffic/control_link.rs
@@ -152,7 +152,7 @@
 pub(super) fn era_handler(eras: &EraWatch) -> Arc<dyn Fn(u64) + Send + Sync> {
     let eras = eras.clone();
     Arc::new(move |era| {
-        eras.take(era);
+        eras.observe(era);
     })
 }
 
--- a/src/traffic/desired_task.rs
+++ b/src/traffic/desired_task.rs
@@ -12,12 +12,12 @@
 use crate::desired::WATCH_LONG_POLL_MS;
 use crate::desired::WATCH_MAX_BACKOFF_MS;
 use crate::errors::DesiredStateError;
+use crate::store::Backoff;
 use crate::store::RowChange;
 use crate::store::RowName;
 use crate::store::Store;
-use crate::store::TableNews;
+use crate::store::TableChanges;
 use crate::store::TableWatch;
-use crate::store::WatchPause;
 use crate::traffic::DesiredInForce;
 
 /// Decodes the operator's row into a desired state.
@@ -60,7 +60,7 @@
     pub(super) async fn run(mut self) {
         let (table, part) = (self.source.row.table.clone(), self.source.row.part.clone());
         let mut watch = TableWatch::new(self.store.clone(), table, part);
-        let mut pause = WatchPause::default();
+        let mut pause = Backoff::default();
         let mut was_reached = true;
         loop {
             self.wait_until_polling().await;
@@ -80,7 +80,7 @@
                         log::warn!("store: lost, error={error}");
                     }
                     was_reached = false;
-                    let pause_ms = pause.up_to(WATCH_MAX_BACKOFF_MS, fastrand::f64());
+                    let pause_ms = pause.after_failure_up_to(WATCH_MAX_BACKOFF_MS, fastrand::f64());
                     sleep(Duration::from_millis(pause_ms)).await;
                 }
             }
@@ -92,8 +92,8 @@
     ///
     /// A store that was restored from an older copy may hold an older state than the one in force.
     /// The latter then stays in force, and is not confirmed as the newest.
-    fn apply(&mut self, changes: &TableNews) {
-        if changes.is_whole {
+    fn apply(&mut self, changes: &TableChanges) {
+        if changes.is_snapshot {
             self.stored = None;
         }
         let of_operator = changes
--- a/src/traffic/guard.rs
+++ b/src/traffic/guard.rs
@@ -147,7 +147,7 @@
 
 /// Applies the local backend server's advertisement that the sending entry has cached, if any.
 fn apply_advertisement(traffic: &Traffic, hop: &HopCall) {
-    let Some(advertisement) = &hop.word else {
+    let Some(advertisement) = &hop.advertisement else {
         return;
     };
     let now = traffic.clock.now();
@@ -306,7 +306,7 @@
         origin: guard_status.origin,
         load: guard_status.load,
         failing_permille: guard_status.failing_permille,
-        word: guard_status.advertisement,
+        advertisement: guard_status.advertisement,
     };
     let refused = || WholeAnswer {
         status: StatusCode::SERVICE_UNAVAILABLE,
--- a/src/traffic/header_names.rs
+++ b/src/traffic/header_names.rs
@@ -3,7 +3,7 @@
 use http::HeaderMap;
 use http::HeaderName;
 
-use crate::wire::ServerWords;
+use crate::wire::HeaderAdvertisement;
 
 /// Header names by purpose. An adapter sets them once; the request path uses only these fields.
 #[derive(Clone, Debug)]
@@ -34,7 +34,7 @@
 
 impl HeaderNames {
     /// Reads a backend server's advertisements from the headers of an answer.
-    pub fn read_advertisements(&self, headers: &HeaderMap) -> ServerWords {
-        ServerWords::of(&self.rate_limit, &self.leaving, headers)
+    pub fn read_advertisements(&self, headers: &HeaderMap) -> HeaderAdvertisement {
+        HeaderAdvertisement::of(&self.rate_limit, &self.leaving, headers)
     }
 }
--- a/src/traffic/hop.rs
+++ b/src/traffic/hop.rs
@@ -41,7 +41,7 @@
         service: call.service.clone(),
         route: call.route.clone(),
         caller_service: traffic.settings.service.clone(),
-        is_near: target.domain == traffic.settings.domain,
+        is_same_domain: target.domain == traffic.settings.domain,
         origin: call.origin,
         is_certain_origin: call.is_certain_origin,
         account: call.account.clone(),
@@ -53,7 +53,7 @@
             call.repeated_permille
         },
         deadline_left_ms: deadline.since(traffic.clock.now()) as u32,
-        word: traffic.advertisement_cache().get(&target.node).cloned(),
+        advertisement: traffic.advertisement_cache().get(&target.node).cloned(),
     }
 }
 
@@ -129,7 +129,7 @@
             failing_permille: hop.failing_permille,
             pressure: hop.pressure,
             origin: hop.origin,
-            advertisement: hop.word,
+            advertisement: hop.advertisement,
         }),
     }
 }
--- a/src/traffic/local_server.rs
+++ b/src/traffic/local_server.rs
@@ -13,7 +13,7 @@
 use crate::traffic::ServerReport;
 use crate::traffic::gone_servers::GoneServers;
 use crate::traffic::gone_servers::is_later;
-use crate::wire::ServerWord;
+use crate::wire::Advertisement;
 
 /// A report with a sequence number up to this comes from an incarnation that has just started.
 const FIRST_SEQUENCES: u64 = 2;
@@ -276,7 +276,11 @@
     }
 
     /// Applies an advertisement relayed by a peer. It may be from before this process started.
-    pub fn apply_advertisement(&mut self, now: TimeMs, advertisement: &ServerWord) -> LocalChange {
+    pub fn apply_advertisement(
+        &mut self,
+        now: TimeMs,
+        advertisement: &Advertisement,
+    ) -> LocalChange {
         let current = self.current.as_ref();
         let current = current.filter(|current| current.incarnation == advertisement.incarnation);
         if current
@@ -309,10 +313,10 @@
     }
 
     /// The departure and rate limit advertised by the current incarnation, if any.
-    pub fn advertisement(&self) -> Option<ServerWord> {
+    pub fn advertisement(&self) -> Option<Advertisement> {
         let current = self.current.as_ref()?;
         let rate_milli = current.rate.per_s().map(|per_s| (per_s * MILLI) as u64);
-        (current.is_leaving || rate_milli.is_some()).then(|| ServerWord {
+        (current.is_leaving || rate_milli.is_some()).then(|| Advertisement {
             incarnation: current.incarnation.clone(),
             started_unix_ms: current.started_unix_ms,
             is_leaving: current.is_leaving,
--- a/src/traffic/peer_discovery.rs
+++ b/src/traffic/peer_discovery.rs
@@ -10,10 +10,10 @@
 use crate::core::Name;
 use crate::desired::is_watcher;
 use crate::errors::StoreError;
+use crate::store::Backoff;
 use crate::store::Store;
 use crate::store::StoreRates;
 use crate::store::StoredRow;
-use crate::store::WatchPause;
 use crate::store::key_after;
 use crate::store::part_name;
 use crate::traffic::roster_row::RosterRow;
@@ -95,7 +95,7 @@
         }
         // A node that still knows no other node has started during an outage, or has read only rows
         // of nodes that are gone. It keeps reading samples.
-        let mut pause = WatchPause::default();
+        let mut pause = Backoff::default();
         while self.control.view.load().nodes.len() < 2 {
             sleep(Duration::from_millis(pause.after_failure(fastrand::f64()))).await;
             let seeds = self.next_sample(&mut cursor).await;
--- a/src/traffic/roster.rs
+++ b/src/traffic/roster.rs
@@ -13,12 +13,12 @@
 use crate::control::ControlHandle;
 use crate::core::Name;
 use crate::errors::StoreError;
+use crate::store::Backoff;
 use crate::store::EraWatch;
-use crate::store::KeptRow;
-use crate::store::RowKeeper;
 use crate::store::RowName;
+use crate::store::RowWriter;
 use crate::store::Store;
-use crate::store::WatchPause;
+use crate::store::WriteOutcome;
 use crate::store::part_name;
 use crate::traffic::peer_discovery::PeerDiscovery;
 use crate::traffic::roster_row::RosterRow;
@@ -56,7 +56,7 @@
             part: part_name(settings.store_rates.part_of(&settings.node)),
             key: own_key.clone(),
         };
-        let mut keeper = RowKeeper::new(self.store.clone(), name);
+        let mut keeper = RowWriter::new(self.store.clone(), name);
         // True once discovery may start; see [`PeerDiscovery`].
         let (allow_discovery, mut is_allowed) = watch::channel(!is_first_start);
         let others = PeerDiscovery {
@@ -90,17 +90,17 @@
     ///
     /// On the first start of the whole system the store has no rows, so nothing is read first. If a
     /// row exists nevertheless, the write reports a conflict, and the stored content is used.
-    async fn write_first(&self, keeper: &mut RowKeeper) -> Option<RosterRow> {
+    async fn write_first(&self, keeper: &mut RowWriter) -> Option<RosterRow> {
         let mut status = self.traffic.local_status.subscribe();
         let is_known =
             |status: &LocalServerStatus| status.known.is_some() || status.leaving.is_some();
         drop(timeout(FIRST_REPORT_TIMEOUT, status.wait_for(is_known)).await);
-        keeper.take_as_absent();
+        keeper.assume_absent();
         let wanted = self.wanted_row(None);
         match keeper.write(&wanted.encode()).await {
-            KeptRow::Written => Some(wanted),
-            KeptRow::Again(StoreError::Conflict { .. }) => self.read_own_row(keeper).await,
-            KeptRow::Again(error) => {
+            WriteOutcome::Written => Some(wanted),
+            WriteOutcome::Retry(StoreError::Conflict { .. }) => self.read_own_row(keeper).await,
+            WriteOutcome::Retry(error) => {
                 log::debug!("roster: own row not written, error={error}");
                 None
             }
@@ -112,7 +112,7 @@
     ///
     /// Without the restored departure, a late report from before it would cause new work to be sent
     /// to the backend server after a restart of the node.
-    async fn read_own_row(&self, keeper: &mut RowKeeper) -> Option<RosterRow> {
+    async fn read_own_row(&self, keeper: &mut RowWriter) -> Option<RosterRow> {
         let row = match timeout(OWN_ROW_TIMEOUT, keeper.read()).await {
             Ok(Ok(row)) => row,
             Ok(Err(error)) => {
@@ -133,7 +133,7 @@
     }
 
     /// Keeps the row up to date. `before` is its stored content, if known.
-    async fn keep(&self, keeper: &mut RowKeeper, before: Option<RosterRow>) {
+    async fn keep(&self, keeper: &mut RowWriter, before: Option<RosterRow>) {
         let known = before.as_ref().and_then(|before| before.known.clone());
         let restoring = async {
             if let Some(known) = known {
@@ -143,11 +143,11 @@
         tokio::join!(restoring, self.maintain_row(keeper, before));
     }
 
-    async fn maintain_row(&self, keeper: &mut RowKeeper, before: Option<RosterRow>) {
+    async fn maintain_row(&self, keeper: &mut RowWriter, before: Option<RosterRow>) {
         let mut written = before.clone();
         let mut status = self.traffic.local_status.subscribe();
         let mut checks = RowChecks::new(&self.eras);
-        let mut pause = WatchPause::default();
+        let mut pause = Backoff::default();
         loop {
             status.mark_unchanged();
             let wanted = self.wanted_row(before.as_ref());
@@ -164,11 +164,11 @@
                 continue;
             }
             match keeper.write(&wanted.encode()).await {
-                KeptRow::Written => {
+                WriteOutcome::Written => {
                     pause.reset();
                     written = Some(wanted);
                 }
-                KeptRow::Again(error) => {
+                WriteOutcome::Retry(error) => {
                     written = None;
                     log::debug!("roster: own row not written, error={error}");
                     sleep(Duration::from_millis(pause.after_failure(fastrand::f64()))).await;
--- a/src/traffic/route_origins.rs
+++ b/src/traffic/route_origins.rs
@@ -73,7 +73,7 @@
         let observed = ObservedCall {
             route: &call.route,
             caller_service: &call.caller_service,
-            same_domain: call.is_near && callers.own_domain.len() > 1,
+            same_domain: call.is_same_domain && callers.own_domain.len() > 1,
             reported_origin: call.origin,
         };
         let services = CallingServices {
--- a/src/traffic/server_restore.rs
+++ b/src/traffic/server_restore.rs
@@ -17,7 +17,7 @@
 use crate::core::Name;
 use crate::traffic::backend_answer::apply_advertisements;
 use crate::traffic::traffic::Traffic;
-use crate::wire::ServerWords;
+use crate::wire::HeaderAdvertisement;
 
 /// Time-out for the health check. Reports arrive every one or two seconds, so a later answer would
 /// be useless.
@@ -69,7 +69,7 @@
 struct HealthCheck {
     incarnation: Name,
     is_healthy: bool,
-    advertisements: ServerWords,
+    advertisements: HeaderAdvertisement,
 }
 
 /// Performs a health check of the backend server.
--- a/tests/fake_store/mod.rs
+++ b/tests/fake_store/mod.rs
@@ -1,4 +1,4 @@
-//! A store in memory, with copies to restore and writes that are performed late.
+//! An in-memory store with backup and restore, rejected and delayed writes, and lost answers.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -21,15 +21,16 @@
 use sassafrasgap::store::StoreCall;
 use sassafrasgap::store::StoredRow;
 
-/// What happens to the next write.
+/// A fault of one write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NextPut {
-    /// It is turned away: nothing is done.
-    TurnedAway,
-    /// It is done, and the answer is lost.
-    Unanswered,
-    /// It is not answered, and done when [`FakeStore::perform_late`] says so, if its condition holds then.
-    Late,
+pub enum PutFault {
+    /// The write is rejected and not applied.
+    Rejected,
+    /// The write is applied, and its answer is lost.
+    AnswerLost,
+    /// The write is not answered. [`FakeStore::apply_delayed`] applies it if its condition holds
+    /// then.
+    Delayed,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -41,65 +42,71 @@
 
 #[derive(Debug, Default)]
 struct State {
-    now: Rows,
-    copy: Rows,
+    current: Rows,
+    backup: Rows,
     era: u64,
-    next_puts: VecDeque<NextPut>,
-    late: Vec<RowPut>,
+    put_faults: VecDeque<PutFault>,
+    delayed: Vec<RowPut>,
     reads: u64,
     puts: u64,
 }
 
-/// Shared by all that use it.
+/// Clones share one store.
 #[derive(Clone, Debug, Default)]
 pub struct FakeStore(Arc<Mutex<State>>);
 
 impl FakeStore {
-    /// What happens to the next writes, in order; those after them are done and answered.
-    pub fn next_put(&self, next: NextPut) {
-        self.0.lock().unwrap().next_puts.push_back(next);
+    /// Queues a fault. Each write takes the oldest queued fault; without one it is applied and
+    /// answered.
+    pub fn inject_fault(&self, fault: PutFault) {
+        self.0.lock().unwrap().put_faults.push_back(fault);
     }
 
-    /// Keeps a copy to restore later.
-    pub fn keep_copy(&self) {
+    /// Saves a backup for [`FakeStore::restore`].
+    pub fn take_backup(&self) {
         let mut state = self.0.lock().unwrap();
-        state.copy = state.now.clone();
+        state.backup = state.current.clone();
     }
 
-    /// Goes back to the copy: what was acknowledged since is gone, and its versions are given out again.
+    /// Restores the backup: later writes are lost, also acknowledged ones, and their versions are
+    /// assigned again.
     pub fn restore(&self) {
         let mut state = self.0.lock().unwrap();
-        state.now = state.copy.clone();
+        state.current = state.backup.clone();
         state.era += 1;
     }
 
-    /// Performs the writes that were not answered and wait.
-    pub fn perform_late(&self) {
+    /// Applies the delayed writes.
+    pub fn apply_delayed(&self) {
         let mut state = self.0.lock().unwrap();
-        let late = std::mem::take(&mut state.late);
-        for put in late {
-            drop(state.now.put(&put));
+        let delayed = std::mem::take(&mut state.delayed);
+        for put in delayed {
+            drop(state.current.put(&put));
         }
     }
 
-    /// Writes a row as somebody else does, without a condition.
+    /// Writes a row unconditionally, as another process would.
     pub fn write(&self, name: &RowName, value: &[u8]) {
         let mut state = self.0.lock().unwrap();
-        let held = state.now.rows.get(name).map_or(0, |(_, version)| *version);
+        let current_version = state
+            .current
+            .rows
+            .get(name)
+            .map_or(0, |(_, version)| *version);
         let put = RowPut {
             name: name.clone(),
             value: value.to_vec(),
-            expected_version: held,
+            expected_version: current_version,
         };
-        state.now.put(&put).unwrap();
+        state.current.put(&put).unwrap();
     }
 
     pub fn value(&self, name: &RowName) -> Option<Vec<u8>> {
         let state = self.0.lock().unwrap();
-        state.now.rows.get(name).map(|(value, _)| value.clone())
+        state.current.rows.get(name).map(|(value, _)| value.clone())
     }
 
-    /// How many reads and writes were asked for.
+    /// The numbers of reads and writes requested.
     pub fn calls(&self) -> (u64, u64) {
         let state = self.0.lock().unwrap();
         (state.reads, state.puts)
@@ -118,9 +125,11 @@
 
 impl Rows {
     fn put(&mut self, put: &RowPut) -> Result<u64, StoreError> {
-        let held = self.rows.get(&put.name).map_or(0, |(_, version)| *version);
-        if held != put.expected_version {
-            return Err(StoreError::Conflict { version: held });
+        let current_version = self.rows.get(&put.name).map_or(0, |(_, version)| *version);
+        if current_version != put.expected_version {
+            return Err(StoreError::Conflict {
+                version: current_version,
+            });
         }
         self.version += 1;
         let row = (put.value.clone(), self.version);
@@ -148,14 +157,14 @@
 impl Store for FakeStore {
     fn read_part(&self, table: Name, part: Name) -> StoreCall<'_, RowsRead> {
         self.read(|state| RowsRead {
-            rows: state.now.rows_of(&table, &part),
-            version: state.now.version,
+            rows: state.current.rows_of(&table, &part),
+            version: state.current.version,
         })
     }
 
     fn read_row(&self, name: RowName) -> StoreCall<'_, Option<StoredRow>> {
         self.read(|state| {
-            let rows = state.now.rows_of(&name.table, &name.part);
+            let rows = state.current.rows_of(&name.table, &name.part);
             rows.into_iter().find(|row| row.name == name)
         })
     }
@@ -165,26 +174,28 @@
         table: Name,
         part: Name,
         from: Name,
-        most: usize,
+        max_rows: usize,
     ) -> StoreCall<'_, Vec<StoredRow>> {
         self.read(|state| {
-            let rows = state.now.rows_of(&table, &part).into_iter();
-            rows.filter(|row| row.name.key >= from).take(most).collect()
+            let rows = state.current.rows_of(&table, &part).into_iter();
+            rows.filter(|row| row.name.key >= from)
+                .take(max_rows)
+                .collect()
         })
     }
 
     fn changes(&self, table: Name, after: u64, _wait_ms: u64) -> StoreCall<'_, Changes> {
         let state = self.0.lock().unwrap();
-        if after > state.now.version {
+        if after > state.current.version {
             return ready(Err(StoreError::HistoryGone)).boxed();
         }
         drop(state);
         self.read(|state| {
-            let rows = state.now.history.iter();
+            let rows = state.current.history.iter();
             let rows = rows.filter(|row| row.name.table == table && row.version > after);
             Changes {
                 rows: rows.cloned().collect(),
-                version: state.now.version,
+                version: state.current.version,
             }
         })
     }
@@ -192,19 +203,19 @@
     fn put(&self, put: RowPut) -> StoreCall<'_, u64> {
         let mut state = self.0.lock().unwrap();
         state.puts += 1;
-        let next = state.next_puts.pop_front();
+        let fault = state.put_faults.pop_front();
         let no_answer = || Err(StoreError::NoAnswer("lost".to_owned()));
-        let result = match next {
-            Some(NextPut::TurnedAway) => Err(StoreError::TooManyCalls),
-            Some(NextPut::Late) => {
-                state.late.push(put);
+        let result = match fault {
+            Some(PutFault::Rejected) => Err(StoreError::TooManyCalls),
+            Some(PutFault::Delayed) => {
+                state.delayed.push(put);
                 no_answer()
             }
-            Some(NextPut::Unanswered) => {
-                drop(state.now.put(&put));
+            Some(PutFault::AnswerLost) => {
+                drop(state.current.put(&put));
                 no_answer()
             }
-            None => state.now.put(&put).map(|version| Answered {
+            None => state.current.put(&put).map(|version| Answered {
                 era: state.era,
                 value: version,
             }),
--- a/tests/traffic_rate_fleet.rs
+++ b/tests/traffic_rate_fleet.rs
@@ -19,7 +19,7 @@
 use sassafrasgap::traffic::LocalServer;
 use sassafrasgap::traffic::ReportedState;
 use sassafrasgap::traffic::ServerReport;
-use sassafrasgap::wire::ServerWord;
+use sassafrasgap::wire::Advertisement;
 
 const WINDOW_MS: u64 = 4_000;
 /// This long after an entry relayed an advertisement, its calls count against the limit.
@@ -37,11 +37,11 @@
 #[derive(Clone, Debug)]
 enum Event {
     /// A call of this entry reaches the guard, with the advertisement that the entry has cached.
-    Reaches(usize, Option<ServerWord>),
+    Reaches(usize, Option<Advertisement>),
     /// The backend server answers the call with this ticket, of this entry.
     Answers(u64, usize),
     /// The guard's answer reaches its entry; the flag says whether the call ran.
-    Returns(usize, Option<ServerWord>, bool),
+    Returns(usize, Option<Advertisement>, bool),
 }
 
 /// The process of the guard.
@@ -167,7 +167,7 @@
         }
     }
 
-    fn reaches(&mut self, entry: usize, advertisement: Option<ServerWord>) {
+    fn reaches(&mut self, entry: usize, advertisement: Option<Advertisement>) {
         let now = self.now;
         if let Some(advertisement) = advertisement {
             self.guard.local.apply_advertisement(now, &advertisement);
@@ -347,8 +347,8 @@
     }
 }
 
-fn advertisement(incarnation: &str, is_leaving: bool, rate_milli: Option<u64>) -> ServerWord {
-    ServerWord {
+fn advertisement(incarnation: &str, is_leaving: bool, rate_milli: Option<u64>) -> Advertisement {
+    Advertisement {
         incarnation: Name::from(incarnation),
         started_unix_ms: None,
         is_leaving,
