--- a/src/claims/driver.rs
+++ b/src/claims/driver.rs
@@ -38,7 +38,7 @@
 use crate::control::ControlHandlers;
 use crate::control::PeerClients;
 use crate::control::Promise;
-use crate::control::PromiseAsk;
+use crate::control::PromiseRequest;
 use crate::core::Clock;
 use crate::core::FastSet;
 use crate::core::Name;
@@ -326,7 +326,7 @@
                 node,
                 member,
             } => {
-                let ask = PromiseAsk {
+                let ask = PromiseRequest {
                     service: active.service.clone(),
                     owner: active.instance,
                     member,
@@ -372,7 +372,7 @@
         tokio::spawn(async move { send_transfer(&ports, &node, &transfer).await });
     }
 
-    fn promise(&self, ask: &PromiseAsk) -> Promise {
+    fn promise(&self, ask: &PromiseRequest) -> Promise {
         let mut guard = self.lock();
         match guard.as_mut() {
             Some(active) if active.service == ask.service => {
--- a/src/claims/lease_manager.rs
+++ b/src/claims/lease_manager.rs
@@ -23,7 +23,7 @@
 use crate::claims::row_plan::PlanInput;
 use crate::claims::row_plan::SlotTransfer;
 use crate::control::Promise;
-use crate::control::PromiseAsk;
+use crate::control::PromiseRequest;
 use crate::core::FastMap;
 use crate::core::Name;
 use crate::core::TimeMs;
@@ -242,7 +242,7 @@
     /// Refuses while a take-over by this process may still take effect. Also refuses an asker that
     /// the row no longer lists: this process, or an earlier writer of the row, has then taken its
     /// slots over. A request that is meant for an earlier process of this node is refused as well.
-    pub fn on_promise_request(&mut self, now: TimeMs, ask: &PromiseAsk) -> Promise {
+    pub fn on_promise_request(&mut self, now: TimeMs, ask: &PromiseRequest) -> Promise {
         let asker = self
             .row
             .as_ref()
--- a/src/claims/member_calls.rs
+++ b/src/claims/member_calls.rs
@@ -3,11 +3,11 @@
 use crate::claims::ClaimsPorts;
 use crate::claims::LedgerTransfer;
 use crate::control::Promise;
-use crate::control::PromiseAsk;
+use crate::control::PromiseRequest;
 use crate::core::Name;
 
 /// Asks a member for a promise. A missing answer counts as a refusal.
-pub(super) async fn ask_promise(ports: &ClaimsPorts, node: &Name, ask: PromiseAsk) -> Promise {
+pub(super) async fn ask_promise(ports: &ClaimsPorts, node: &Name, ask: PromiseRequest) -> Promise {
     let target = ports.view.load().nodes.get(node).cloned();
     let Some(target) = target else {
         return Promise::Refused;
--- a/src/control/control_handlers.rs
+++ b/src/control/control_handlers.rs
@@ -10,7 +10,7 @@
 use super::AttemptStatus;
 use super::ConfigDocument;
 use super::Promise;
-use super::PromiseAsk;
+use super::PromiseRequest;
 use super::Suspects;
 use crate::accounts::AllowanceMessage;
 use crate::core::AttemptId;
@@ -44,7 +44,7 @@
     /// `NeverSeen` is answered.
     pub attempt_status: Arc<dyn Fn(AttemptId) -> BoxFuture<'static, AttemptStatus> + Send + Sync>,
     /// Whether to promise not to take over slots.
-    pub promise: Arc<dyn Fn(PromiseAsk) -> Promise + Send + Sync>,
+    pub promise: Arc<dyn Fn(PromiseRequest) -> Promise + Send + Sync>,
     /// Takes in a handed-over ledger; `true` once it is taken in.
     pub hand_over: Arc<dyn Fn(Vec<u8>) -> BoxFuture<'static, bool> + Send + Sync>,
     /// Takes in requests that ran when a backend server crashed.
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -32,7 +32,7 @@
 pub use peer_service::PeerControl;
 pub use peer_service::PeerControlClient;
 pub use peer_service::Promise;
-pub use peer_service::PromiseAsk;
+pub use peer_service::PromiseRequest;
 pub use peer_service::Suspects;
 pub use start::start;
 
--- a/src/control/peer_clients.rs
+++ b/src/control/peer_clients.rs
@@ -21,7 +21,7 @@
 use super::ControlMetrics;
 use super::PeerControlClient;
 use super::Promise;
-use super::PromiseAsk;
+use super::PromiseRequest;
 use super::Suspects;
 use super::peer_transport;
 use crate::core::AttemptId;
@@ -135,7 +135,7 @@
     pub async fn promise(
         &self,
         address: SocketAddr,
-        ask: PromiseAsk,
+        ask: PromiseRequest,
     ) -> Result<Promise, PeerCallError> {
         self.call(address, CALL_TIMEOUT_MS, move |client, context| {
             let ask = ask.clone();
--- a/src/control/peer_server.rs
+++ b/src/control/peer_server.rs
@@ -20,7 +20,7 @@
 use super::ControlMetrics;
 use super::PeerControl;
 use super::Promise;
-use super::PromiseAsk;
+use super::PromiseRequest;
 use super::Suspects;
 use super::peer_transport;
 use crate::core::AttemptId;
@@ -85,7 +85,7 @@
         (self.handlers.attempt_status)(attempt).await
     }
 
-    async fn promise(self, _: Context, ask: PromiseAsk) -> Promise {
+    async fn promise(self, _: Context, ask: PromiseRequest) -> Promise {
         (self.handlers.promise)(ask)
     }
 
--- a/src/control/peer_service.rs
+++ b/src/control/peer_service.rs
@@ -52,7 +52,7 @@
 /// predecessor promised or began, so it must not answer for it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct PromiseAsk {
+pub struct PromiseRequest {
     pub service: Name,
     /// The process instance of the owner that asks.
     pub owner: u64,
@@ -89,7 +89,7 @@
     /// What became of an attempt; an attempt that was never seen is revoked by asking.
     async fn attempt_status(attempt: AttemptId) -> AttemptStatus;
     /// Asks for the promise not to take over slots of the owner's service for a while.
-    async fn promise(ask: PromiseAsk) -> Promise;
+    async fn promise(ask: PromiseRequest) -> Promise;
     /// Hands over an encoded `claims::LedgerTransfer`; `true` confirms that it was taken in.
     async fn hand_over(transfer: Vec<u8>) -> bool;
     /// Spreads requests that ran when a backend server crashed.
--- a/tests/claims_lease_manager.rs
+++ b/tests/claims_lease_manager.rs
@@ -14,7 +14,7 @@
 use sassafrasgap::claims::SlotMap;
 use sassafrasgap::claims::WriteResult;
 use sassafrasgap::control::Promise;
-use sassafrasgap::control::PromiseAsk;
+use sassafrasgap::control::PromiseRequest;
 use sassafrasgap::core::Name;
 use sassafrasgap::core::TimeMs;
 
@@ -108,8 +108,8 @@
     manager.on_read(now, op, ReadResult::Row(found))
 }
 
-fn ask(owner: u64, member: u64) -> PromiseAsk {
-    PromiseAsk {
+fn ask(owner: u64, member: u64) -> PromiseRequest {
+    PromiseRequest {
         service: Name::from("jobs"),
         owner,
         member,
--- a/tests/claims_simulation/hand_overs.rs
+++ b/tests/claims_simulation/hand_overs.rs
@@ -2,7 +2,7 @@
 
 use sassafrasgap::claims::LedgerTransfer;
 use sassafrasgap::claims::TransferTarget;
-use sassafrasgap::control::PromiseAsk;
+use sassafrasgap::control::PromiseRequest;
 use sassafrasgap::core::Name;
 
 use super::Event;
@@ -17,7 +17,7 @@
         node: &str,
         member: u64,
     ) {
-        let ask = PromiseAsk {
+        let ask = PromiseRequest {
             service: Name::from("jobs"),
             owner: self.processes[index].instance,
             member,
@@ -34,7 +34,7 @@
         index: usize,
         from: usize,
         round: u64,
-        ask: &PromiseAsk,
+        ask: &PromiseRequest,
     ) {
         let now = self.processes[index].clock(self.now);
         let promise = self.processes[index].manager.on_promise_request(now, ask);
--- a/tests/claims_simulation/mod.rs
+++ b/tests/claims_simulation/mod.rs
@@ -25,7 +25,7 @@
 use sassafrasgap::claims::SlotMap;
 use sassafrasgap::claims::WriteResult;
 use sassafrasgap::control::Promise;
-use sassafrasgap::control::PromiseAsk;
+use sassafrasgap::control::PromiseRequest;
 use sassafrasgap::core::Name;
 
 pub use calls::GroundTruth;
@@ -62,7 +62,7 @@
     PromiseRequest {
         from: usize,
         round: u64,
-        ask: PromiseAsk,
+        ask: PromiseRequest,
     },
     PromiseAnswer {
         round: u64,
