--- a/src/control/control_handlers.rs
+++ b/src/control/control_handlers.rs
@@ -19,7 +19,7 @@
 
 /// A newer slot map that a peer knows.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SlotMapNews {
+pub struct NewerSlotMap {
     /// The control address of the peer.
     pub from: SocketAddr,
     pub service: Name,
@@ -61,7 +61,7 @@
     pub store_era: Arc<dyn Fn(u64) + Send + Sync>,
     /// A peer knows a newer slot map: fetch it there or from the table. Repeated until
     /// [`super::ControlHandle::set_slot_map_version`] catches up.
-    pub slot_map_news: Arc<dyn Fn(SlotMapNews) + Send + Sync>,
+    pub newer_slot_map: Arc<dyn Fn(NewerSlotMap) + Send + Sync>,
     /// A member has found out who uses a route.
     pub route_use: TakeRouteUse,
     /// A member tells of accounts' allowances.
@@ -82,7 +82,7 @@
             drain: Arc::new(|| {}),
             config_news: Arc::new(|_, _, _| {}),
             store_era: Arc::new(|_| {}),
-            slot_map_news: Arc::new(|_| {}),
+            newer_slot_map: Arc::new(|_| {}),
             route_use: Arc::new(|_, _| {}),
             allowances: Arc::new(|_, _| {}),
             compare_slot_maps: Arc::new(|_| {}),
--- a/src/control/control_loop.rs
+++ b/src/control/control_loop.rs
@@ -16,8 +16,8 @@
 use super::ControlMetrics;
 use super::Direction;
 use super::Freshness;
+use super::NewerSlotMap;
 use super::PeerClients;
-use super::SlotMapNews;
 use crate::core::Clock;
 use crate::core::Published;
 use crate::core::View;
@@ -196,7 +196,7 @@
                     from,
                     service,
                     version,
-                } => (self.handlers.slot_map_news)(SlotMapNews {
+                } => (self.handlers.newer_slot_map)(NewerSlotMap {
                     from,
                     service,
                     version,
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -18,7 +18,7 @@
 
 pub use control_handle::ControlHandle;
 pub use control_handlers::ControlHandlers;
-pub use control_handlers::SlotMapNews;
+pub use control_handlers::NewerSlotMap;
 pub use control_handlers::TakeAllowances;
 pub use control_metrics::ControlMetrics;
 pub use control_metrics::Direction;
