--- a/src/configuration/config_shared.rs
+++ b/src/configuration/config_shared.rs
@@ -29,7 +29,7 @@
 
 /// A peer has a higher version in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ConfigNews {
+pub struct NewerConfig {
     /// The control address of the peer.
     pub from: SocketAddr,
     pub version: u64,
@@ -40,7 +40,7 @@
     state: Mutex<ConfigState>,
     in_force: Arc<Published<Option<InForce>>>,
     highest: AtomicU64,
-    news: Sender<ConfigNews>,
+    news: Sender<NewerConfig>,
     pub(super) metrics: ConfigMetrics,
 }
 
@@ -51,7 +51,7 @@
     pub fn new(
         in_force: Arc<Published<Option<InForce>>>,
         metrics: ConfigMetrics,
-    ) -> (Arc<Self>, Receiver<ConfigNews>) {
+    ) -> (Arc<Self>, Receiver<NewerConfig>) {
         let (news, receiver) = channel(MAX_WAITING_NEWS);
         let shared = Self {
             state: Mutex::new(ConfigState::new()),
@@ -69,7 +69,7 @@
         if version <= self.highest.load(Ordering::Relaxed) {
             return;
         }
-        if self.news.try_send(ConfigNews { from, version }).is_err() {
+        if self.news.try_send(NewerConfig { from, version }).is_err() {
             self.metrics.dropped_news.inc();
         }
     }
--- a/src/configuration/config_task.rs
+++ b/src/configuration/config_task.rs
@@ -11,9 +11,9 @@
 use tokio::time::sleep;
 use tokio::time::timeout;
 
-use crate::configuration::ConfigNews;
 use crate::configuration::ConfigPorts;
 use crate::configuration::ConfigShared;
+use crate::configuration::NewerConfig;
 use crate::configuration::PeerAnswer;
 use crate::configuration::PollOutcome;
 use crate::configuration::PollSchedule;
@@ -40,7 +40,7 @@
 /// Runs on the control thread.
 pub struct ConfigTask {
     pub shared: Arc<ConfigShared>,
-    pub news: Receiver<ConfigNews>,
+    pub news: Receiver<NewerConfig>,
     pub ports: ConfigPorts,
     pub clock: Clock,
     pub poll_ms: u64,
@@ -120,8 +120,8 @@
 
 /// News are taken one after the other: the first answer makes the rest of them old, and a peer
 /// that does not answer is followed by the next one that told.
-async fn fetch_news(shared: &ConfigShared, ports: &ConfigPorts, mut news: Receiver<ConfigNews>) {
-    while let Some(ConfigNews { from, version }) = news.recv().await {
+async fn fetch_news(shared: &ConfigShared, ports: &ConfigPorts, mut news: Receiver<NewerConfig>) {
+    while let Some(NewerConfig { from, version }) = news.recv().await {
         if version > shared.highest() {
             ask(shared, ports, from, ASK_TIMEOUT).await;
         }
--- a/src/control/control_handlers.rs
+++ b/src/control/control_handlers.rs
@@ -56,7 +56,7 @@
     /// A peer (its control address; whether it is of the own failure domain) has this higher
     /// configuration version in force: fetch it there. Repeated until
     /// [`super::ControlHandle::set_config_version`] catches up.
-    pub config_news: Arc<dyn Fn(SocketAddr, u64, bool) + Send + Sync>,
+    pub newer_config: Arc<dyn Fn(SocketAddr, u64, bool) + Send + Sync>,
     /// A peer knows a newer era of the store than was known here.
     pub store_era: Arc<dyn Fn(u64) + Send + Sync>,
     /// A peer knows a newer slot map: fetch it there or from the table. Repeated until
@@ -80,7 +80,7 @@
             report_suspects: Arc::new(|_| {}),
             node_status: Arc::new(String::new),
             drain: Arc::new(|| {}),
-            config_news: Arc::new(|_, _, _| {}),
+            newer_config: Arc::new(|_, _, _| {}),
             store_era: Arc::new(|_| {}),
             newer_slot_map: Arc::new(|_| {}),
             route_use: Arc::new(|_, _| {}),
--- a/src/control/control_loop.rs
+++ b/src/control/control_loop.rs
@@ -190,7 +190,7 @@
                     from,
                     version,
                     is_near,
-                } => (self.handlers.config_news)(from, version, is_near),
+                } => (self.handlers.newer_config)(from, version, is_near),
                 Action::StoreEra { era } => (self.handlers.store_era)(era),
                 Action::NewerSlotMap {
                     from,
--- a/src/node/join_configuration.rs
+++ b/src/node/join_configuration.rs
@@ -25,7 +25,7 @@
 /// The configuration of a node, before its control thread runs.
 pub(super) struct JoinedConfiguration {
     pub(super) shared: Arc<ConfigShared>,
-    news: tokio::sync::mpsc::Receiver<crate::configuration::ConfigNews>,
+    news: tokio::sync::mpsc::Receiver<crate::configuration::NewerConfig>,
 }
 
 impl JoinedConfiguration {
--- a/src/node/node_process.rs
+++ b/src/node/node_process.rs
@@ -105,7 +105,7 @@
     ControlHandlers {
         report_suspects: Arc::new(move |news| take_suspects(&poison, &local, clock.now(), &news)),
         config_above: Arc::new(move |above| asked.document_above(above)),
-        config_news: Arc::new(move |from, version, _| told.note_news(from, version)),
+        newer_config: Arc::new(move |from, version, _| told.note_news(from, version)),
         attempt_status: Arc::new(move |attempt| {
             let status = attempts.status(clock.now(), attempt);
             ready(status).boxed()
--- a/src/traffic/control_link.rs
+++ b/src/traffic/control_link.rs
@@ -63,7 +63,7 @@
     ControlHandlers {
         report_suspects: Arc::new(move |news| take_report(&poison, &service, &news)),
         config_above: Arc::new(move |above| asked.document_above(above)),
-        config_news: Arc::new(move |from, version, is_near| {
+        newer_config: Arc::new(move |from, version, is_near| {
             let told = VersionNews {
                 from,
                 version,
