--- a/src/configuration/config_shared.rs
+++ b/src/configuration/config_shared.rs
@@ -65,7 +65,7 @@
 
     /// Takes the news, from gossip or from the header of an answer, that a peer has `version` in
     /// force. Costs one load of an atomic when the version is held here.
-    pub fn note_news(&self, from: SocketAddr, version: u64) {
+    pub fn record_peer_version(&self, from: SocketAddr, version: u64) {
         if version <= self.highest.load(Ordering::Relaxed) {
             return;
         }
--- a/src/node/node_process.rs
+++ b/src/node/node_process.rs
@@ -105,7 +105,7 @@
     ControlHandlers {
         report_suspects: Arc::new(move |news| take_suspects(&poison, &local, clock.now(), &news)),
         config_above: Arc::new(move |above| asked.document_above(above)),
-        newer_config: Arc::new(move |from, version, _| told.note_news(from, version)),
+        newer_config: Arc::new(move |from, version, _| told.record_peer_version(from, version)),
         attempt_status: Arc::new(move |attempt| {
             let status = attempts.status(clock.now(), attempt);
             ready(status).boxed()
@@ -130,7 +130,7 @@
 
 fn note_config(configuration: &Arc<ConfigShared>) -> NoteConfig {
     let configuration = configuration.clone();
-    Arc::new(move |from, version| configuration.note_news(from, version))
+    Arc::new(move |from, version| configuration.record_peer_version(from, version))
 }
 
 /// Answers operators who ask by way of another node. The node serves only after its control
--- a/tests/configuration_task.rs
+++ b/tests/configuration_task.rs
@@ -244,8 +244,8 @@
         ),
     ];
     running.world.lock().unwrap().peers = peers(&telling);
-    running.shared.note_news(address(1), 2);
-    running.shared.note_news(address(2), 2);
+    running.shared.record_peer_version(address(1), 2);
+    running.shared.record_peer_version(address(2), 2);
     running.wait_for(2).await;
     assert_eq!(running.world.lock().unwrap().asks, 2);
 }
@@ -267,8 +267,8 @@
     sleep(Duration::from_millis(50)).await;
     let asks = running.world.lock().unwrap().asks;
     for _ in 0..1_000 {
-        running.shared.note_news(address(1), 7);
-        running.shared.note_news(address(1), 6);
+        running.shared.record_peer_version(address(1), 7);
+        running.shared.record_peer_version(address(1), 6);
     }
     let news = (
         address(1),
@@ -278,7 +278,7 @@
         },
     );
     running.world.lock().unwrap().peers.insert(news.0, news.1);
-    running.shared.note_news(address(1), 8);
+    running.shared.record_peer_version(address(1), 8);
     running.wait_for(8).await;
     assert_eq!(running.world.lock().unwrap().asks, asks + 1);
 }
@@ -305,7 +305,7 @@
         .collect();
     running.world.lock().unwrap().peers = peers(&telling);
     for (port, _) in telling {
-        running.shared.note_news(address(port), 2);
+        running.shared.record_peer_version(address(port), 2);
     }
     running.wait_for(2).await;
     sleep(Duration::from_millis(100)).await;
