--- a/src/control/command.rs
+++ b/src/control/command.rs
@@ -37,7 +37,7 @@
         by: RouteOrigin,
     },
     /// Tells a member of accounts' allowances.
-    TellAllowances {
+    SendAllowances {
         to: Name,
         message: AllowanceMessage,
     },
--- a/src/control/control_handle.rs
+++ b/src/control/control_handle.rs
@@ -81,8 +81,8 @@
     }
 
     /// Tells a member of accounts' allowances. A message that is lost is not sent again.
-    pub fn tell_allowances(&self, to: Name, message: AllowanceMessage) {
-        self.command(Command::TellAllowances { to, message });
+    pub fn send_allowances(&self, to: Name, message: AllowanceMessage) {
+        self.command(Command::SendAllowances { to, message });
     }
 
     /// Adds control addresses to try, for example from the platform's table.
--- a/src/control/control_loop.rs
+++ b/src/control/control_loop.rs
@@ -145,7 +145,7 @@
             Command::RaiseStoreEra(era) => {
                 self.membership.raise_store_era(era);
             }
-            Command::TellAllowances { to, message } => {
+            Command::SendAllowances { to, message } => {
                 let actions = self.membership.send_allowances(&to, message, now);
                 self.act(actions);
             }
--- a/src/traffic/allowance_task.rs
+++ b/src/traffic/allowance_task.rs
@@ -71,7 +71,7 @@
     let now = traffic.clock.now();
     let view = traffic.view.load();
     if let Some((to, answer)) = traffic.allowances.take(now, &view, from, message) {
-        control.tell_allowances(to, answer);
+        control.send_allowances(to, answer);
     }
 }
 
@@ -82,6 +82,6 @@
     let now = traffic.clock.now();
     let view = traffic.view.load();
     for (to, message) in traffic.allowances.tick(now, &view, &in_force) {
-        control.tell_allowances(to, message);
+        control.send_allowances(to, message);
     }
 }
