--- a/src/control/control_handlers.rs
+++ b/src/control/control_handlers.rs
@@ -27,10 +27,10 @@
 }
 
 /// Takes in who uses a route, as a member has found out.
-pub type TakeRouteUse = Arc<dyn Fn(&Name, RouteOrigin) + Send + Sync>;
+pub type RouteUseHandler = Arc<dyn Fn(&Name, RouteOrigin) + Send + Sync>;
 
 /// Takes in what a member tells of accounts' allowances.
-pub type TakeAllowances = Arc<dyn Fn(&Name, AllowanceMessage) + Send + Sync>;
+pub type AllowancesHandler = Arc<dyn Fn(&Name, AllowanceMessage) + Send + Sync>;
 
 /// One closure for each question or piece of news, called on the control thread: they must not
 /// block. What takes time is spawned on [`super::ControlHandle::runtime`].
@@ -63,9 +63,9 @@
     /// [`super::ControlHandle::set_slot_map_version`] catches up.
     pub newer_slot_map: Arc<dyn Fn(NewerSlotMap) + Send + Sync>,
     /// A member has found out who uses a route.
-    pub route_use: TakeRouteUse,
+    pub route_use: RouteUseHandler,
     /// A member tells of accounts' allowances.
-    pub allowances: TakeAllowances,
+    pub allowances: AllowancesHandler,
     /// The versions of slot maps differ from those of this peer for long: compare them all.
     pub compare_slot_maps: Arc<dyn Fn(SocketAddr) + Send + Sync>,
 }
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -17,9 +17,9 @@
 mod start;
 
 pub use control_handle::ControlHandle;
+pub use control_handlers::AllowancesHandler;
 pub use control_handlers::ControlHandlers;
 pub use control_handlers::NewerSlotMap;
-pub use control_handlers::TakeAllowances;
 pub use control_metrics::ControlMetrics;
 pub use control_metrics::Direction;
 pub use control_settings::ControlSettings;
--- a/src/traffic/allowance_task.rs
+++ b/src/traffic/allowance_task.rs
@@ -10,8 +10,8 @@
 
 use crate::accounts::AccountId;
 use crate::accounts::AllowanceMessage;
+use crate::control::AllowancesHandler;
 use crate::control::ControlHandle;
-use crate::control::TakeAllowances;
 use crate::core::FastMap;
 use crate::core::Name;
 use crate::traffic::allowances::Told;
@@ -24,7 +24,7 @@
 const SHOW: Duration = Duration::from_secs(5);
 
 /// Hands what others tell to [`keep_allowances`].
-pub(super) fn take_allowances(waiting: Sender<Told>) -> TakeAllowances {
+pub(super) fn take_allowances(waiting: Sender<Told>) -> AllowancesHandler {
     Arc::new(move |from: &Name, message: AllowanceMessage| {
         if waiting.try_send((from.clone(), message)).is_err() {
             log::debug!("account: a message about allowances was dropped, from={from}");
