--- a/src/configuration/config_store.rs
+++ b/src/configuration/config_store.rs
@@ -63,7 +63,7 @@
 
     /// A store for an operator. A change takes several reads; with a store that fails now and
     /// then it would hardly ever come through if one failure ended it.
-    pub fn patient(client: PlatformClient) -> Self {
+    pub fn with_read_retries(client: PlatformClient) -> Self {
         Self {
             client,
             read_tries: PATIENT_READ_TRIES,
--- a/src/ctl/cli.rs
+++ b/src/ctl/cli.rs
@@ -128,7 +128,7 @@
     let address = address(platform, "--platform", PLATFORM_VARIABLE)?;
     let domain = Name::from(OPERATORS_DOMAIN);
     let client = PlatformClient::new(address, domain, timeout_ms);
-    Ok(ConfigStore::patient(client))
+    Ok(ConfigStore::with_read_retries(client))
 }
 
 fn address(
--- a/src/load/experiment/switching.rs
+++ b/src/load/experiment/switching.rs
@@ -97,7 +97,7 @@
         let mesh = Mesh::start(self.mesh_plan(Binaries::beside_current()?)).await?;
         let domain = Name::from("operators");
         let client = PlatformClient::new(mesh.platform_address, domain, OPERATOR_TIMEOUT_MS);
-        let store = ConfigStore::patient(client);
+        let store = ConfigStore::with_read_retries(client);
         let mut rows = Vec::new();
         for round in 1..=self.rounds {
             for (fault, step) in faults() {
--- a/src/mesh/publish_presets.rs
+++ b/src/mesh/publish_presets.rs
@@ -19,7 +19,7 @@
 ) -> Result<(), MeshError> {
     let domain = Name::from("operators");
     let client = PlatformClient::new(platform, domain, PLATFORM_TIMEOUT_MS);
-    let store = ConfigStore::patient(client);
+    let store = ConfigStore::with_read_retries(client);
     for (index, preset) in plan.presets.iter().enumerate() {
         store.publish("preset", preset, &change(index)).await?;
     }
--- a/tests/configuration_mesh.rs
+++ b/tests/configuration_mesh.rs
@@ -91,7 +91,7 @@
 
 async fn switch(mesh: &Mesh, preset: &str, change_id: &str) {
     let client = PlatformClient::new(mesh.platform_address, Name::from("operators"), 2_000);
-    let store = ConfigStore::patient(client);
+    let store = ConfigStore::with_read_retries(client);
     let change = Change {
         change_id: Name::from(change_id),
         operator: Name::from("test"),
--- a/tests/configuration_store.rs
+++ b/tests/configuration_store.rs
@@ -355,7 +355,7 @@
 async fn an_operator_gets_through_to_a_platform_that_fails_now_and_then() {
     let platform = TestPlatform::start().await;
     store_with(&platform, &["ordinary", "peak"]).await;
-    let store = ConfigStore::patient(platform.client("a"));
+    let store = ConfigStore::with_read_retries(platform.client("a"));
     let fault = json!({"error_share": 0.34, "operations": "reads"});
     platform.add_fault(fault).await;
     for (version, preset) in [(1, "peak"), (2, "ordinary"), (3, "peak")] {
