--- a/src/capacity/switch.rs
+++ b/src/capacity/switch.rs
@@ -10,7 +10,7 @@
 use crate::capacity::fleet::preset;
 use crate::configuration::Change;
 use crate::configuration::ConfigStore;
-use crate::configuration::Switched;
+use crate::configuration::SwitchOutcome;
 use crate::core::Name;
 use crate::errors::CapacityError;
 use crate::table_service::PlatformClient;
@@ -62,10 +62,12 @@
     }
 }
 
-async fn time_in_force(fleet: &Fleet, switched: &Switched) -> Result<Vec<f64>, CapacityError> {
+async fn time_in_force(fleet: &Fleet, switched: &SwitchOutcome) -> Result<Vec<f64>, CapacityError> {
     let version = match switched {
-        Switched::InForce { version, .. } | Switched::Already { version, .. } => *version,
-        Switched::Replaced { by_version, .. } => *by_version,
+        SwitchOutcome::InForce { version, .. } | SwitchOutcome::AlreadyInForce { version, .. } => {
+            *version
+        }
+        SwitchOutcome::Replaced { by_version, .. } => *by_version,
     };
     let operators = fleet.operators();
     fleet
--- a/src/configuration/config_switch.rs
+++ b/src/configuration/config_switch.rs
@@ -23,11 +23,11 @@
 
 /// What a switch led to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Switched {
+pub enum SwitchOutcome {
     /// The preset came into force under this version.
     InForce { version: u64, revision: u64 },
     /// It was in force already, so nothing was changed.
-    Already { version: u64, revision: u64 },
+    AlreadyInForce { version: u64, revision: u64 },
     /// It came into force under `version`, and another change has replaced it since.
     Replaced { version: u64, by_version: u64 },
 }
@@ -69,7 +69,7 @@
         expected: Option<u64>,
         floor: u64,
         change: &Change,
-    ) -> Result<Switched, ConfigError> {
+    ) -> Result<SwitchOutcome, ConfigError> {
         let latest_key = latest_key(preset);
         let (in_force, log, latest) = try_join!(
             self.held(IN_FORCE_KEY),
@@ -89,7 +89,7 @@
         let latest = self.published(preset, latest).await?;
         let revision = latest.revision;
         if version > floor && before.holds(preset, revision) {
-            return Ok(Switched::Already { version, revision });
+            return Ok(SwitchOutcome::AlreadyInForce { version, revision });
         }
         let next = PastChange {
             version: version.max(floor) + 1,
@@ -155,7 +155,7 @@
         next: &PastChange,
         version_before: u64,
         resolution: Resolution,
-    ) -> Result<Switched, ConfigError> {
+    ) -> Result<SwitchOutcome, ConfigError> {
         let unknown = || ConfigError::OutcomeUnknown {
             change_id: next.change_id.clone(),
         };
@@ -175,16 +175,16 @@
     }
 }
 
-fn outcome(done: &PastChange, log: &ChangeLog) -> Switched {
+fn outcome(done: &PastChange, log: &ChangeLog) -> SwitchOutcome {
     let by_version = log.version();
     if done.version < by_version {
         let version = done.version;
-        return Switched::Replaced {
+        return SwitchOutcome::Replaced {
             version,
             by_version,
         };
     }
-    Switched::InForce {
+    SwitchOutcome::InForce {
         version: done.version,
         revision: done.revision,
     }
--- a/src/configuration/mod.rs
+++ b/src/configuration/mod.rs
@@ -29,7 +29,7 @@
 pub use config_state::Source;
 pub use config_store::ConfigStore;
 pub use config_store::PublishedPreset;
-pub use config_switch::Switched;
+pub use config_switch::SwitchOutcome;
 pub use config_task::ConfigTask;
 pub use confirmation::DomainConfirmation;
 pub use confirmation::NodeVersion;
--- a/src/ctl/switch.rs
+++ b/src/ctl/switch.rs
@@ -4,7 +4,7 @@
 
 use crate::configuration::Change;
 use crate::configuration::ConfigStore;
-use crate::configuration::Switched;
+use crate::configuration::SwitchOutcome;
 use crate::core::Name;
 use crate::ctl::arguments::SwitchArguments;
 use crate::ctl::output::Output;
@@ -22,17 +22,17 @@
         .await?;
     let change_id = &change.change_id;
     Ok(match switched {
-        Switched::InForce { version, revision } => Output::done(
+        SwitchOutcome::InForce { version, revision } => Output::done(
             format!("{preset} revision {revision} is in force as version {version}"),
             &json!({ "preset": preset, "version": version, "revision": revision,
                 "changed": true, "change_id": change_id }),
         ),
-        Switched::Already { version, revision } => Output::done(
+        SwitchOutcome::AlreadyInForce { version, revision } => Output::done(
             format!("{preset} revision {revision} is in force already, as version {version}"),
             &json!({ "preset": preset, "version": version, "revision": revision,
                 "changed": false }),
         ),
-        Switched::Replaced {
+        SwitchOutcome::Replaced {
             version,
             by_version,
         } => Output::done(
--- a/src/load/experiment/switching.rs
+++ b/src/load/experiment/switching.rs
@@ -14,7 +14,7 @@
 use crate::backend::BackendSettings;
 use crate::configuration::Change;
 use crate::configuration::ConfigStore;
-use crate::configuration::Switched;
+use crate::configuration::SwitchOutcome;
 use crate::core::Clock;
 use crate::core::Name;
 use crate::errors::ExperimentError;
@@ -189,10 +189,13 @@
     let clock = Clock::new();
     loop {
         match store.switch(&preset, None, 0, &change).await {
-            Ok(Switched::InForce { version, .. } | Switched::Already { version, .. }) => {
+            Ok(
+                SwitchOutcome::InForce { version, .. }
+                | SwitchOutcome::AlreadyInForce { version, .. },
+            ) => {
                 return Ok(version);
             }
-            Ok(Switched::Replaced { by_version, .. }) => return Ok(by_version),
+            Ok(SwitchOutcome::Replaced { by_version, .. }) => return Ok(by_version),
             Err(error) if clock.now().0 > LONGEST_WAIT_MS => return Err(error.into()),
             Err(_) => tokio::time::sleep(TRY_AGAIN).await,
         }
--- a/tests/configuration_store.rs
+++ b/tests/configuration_store.rs
@@ -7,7 +7,7 @@
 use sassafrasgap::configuration::ConfigStore;
 use sassafrasgap::configuration::PastChange;
 use sassafrasgap::configuration::Publication;
-use sassafrasgap::configuration::Switched;
+use sassafrasgap::configuration::SwitchOutcome;
 use sassafrasgap::core::Name;
 use sassafrasgap::errors::ConfigError;
 use sassafrasgap::table_service::Transaction;
@@ -27,7 +27,7 @@
     store
 }
 
-async fn switch(store: &ConfigStore, preset: &str, id: &str) -> Result<Switched, ConfigError> {
+async fn switch(store: &ConfigStore, preset: &str, id: &str) -> Result<SwitchOutcome, ConfigError> {
     let change = change(id, id);
     store.switch(&Name::from(preset), None, 0, &change).await
 }
@@ -40,7 +40,7 @@
     let first = switch(&store, "ordinary", "c1").await.unwrap();
     assert_eq!(
         first,
-        Switched::InForce {
+        SwitchOutcome::InForce {
             version: 1,
             revision: 1
         }
@@ -49,7 +49,7 @@
     let again = switch(&store, "peak", "c3").await.unwrap();
     assert_eq!(
         again,
-        Switched::Already {
+        SwitchOutcome::AlreadyInForce {
             version: 2,
             revision: 1
         }
@@ -150,7 +150,7 @@
             (Ok(_), Ok(_)) => continue,
             both => panic!("both lost: {both:?}"),
         };
-        let Switched::InForce { version, .. } = won else {
+        let SwitchOutcome::InForce { version, .. } = won else {
             panic!("{won:?}");
         };
         let ConfigError::Conflict {
@@ -188,7 +188,7 @@
         .unwrap();
     assert_eq!(
         won,
-        Switched::InForce {
+        SwitchOutcome::InForce {
             version: 2,
             revision: 1
         }
@@ -220,7 +220,7 @@
     let switched = switch(&store, "peak", "c2").await.unwrap();
     assert_eq!(
         switched,
-        Switched::InForce {
+        SwitchOutcome::InForce {
             version: 2,
             revision: 1
         }
@@ -263,7 +263,7 @@
     let asked = switch(&store, "peak", "c2").await.unwrap();
     assert_eq!(
         asked,
-        Switched::Replaced {
+        SwitchOutcome::Replaced {
             version: 2,
             by_version: 3
         }
@@ -281,7 +281,7 @@
         .await;
     assert_eq!(
         lifted.unwrap(),
-        Switched::InForce {
+        SwitchOutcome::InForce {
             version: 41,
             revision: 1
         }
@@ -362,7 +362,7 @@
         let switched = switch(&store, preset, &format!("c{version}"))
             .await
             .unwrap();
-        let expected = Switched::InForce {
+        let expected = SwitchOutcome::InForce {
             version,
             revision: 1,
         };
