--- a/src/configuration/config_ports.rs
+++ b/src/configuration/config_ports.rs
@@ -21,18 +21,18 @@
     dyn Fn(u64) -> BoxFuture<'static, Result<Option<ConfigDocument>, ConfigError>> + Send + Sync,
 >;
 /// A question to the peer at a control address: its configuration, if higher than the argument.
-pub type AskPeer = Arc<dyn Fn(SocketAddr, u64) -> BoxFuture<'static, PeerAnswer> + Send + Sync>;
+pub type QueryPeer = Arc<dyn Fn(SocketAddr, u64) -> BoxFuture<'static, PeerAnswer> + Send + Sync>;
 
 /// One closure for each thing that the task does outside. Tests put fakes here.
 #[derive(Clone)]
 pub struct ConfigPorts {
     pub poll: Poll,
-    pub ask_peer: AskPeer,
+    pub query_peer: QueryPeer,
     /// Whether this node is one of those of its failure domain that poll.
     pub is_poller: Arc<dyn Fn() -> bool + Send + Sync>,
     /// Control addresses of the peers to ask at the start: nodes of the own failure domain first,
     /// as they are the ones that knew what this node knew before.
-    pub first_peers: Arc<dyn Fn() -> Vec<SocketAddr> + Send + Sync>,
+    pub initial_peers: Arc<dyn Fn() -> Vec<SocketAddr> + Send + Sync>,
     /// Tells the other nodes which version is in force here.
     pub announce: Arc<dyn Fn(u64) + Send + Sync>,
 }
--- a/src/configuration/config_shared.rs
+++ b/src/configuration/config_shared.rs
@@ -106,9 +106,9 @@
     }
 
     /// Every peer asked at the start has answered or failed.
-    pub fn finish_asking(&self) -> Option<u64> {
+    pub fn finish_initial_queries(&self) -> Option<u64> {
         let mut state = self.lock();
-        let in_force = state.finish_asking()?;
+        let in_force = state.finish_initial_queries()?;
         Some(self.publish(&state, in_force, Source::Peer))
     }
 
--- a/src/configuration/config_state.rs
+++ b/src/configuration/config_state.rs
@@ -103,7 +103,7 @@
         self.collect(accepted);
         match source {
             Source::Platform => self
-                .finish_asking()
+                .finish_initial_queries()
                 .map_or(Offer::Ignore(Ignored::StillAsking), Offer::Apply),
             Source::Peer => Offer::Ignore(Ignored::StillAsking),
         }
@@ -111,7 +111,7 @@
 
     /// Every peer asked has answered or failed: the highest answer comes into force. `None` when
     /// something is in force already or nothing was heard.
-    pub fn finish_asking(&mut self) -> Option<InForce> {
+    pub fn finish_initial_queries(&mut self) -> Option<InForce> {
         let best = self.best.take()?;
         Some(self.apply(best))
     }
--- a/src/configuration/config_task.rs
+++ b/src/configuration/config_task.rs
@@ -56,7 +56,7 @@
             clock,
             poll_ms,
         } = self;
-        let start = ask_first_peers(&shared, &ports);
+        let start = query_initial_peers(&shared, &ports);
         let polls = poll(&shared, &ports, clock, PollSchedule::new(poll_ms));
         let fetches = fetch_news(&shared, &ports, news);
         tokio::join!(start, polls, fetches);
@@ -65,16 +65,16 @@
 
 /// Asks until something is in force; the platform's answer ends it as well. It does not end at
 /// the first answer: see [`crate::configuration::ConfigState`].
-async fn ask_first_peers(shared: &ConfigShared, ports: &ConfigPorts) {
+async fn query_initial_peers(shared: &ConfigShared, ports: &ConfigPorts) {
     let mut pause_ms = ROUND_PAUSE_MS;
     while shared.version() == 0 {
-        let mut peers = (ports.first_peers)();
+        let mut peers = (ports.initial_peers)();
         peers.truncate(FIRST_PEERS);
         let asked = peers
             .into_iter()
             .map(|peer| ask(shared, ports, peer, FIRST_ASK_TIMEOUT));
         join_all(asked).await;
-        if let Some(version) = shared.finish_asking() {
+        if let Some(version) = shared.finish_initial_queries() {
             (ports.announce)(version);
         }
         sleep(Duration::from_millis(pause_ms)).await;
@@ -129,7 +129,7 @@
 }
 
 async fn ask(shared: &ConfigShared, ports: &ConfigPorts, peer: SocketAddr, wait: Duration) {
-    let answer = (ports.ask_peer)(peer, shared.highest());
+    let answer = (ports.query_peer)(peer, shared.highest());
     let answer = timeout(wait, answer).await;
     let answer = answer.unwrap_or(PeerAnswer::NoAnswer);
     shared.metrics.count_ask(&answer);
--- a/src/node/join_configuration.rs
+++ b/src/node/join_configuration.rs
@@ -72,7 +72,7 @@
             let store = store.clone();
             async move { store.newer_than(above).await }.boxed()
         }),
-        ask_peer: Arc::new(move |peer, above| {
+        query_peer: Arc::new(move |peer, above| {
             let clients = clients.clone();
             async move {
                 match clients.config_above(peer, above).await {
@@ -84,7 +84,7 @@
             .boxed()
         }),
         is_poller: Arc::new(move || is_poller(&pollers_view.load(), &node, &domain)),
-        first_peers: Arc::new(move || first_peers(&view.load(), &first)),
+        initial_peers: Arc::new(move || initial_peers(&view.load(), &first)),
         announce: Arc::new(move |version| {
             if let Some(control) = announcer.upgrade() {
                 control.set_config_version(version);
@@ -95,7 +95,7 @@
 
 /// Peers of the own failure domain first: they knew what this node knew before a restart. Then the
 /// seeds, some of which are of the own domain, and then everybody else.
-fn first_peers(view: &View, settings: &NodeSettings) -> Vec<SocketAddr> {
+fn initial_peers(view: &View, settings: &NodeSettings) -> Vec<SocketAddr> {
     let of_domain = |own: bool| {
         let nodes = view.nodes.values();
         let nodes = nodes.filter(move |other| (other.domain == settings.domain) == own);
--- a/tests/configuration_state.rs
+++ b/tests/configuration_state.rs
@@ -34,10 +34,10 @@
     );
     state.offer(document(7), Source::Peer);
     state.offer(document(5), Source::Peer);
-    let applied = state.finish_asking().expect("something was heard");
+    let applied = state.finish_initial_queries().expect("something was heard");
     assert_eq!(applied.version, 7);
     assert_eq!(state.above(6).map(|held| held.version), Some(7));
-    assert!(state.finish_asking().is_none());
+    assert!(state.finish_initial_queries().is_none());
 }
 
 #[rstest]
@@ -170,7 +170,7 @@
                 self.take(node, held, Source::Peer);
             }
         }
-        self.nodes[node].finish_asking();
+        self.nodes[node].finish_initial_queries();
         let version = self.nodes[node].version();
         assert_eq!(version, highest.unwrap_or(0), "the highest answer counts");
         // A node whose version somebody within reach still holds does not come back lower.
--- a/tests/configuration_task.rs
+++ b/tests/configuration_task.rs
@@ -94,13 +94,13 @@
             };
             ready(answer).boxed()
         }),
-        ask_peer: Arc::new(move |peer, above| {
+        query_peer: Arc::new(move |peer, above| {
             let mut world = asked.lock().unwrap();
             world.asks += 1;
             answer(world.peers.get(&peer).copied(), above).boxed()
         }),
         is_poller: Arc::new(move || poller.lock().unwrap().is_poller),
-        first_peers: Arc::new(move || {
+        initial_peers: Arc::new(move || {
             let mut peers: Vec<_> = first.lock().unwrap().peers.keys().copied().collect();
             peers.sort_unstable();
             peers
