--- a/src/configuration/config_metrics.rs
+++ b/src/configuration/config_metrics.rs
@@ -5,7 +5,7 @@
 use prometheus::Opts;
 use prometheus::Registry;
 
-use crate::configuration::Ignored;
+use crate::configuration::IgnoreReason;
 use crate::configuration::PeerAnswer;
 use crate::configuration::PollOutcome;
 use crate::configuration::Source;
@@ -86,12 +86,12 @@
         self.applied.with_label_values(&[label]).inc();
     }
 
-    pub(super) fn count_ignored(&self, reason: &Ignored) {
+    pub(super) fn count_ignored(&self, reason: &IgnoreReason) {
         let label = match reason {
-            Ignored::NotHigher { .. } => "not_higher",
-            Ignored::OtherContent => "other_content",
-            Ignored::Unreadable(_) => "unreadable",
-            Ignored::StillAsking => "still_asking",
+            IgnoreReason::NotHigher { .. } => "not_higher",
+            IgnoreReason::OtherContent => "other_content",
+            IgnoreReason::Unreadable(_) => "unreadable",
+            IgnoreReason::StillAsking => "still_asking",
         };
         self.ignored.with_label_values(&[label]).inc();
     }
--- a/src/configuration/config_shared.rs
+++ b/src/configuration/config_shared.rs
@@ -17,8 +17,8 @@
 
 use crate::configuration::ConfigMetrics;
 use crate::configuration::ConfigState;
-use crate::configuration::Ignored;
-use crate::configuration::Offer;
+use crate::configuration::IgnoreReason;
+use crate::configuration::OfferOutcome;
 use crate::configuration::Source;
 use crate::control::ConfigDocument;
 use crate::core::Published;
@@ -96,8 +96,8 @@
         let offer = state.offer(document, source);
         self.highest.store(state.highest(), Ordering::Relaxed);
         match offer {
-            Offer::Apply(in_force) => Some(self.publish(&state, in_force, source)),
-            Offer::Ignore(reason) => {
+            OfferOutcome::Apply(in_force) => Some(self.publish(&state, in_force, source)),
+            OfferOutcome::Ignore(reason) => {
                 self.metrics.count_ignored(&reason);
                 log_ignored(version, &reason);
                 None
@@ -127,11 +127,13 @@
     }
 }
 
-fn log_ignored(version: u64, reason: &Ignored) {
+fn log_ignored(version: u64, reason: &IgnoreReason) {
     match reason {
-        Ignored::OtherContent => error!("config: two documents under one version={version}"),
-        Ignored::Unreadable(error) => error!("config: unreadable version={version} error={error}"),
-        Ignored::NotHigher { .. } | Ignored::StillAsking => {
+        IgnoreReason::OtherContent => error!("config: two documents under one version={version}"),
+        IgnoreReason::Unreadable(error) => {
+            error!("config: unreadable version={version} error={error}")
+        }
+        IgnoreReason::NotHigher { .. } | IgnoreReason::StillAsking => {
             debug!("config: not applied version={version} reason={reason:?}");
         }
     }
--- a/src/configuration/config_state.rs
+++ b/src/configuration/config_state.rs
@@ -20,7 +20,7 @@
 
 /// Why an offered document is not brought into force.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ignored {
+pub enum IgnoreReason {
     /// Its version is not above the one in force.
     NotHigher { in_force: u64 },
     /// It has the version in force but another content. Versions are given by compare-and-set, so
@@ -34,10 +34,10 @@
 
 /// What becomes of an offered document.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Offer {
+pub enum OfferOutcome {
     /// It is in force from now on.
     Apply(InForce),
-    Ignore(Ignored),
+    Ignore(IgnoreReason),
 }
 
 /// A document whose preset has been checked.
@@ -88,24 +88,25 @@
     }
 
     /// Takes in a document.
-    pub fn offer(&mut self, document: ConfigDocument, source: Source) -> Offer {
+    pub fn offer(&mut self, document: ConfigDocument, source: Source) -> OfferOutcome {
         if let Some(ignored) = self.refuse_lower(&document) {
-            return Offer::Ignore(ignored);
+            return OfferOutcome::Ignore(ignored);
         }
         let preset = match parse_preset(&document.preset, &document.document) {
             Ok(preset) => Arc::new(preset),
-            Err(error) => return Offer::Ignore(Ignored::Unreadable(error)),
+            Err(error) => return OfferOutcome::Ignore(IgnoreReason::Unreadable(error)),
         };
         let accepted = Accepted { document, preset };
         if self.in_force.is_some() {
-            return Offer::Apply(self.apply(accepted));
+            return OfferOutcome::Apply(self.apply(accepted));
         }
         self.collect(accepted);
         match source {
-            Source::Platform => self
-                .finish_initial_queries()
-                .map_or(Offer::Ignore(Ignored::StillAsking), Offer::Apply),
-            Source::Peer => Offer::Ignore(Ignored::StillAsking),
+            Source::Platform => self.finish_initial_queries().map_or(
+                OfferOutcome::Ignore(IgnoreReason::StillAsking),
+                OfferOutcome::Apply,
+            ),
+            Source::Peer => OfferOutcome::Ignore(IgnoreReason::StillAsking),
         }
     }
 
@@ -116,13 +117,13 @@
         Some(self.apply(best))
     }
 
-    fn refuse_lower(&self, document: &ConfigDocument) -> Option<Ignored> {
+    fn refuse_lower(&self, document: &ConfigDocument) -> Option<IgnoreReason> {
         let known = self.in_force.as_ref()?;
         let in_force = known.document.version;
         if document.version == in_force && document.document != known.document.document {
-            return Some(Ignored::OtherContent);
+            return Some(IgnoreReason::OtherContent);
         }
-        (document.version <= in_force).then_some(Ignored::NotHigher { in_force })
+        (document.version <= in_force).then_some(IgnoreReason::NotHigher { in_force })
     }
 
     fn collect(&mut self, accepted: Accepted) {
--- a/tests/configuration_state.rs
+++ b/tests/configuration_state.rs
@@ -5,8 +5,8 @@
 use proptest::prelude::*;
 use rstest::rstest;
 use sassafrasgap::configuration::ConfigState;
-use sassafrasgap::configuration::Ignored;
-use sassafrasgap::configuration::Offer;
+use sassafrasgap::configuration::IgnoreReason;
+use sassafrasgap::configuration::OfferOutcome;
 use sassafrasgap::configuration::Source;
 use sassafrasgap::control::ConfigDocument;
 use support::presets::document;
@@ -15,7 +15,7 @@
 fn in_force(version: u64) -> ConfigState {
     let mut state = ConfigState::new();
     let offer = state.offer(document(version), Source::Platform);
-    assert!(matches!(offer, Offer::Apply(_)));
+    assert!(matches!(offer, OfferOutcome::Apply(_)));
     state
 }
 
@@ -26,7 +26,7 @@
 fn a_restarted_node_waits_for_all_peers_asked_before_it_applies_one() {
     let mut state = ConfigState::new();
     let stale = state.offer(document(4), Source::Peer);
-    assert_eq!(stale, Offer::Ignore(Ignored::StillAsking));
+    assert_eq!(stale, OfferOutcome::Ignore(IgnoreReason::StillAsking));
     assert_eq!(state.version(), 0);
     assert!(
         state.above(0).is_none(),
@@ -41,16 +41,16 @@
 }
 
 #[rstest]
-#[case::lower(document(6), Ignored::NotHigher { in_force: 7 })]
-#[case::same(document(7), Ignored::NotHigher { in_force: 7 })]
+#[case::lower(document(6), IgnoreReason::NotHigher { in_force: 7 })]
+#[case::same(document(7), IgnoreReason::NotHigher { in_force: 7 })]
 #[case::other_content(ConfigDocument { document: "preset: x".into(), ..document(7) },
-    Ignored::OtherContent)]
-fn what_is_not_higher_is_ignored(#[case] offered: ConfigDocument, #[case] expected: Ignored) {
+    IgnoreReason::OtherContent)]
+fn what_is_not_higher_is_ignored(#[case] offered: ConfigDocument, #[case] expected: IgnoreReason) {
     let mut state = in_force(7);
     for source in [Source::Peer, Source::Platform] {
         assert_eq!(
             state.offer(offered.clone(), source),
-            Offer::Ignore(expected.clone())
+            OfferOutcome::Ignore(expected.clone())
         );
     }
     assert_eq!(state.version(), 7);
@@ -67,7 +67,10 @@
         ..document(8)
     };
     let offer = state.offer(unreadable, Source::Platform);
-    assert!(matches!(offer, Offer::Ignore(Ignored::Unreadable(_))));
+    assert!(matches!(
+        offer,
+        OfferOutcome::Ignore(IgnoreReason::Unreadable(_))
+    ));
     assert_eq!((state.version(), state.highest()), (7, 7));
 }
 
@@ -147,11 +150,11 @@
         let before = self.nodes[node].version();
         let version = offered.version;
         match self.nodes[node].offer(offered, source) {
-            Offer::Apply(applied) => {
+            OfferOutcome::Apply(applied) => {
                 assert!(applied.version > before, "versions rise");
                 assert!(applied.version >= version);
             }
-            Offer::Ignore(_) => assert_eq!(self.nodes[node].version(), before),
+            OfferOutcome::Ignore(_) => assert_eq!(self.nodes[node].version(), before),
         }
     }
 
