--- a/src/configuration/config_switch.rs
+++ b/src/configuration/config_switch.rs
@@ -169,7 +169,7 @@
         match log.find(&next.change_id) {
             Some(done) => Ok(outcome(done, &log)),
             // Only a log that reaches back far enough proves that the change never took effect.
-            None if log.reaches_back_to(version_before) => Err(conflict(&log)),
+            None if log.covers_changes_after(version_before) => Err(conflict(&log)),
             None => Err(unknown()),
         }
     }
--- a/src/configuration/rows.rs
+++ b/src/configuration/rows.rs
@@ -72,7 +72,7 @@
     }
 
     /// Whether a switch that followed version `version` would still be listed.
-    pub fn reaches_back_to(&self, version: u64) -> bool {
+    pub fn covers_changes_after(&self, version: u64) -> bool {
         let is_complete = self.changes.len() < LOGGED_CHANGES;
         let oldest = self.changes.first();
         is_complete || oldest.is_none_or(|oldest| oldest.version <= version + 1)
--- a/tests/configuration_store.rs
+++ b/tests/configuration_store.rs
@@ -332,7 +332,7 @@
 #[test]
 fn a_log_that_has_been_cut_proves_nothing_about_older_changes() {
     let mut log = ChangeLog::default();
-    assert!(log.reaches_back_to(0));
+    assert!(log.covers_changes_after(0));
     for version in 1..=40 {
         log.push(PastChange {
             version,
@@ -345,8 +345,8 @@
     }
     assert_eq!(log.changes.len(), 32);
     assert!(log.find("c8").is_none() && log.find("c9").is_some());
-    assert!(!log.reaches_back_to(7));
-    assert!(log.reaches_back_to(8));
+    assert!(!log.covers_changes_after(7));
+    assert!(log.covers_changes_after(8));
 }
 
 // What a user would see: a switch never comes through while the platform fails every third
