--- a/src/control/control_loop.rs
+++ b/src/control/control_loop.rs
@@ -107,7 +107,7 @@
                     .count_datagram(Direction::Received, kind, bytes.len());
                 let now = self.clock.now();
                 let actions = self.membership.handle(now, from, datagram);
-                self.freshness.note_heard(now);
+                self.freshness.record_heard(now);
                 self.show_confirmed();
                 self.act(actions);
             }
@@ -222,7 +222,7 @@
 
     fn show_confirmed(&self) {
         if let Some(confirmed) = self.membership.config_confirmed() {
-            self.freshness.note_confirmed(confirmed);
+            self.freshness.record_confirmed(confirmed);
         }
     }
 
--- a/src/control/freshness.rs
+++ b/src/control/freshness.rs
@@ -17,26 +17,26 @@
     /// A node that starts `now` counts both times from there.
     pub fn new(now: TimeMs) -> Self {
         let this = Self::default();
-        this.note_heard(now);
-        this.note_confirmed(now);
+        this.record_heard(now);
+        this.record_confirmed(now);
         this
     }
 
     /// The last datagram of another node came then.
-    pub fn heard(&self) -> TimeMs {
+    pub fn last_heard(&self) -> TimeMs {
         TimeMs(self.heard_ms.load(Ordering::Relaxed))
     }
 
     /// The store was last known then to hold nothing newer.
-    pub fn confirmed(&self) -> TimeMs {
+    pub fn last_confirmed(&self) -> TimeMs {
         TimeMs(self.confirmed_ms.load(Ordering::Relaxed))
     }
 
-    pub(super) fn note_heard(&self, at: TimeMs) {
+    pub(super) fn record_heard(&self, at: TimeMs) {
         self.heard_ms.fetch_max(at.0, Ordering::Relaxed);
     }
 
-    pub(super) fn note_confirmed(&self, at: TimeMs) {
+    pub(super) fn record_confirmed(&self, at: TimeMs) {
         self.confirmed_ms.fetch_max(at.0, Ordering::Relaxed);
     }
 }
--- a/src/traffic/control_link.rs
+++ b/src/traffic/control_link.rs
@@ -91,8 +91,8 @@
                 let found_after_ms = found_after_ms(settings.store_rates);
                 now.since(started) as i64 - found_after_ms as i64
             }),
-            last_contact_ms_ago: now.since(control.freshness.heard()),
-            confirmed_ms_ago: now.since(control.freshness.confirmed()),
+            last_contact_ms_ago: now.since(control.freshness.last_heard()),
+            confirmed_ms_ago: now.since(control.freshness.last_confirmed()),
             keys_hold_ms: traffic.live().keys_hold_ms,
         };
         let view = traffic.view.load();
--- a/src/traffic/process.rs
+++ b/src/traffic/process.rs
@@ -216,7 +216,7 @@
 
     /// How long ago the store was last known to hold nothing newer, in milliseconds.
     pub fn confirmed_ms_ago(&self) -> u64 {
-        let confirmed = self.traffic.freshness.confirmed();
+        let confirmed = self.traffic.freshness.last_confirmed();
         self.traffic.clock.now().since(confirmed)
     }
 
--- a/src/traffic/traffic.rs
+++ b/src/traffic/traffic.rs
@@ -235,7 +235,7 @@
         let Some(hold_ms) = self.live().keys_hold_ms else {
             return true;
         };
-        let confirmed = self.freshness.confirmed();
+        let confirmed = self.freshness.last_confirmed();
         self.clock.now().since(confirmed) < hold_ms
     }
 
