--- a/src/configuration/config_shared.rs
+++ b/src/configuration/config_shared.rs
@@ -76,7 +76,7 @@
 
     /// The document in force if its version is higher than `above`, for a peer that asks.
     pub fn document_above(&self, above: u64) -> Option<ConfigDocument> {
-        self.lock().above(above)
+        self.lock().document_above(above)
     }
 
     /// The version in force, 0 when none is known.
--- a/src/configuration/config_state.rs
+++ b/src/configuration/config_state.rs
@@ -82,7 +82,7 @@
     }
 
     /// The document in force if its version is higher than `above`, for a peer that asks.
-    pub fn above(&self, above: u64) -> Option<ConfigDocument> {
+    pub fn document_above(&self, above: u64) -> Option<ConfigDocument> {
         let known = self.in_force.as_ref()?;
         (known.document.version > above).then(|| known.document.clone())
     }
--- a/src/configuration/config_task.rs
+++ b/src/configuration/config_task.rs
@@ -97,7 +97,7 @@
         }
         let outcome = poll_once(shared, ports).await;
         shared.metrics.count_poll(outcome);
-        plan.note(outcome, clock.now());
+        plan.record(outcome, clock.now());
         due = plan.due(is_poller, fastrand::u64(0..=1_000));
     }
 }
--- a/src/configuration/poll_schedule.rs
+++ b/src/configuration/poll_schedule.rs
@@ -38,7 +38,7 @@
     }
 
     /// Notes how a poll ended.
-    pub fn note(&mut self, outcome: PollOutcome, now: TimeMs) {
+    pub fn record(&mut self, outcome: PollOutcome, now: TimeMs) {
         self.last_end = Some(now);
         self.failures_in_row = match outcome {
             PollOutcome::Answered => 0,
--- a/tests/configuration_pollers.rs
+++ b/tests/configuration_pollers.rs
@@ -79,9 +79,9 @@
         TimeMs(0),
         "the first is due at once"
     );
-    schedule.note(PollOutcome::Answered, TimeMs(10_000));
+    schedule.record(PollOutcome::Answered, TimeMs(10_000));
     for _ in 0..failures {
-        schedule.note(PollOutcome::Failed, TimeMs(10_000));
+        schedule.record(PollOutcome::Failed, TimeMs(10_000));
     }
     assert_eq!(schedule.due(is_poller, 0), TimeMs(10_000 + least_ms));
     assert_eq!(schedule.due(is_poller, 1_000), TimeMs(10_000 + most_ms));
--- a/tests/configuration_state.rs
+++ b/tests/configuration_state.rs
@@ -29,14 +29,14 @@
     assert_eq!(stale, OfferOutcome::Ignore(IgnoreReason::StillAsking));
     assert_eq!(state.version(), 0);
     assert!(
-        state.above(0).is_none(),
+        state.document_above(0).is_none(),
         "what is not in force is not handed on"
     );
     state.offer(document(7), Source::Peer);
     state.offer(document(5), Source::Peer);
     let applied = state.finish_initial_queries().expect("something was heard");
     assert_eq!(applied.version, 7);
-    assert_eq!(state.above(6).map(|held| held.version), Some(7));
+    assert_eq!(state.document_above(6).map(|held| held.version), Some(7));
     assert!(state.finish_initial_queries().is_none());
 }
 
@@ -169,7 +169,7 @@
         let of_peers = peers.iter().map(|peer| self.nodes[*peer].version());
         let highest = of_peers.chain([self.nodes[node].highest()]).max();
         for peer in peers {
-            if let Some(held) = self.nodes[peer].above(self.nodes[node].highest()) {
+            if let Some(held) = self.nodes[peer].document_above(self.nodes[node].highest()) {
                 self.take(node, held, Source::Peer);
             }
         }
@@ -195,7 +195,7 @@
             Step::Poll { .. } => {}
             Step::Pull { by, from } => {
                 let above = self.nodes[by].highest();
-                let held = self.nodes[from].above(above);
+                let held = self.nodes[from].document_above(above);
                 if let Some(held) = held.filter(|_| self.reaches(by, from)) {
                     self.take(by, held, Source::Peer);
                 }
