--- a/src/configuration/config_shared.rs
+++ b/src/configuration/config_shared.rs
@@ -35,12 +35,12 @@
     pub version: u64,
 }
 
-/// What is in force here. Any thread may read it and pass on news of other nodes.
+/// What is in force here. Any thread may read it and pass on updates of other nodes.
 pub struct ConfigShared {
     state: Mutex<ConfigState>,
     in_force: Arc<Published<Option<InForce>>>,
     highest: AtomicU64,
-    news: Sender<NewerConfig>,
+    updates: Sender<NewerConfig>,
     pub(super) metrics: ConfigMetrics,
 }
 
@@ -52,24 +52,28 @@
         in_force: Arc<Published<Option<InForce>>>,
         metrics: ConfigMetrics,
     ) -> (Arc<Self>, Receiver<NewerConfig>) {
-        let (news, receiver) = channel(MAX_WAITING_NEWS);
+        let (updates, receiver) = channel(MAX_WAITING_NEWS);
         let shared = Self {
             state: Mutex::new(ConfigState::new()),
             in_force,
             highest: AtomicU64::new(0),
-            news,
+            updates,
             metrics,
         };
         (Arc::new(shared), receiver)
     }
 
-    /// Takes the news, from gossip or from the header of an answer, that a peer has `version` in
+    /// Takes the updates, from gossip or from the header of an answer, that a peer has `version` in
     /// force. Costs one load of an atomic when the version is held here.
     pub fn record_peer_version(&self, from: SocketAddr, version: u64) {
         if version <= self.highest.load(Ordering::Relaxed) {
             return;
         }
-        if self.news.try_send(NewerConfig { from, version }).is_err() {
+        if self
+            .updates
+            .try_send(NewerConfig { from, version })
+            .is_err()
+        {
             self.metrics.dropped_news.inc();
         }
     }
--- a/src/configuration/config_task.rs
+++ b/src/configuration/config_task.rs
@@ -22,7 +22,7 @@
 
 /// How often the schedule is looked at: whether this node polls may change at any moment.
 const LOOK_MS: u64 = 50;
-/// How long a peer may take to answer. The next one that has the news is asked after that, so
+/// How long a peer may take to answer. The next one that has the updates is asked after that, so
 /// that one silent connection does not hold the change up.
 const ASK_TIMEOUT: Duration = Duration::from_millis(400);
 /// How long a peer may take at the start: longer, since an answer that comes too late to count may
@@ -40,7 +40,7 @@
 /// Runs on the control thread.
 pub struct ConfigTask {
     pub shared: Arc<ConfigShared>,
-    pub news: Receiver<NewerConfig>,
+    pub updates: Receiver<NewerConfig>,
     pub ports: ConfigPorts,
     pub clock: Clock,
     pub poll_ms: u64,
@@ -51,14 +51,14 @@
     pub async fn run(self) {
         let Self {
             shared,
-            news,
+            updates,
             ports,
             clock,
             poll_ms,
         } = self;
         let start = query_initial_peers(&shared, &ports);
         let polls = poll(&shared, &ports, clock, PollSchedule::new(poll_ms));
-        let fetches = fetch_news(&shared, &ports, news);
+        let fetches = fetch_news(&shared, &ports, updates);
         tokio::join!(start, polls, fetches);
     }
 }
@@ -120,8 +120,12 @@
 
 /// News are taken one after the other: the first answer makes the rest of them old, and a peer
 /// that does not answer is followed by the next one that told.
-async fn fetch_news(shared: &ConfigShared, ports: &ConfigPorts, mut news: Receiver<NewerConfig>) {
-    while let Some(NewerConfig { from, version }) = news.recv().await {
+async fn fetch_news(
+    shared: &ConfigShared,
+    ports: &ConfigPorts,
+    mut updates: Receiver<NewerConfig>,
+) {
+    while let Some(NewerConfig { from, version }) = updates.recv().await {
         if version > shared.highest() {
             ask(shared, ports, from, ASK_TIMEOUT).await;
         }
--- a/src/node/join_configuration.rs
+++ b/src/node/join_configuration.rs
@@ -46,7 +46,7 @@
     ) {
         let task = ConfigTask {
             shared: self.shared,
-            news: self.news,
+            updates: self.news,
             ports: ports(settings, control),
             clock: inputs.clock,
             poll_ms: settings.config_poll_ms,
--- a/tests/configuration_task.rs
+++ b/tests/configuration_task.rs
@@ -113,10 +113,10 @@
     let world = Arc::new(Mutex::new(world));
     let in_force = Arc::new(Published::from_pointee(None));
     let metrics = ConfigMetrics::new(&Registry::new()).unwrap();
-    let (shared, news) = ConfigShared::new(in_force.clone(), metrics);
+    let (shared, updates) = ConfigShared::new(in_force.clone(), metrics);
     let task = ConfigTask {
         shared: shared.clone(),
-        news,
+        updates,
         ports: ports(&world),
         clock: Clock::new(),
         poll_ms: 50,
