--- a/src/configuration/config_metrics.rs
+++ b/src/configuration/config_metrics.rs
@@ -14,10 +14,10 @@
 #[derive(Clone, Debug)]
 pub struct ConfigMetrics {
     polls: IntCounterVec,
-    peer_asks: IntCounterVec,
+    peer_queries: IntCounterVec,
     applied: IntCounterVec,
     ignored: IntCounterVec,
-    pub dropped_news: IntCounter,
+    pub dropped_updates: IntCounter,
 }
 
 impl ConfigMetrics {
@@ -31,18 +31,18 @@
             registry.register(Box::new(counter.clone()))?;
             Ok::<_, prometheus::Error>(counter)
         };
-        let dropped_news = IntCounter::new(
+        let dropped_updates = IntCounter::new(
             "sassafrasgap_config_news_dropped_total",
             "News of a configuration that came while many others waited.",
         )?;
-        registry.register(Box::new(dropped_news.clone()))?;
+        registry.register(Box::new(dropped_updates.clone()))?;
         Ok(Self {
             polls: vec(
                 "sassafrasgap_config_polls_total",
                 "Polls of the platform for the configuration in force.",
                 "outcome",
             )?,
-            peer_asks: vec(
+            peer_queries: vec(
                 "sassafrasgap_config_peer_asks_total",
                 "Questions to peers for a newer configuration.",
                 "outcome",
@@ -57,7 +57,7 @@
                 "Configurations that were offered and not brought into force.",
                 "reason",
             )?,
-            dropped_news,
+            dropped_updates,
         })
     }
 
@@ -69,13 +69,13 @@
         self.polls.with_label_values(&[label]).inc();
     }
 
-    pub(super) fn count_ask(&self, answer: &PeerAnswer) {
+    pub(super) fn count_peer_query(&self, answer: &PeerAnswer) {
         let label = match answer {
             PeerAnswer::Newer(_) => "newer",
             PeerAnswer::NothingNewer => "nothing_newer",
             PeerAnswer::NoAnswer => "no_answer",
         };
-        self.peer_asks.with_label_values(&[label]).inc();
+        self.peer_queries.with_label_values(&[label]).inc();
     }
 
     pub(super) fn count_applied(&self, source: Source) {
--- a/src/configuration/config_shared.rs
+++ b/src/configuration/config_shared.rs
@@ -74,7 +74,7 @@
             .try_send(NewerConfig { from, version })
             .is_err()
         {
-            self.metrics.dropped_news.inc();
+            self.metrics.dropped_updates.inc();
         }
     }
 
--- a/src/configuration/config_task.rs
+++ b/src/configuration/config_task.rs
@@ -136,7 +136,7 @@
     let answer = (ports.query_peer)(peer, shared.highest());
     let answer = timeout(wait, answer).await;
     let answer = answer.unwrap_or(PeerAnswer::NoAnswer);
-    shared.metrics.count_ask(&answer);
+    shared.metrics.count_peer_query(&answer);
     match answer {
         PeerAnswer::Newer(document) => {
             if let Some(version) = shared.offer(document, Source::Peer) {
