--- a/src/control/command.rs
+++ b/src/control/command.rs
@@ -1,4 +1,4 @@
-//! What other threads and tasks ask of the membership on the control thread.
+//! Commands that other threads and tasks send to the membership on the control thread.
 
 use std::net::SocketAddr;
 
@@ -11,47 +11,47 @@
 use crate::core::TargetState;
 use crate::membership::ExchangeRequest;
 
-/// One request, handled in the order of arrival.
+/// One command. Commands are handled in the order of arrival.
 #[derive(Debug)]
 pub enum Command {
-    /// The local backend server announced itself or changed.
+    /// The local backend server announced itself, or its announcement changed.
     Announce {
         service: Name,
         slots: u32,
         state: TargetState,
     },
-    /// Changes the state only.
+    /// Changes only the state of the local target.
     SetState(TargetState),
     SetConfigVersion(u64),
-    /// The store holds nothing newer than this version.
+    /// The store holds no newer configuration than this version.
     ConfirmConfigVersion(u64),
-    /// The store has answered in this era.
+    /// The store has answered with this era.
     RaiseStoreEra(u64),
     SetSlotMapVersion {
         service: Name,
         version: u64,
     },
-    /// Who uses a route was found out here.
+    /// This node has found out who uses a route.
     AnnounceRouteUse {
         route: Name,
         by: RouteOrigin,
     },
-    /// Tells a member of accounts' allowances.
+    /// Sends a message about accounts' allowances to a member.
     SendAllowances {
         to: Name,
         message: AllowanceMessage,
     },
     AddSeeds(Vec<SocketAddr>),
-    /// A peer asks for what it lacks of the members.
+    /// A peer asks for the members of which it holds another record than this node.
     Exchange {
-        ask: ExchangeRequest,
-        answer: oneshot::Sender<Vec<Target>>,
+        request: ExchangeRequest,
+        reply: oneshot::Sender<Vec<Target>>,
     },
-    /// The answer to an exchange that this node asked for.
+    /// The members received in an exchange that this node requested.
     Merge {
         from: SocketAddr,
         members: Vec<Target>,
     },
-    /// Sends what is pending and ends the thread.
+    /// Sends pending messages and ends the thread.
     Shutdown,
 }
--- a/src/control/control_address.rs
+++ b/src/control/control_address.rs
@@ -1,12 +1,12 @@
-//! Binds datagrams and control calls to the same address.
+//! Binds the sockets for datagrams and control calls to one address.
 
 use std::io;
 use std::net::SocketAddr;
 use std::net::TcpListener;
 use std::net::UdpSocket;
 
-/// With port 0 the two free ports found may differ; this many pairs are tried.
-const BIND_TRIES: usize = 50;
+/// The number of attempts to bind both with port 0: a port that is free for TCP may be taken for UDP.
+const MAX_BIND_ATTEMPTS: usize = 50;
 
 /// A UDP socket and a TCP listener on one address.
 #[derive(Debug)]
@@ -16,17 +16,19 @@
     pub calls: TcpListener,
 }
 
-/// Binds both, non-blocking; port 0 takes any port that is free for both.
+/// Binds both sockets, non-blocking. Port 0 binds any port that is free for both.
 ///
 /// # Errors
 /// When the address cannot be bound.
 pub fn bind_control(address: SocketAddr) -> io::Result<ControlSockets> {
-    let mut tries = 0;
+    let mut attempts = 0;
     loop {
-        tries += 1;
+        attempts += 1;
         match bind_both(address) {
             Ok(sockets) => return Ok(sockets),
-            Err(error) if address.port() != 0 || tries >= BIND_TRIES => return Err(error),
+            Err(error) if address.port() != 0 || attempts >= MAX_BIND_ATTEMPTS => {
+                return Err(error);
+            }
             Err(_) => {}
         }
     }
--- a/src/control/control_handlers.rs
+++ b/src/control/control_handlers.rs
@@ -1,4 +1,4 @@
-//! What the other concerns do when a peer asks or tells something.
+//! The handlers of calls and messages from peers, provided by the other parts of the node.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 use crate::core::Name;
 use crate::core::RouteOrigin;
 
-/// A newer slot map that a peer knows.
+/// A slot map of a peer that is newer than the one held here.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NewerSlotMap {
     /// The control address of the peer.
@@ -26,47 +26,47 @@
     pub version: u64,
 }
 
-/// Takes in who uses a route, as a member has found out.
+/// Handles the message of a member about who uses a route.
 pub type RouteUseHandler = Arc<dyn Fn(&Name, RouteOrigin) + Send + Sync>;
 
-/// Takes in what a member tells of accounts' allowances.
+/// Handles the message of a member about accounts' allowances.
 pub type AllowancesHandler = Arc<dyn Fn(&Name, AllowanceMessage) + Send + Sync>;
 
-/// One closure for each question or piece of news, called on the control thread: they must not
-/// block. What takes time is spawned on [`super::ControlHandle::runtime`].
+/// One closure for each kind of call or message. They run on the control thread and must not block;
+/// longer work is spawned on [`super::ControlHandle::runtime`].
 ///
-/// The default of each is the safe answer of a node that lacks the concern.
+/// Each default is the safe answer of a node that does not have the part in question.
 #[derive(Clone)]
 pub struct ControlHandlers {
-    /// The configuration in force here, if its version is higher.
+    /// Returns the configuration in force here, if its version is higher than the argument.
     pub config_above: Arc<dyn Fn(u64) -> Option<ConfigDocument> + Send + Sync>,
-    /// What became of an attempt. An attempt that was never seen must be revoked before
-    /// `NeverSeen` is answered.
+    /// Returns the state of an attempt. An attempt that was never seen must be revoked before
+    /// `NeverSeen` is returned.
     pub attempt_status: Arc<dyn Fn(AttemptId) -> BoxFuture<'static, AttemptStatus> + Send + Sync>,
-    /// Whether to promise not to take over slots.
+    /// Decides whether to promise not to take over slots.
     pub promise: Arc<dyn Fn(PromiseRequest) -> Promise + Send + Sync>,
-    /// Takes in a handed-over ledger; `true` once it is taken in.
+    /// Merges a handed-over ledger. Resolves to `true` once it is merged.
     pub hand_over: Arc<dyn Fn(Vec<u8>) -> BoxFuture<'static, bool> + Send + Sync>,
-    /// Takes in requests that ran when a backend server crashed.
+    /// Handles a report of requests that ran when a backend server crashed.
     pub report_suspects: Arc<dyn Fn(Suspects) + Send + Sync>,
-    /// The status of this node in JSON, without its members.
+    /// Returns the status of this node in JSON, without its members.
     pub node_status: Arc<dyn Fn() -> String + Send + Sync>,
-    /// Begins to drain on an operator's word.
+    /// Starts to drain the local target, as requested by an operator.
     pub drain: Arc<dyn Fn() + Send + Sync>,
-    /// A peer (its control address; whether it is of the own failure domain) has this higher
-    /// configuration version in force: fetch it there. Repeated until
-    /// [`super::ControlHandle::set_config_version`] catches up.
+    /// A peer has a higher configuration version in force, which can be fetched there. Arguments:
+    /// the control address of the peer, the version, and whether the peer is in the own failure
+    /// domain. Called again until [`super::ControlHandle::set_config_version`] catches up.
     pub newer_config: Arc<dyn Fn(SocketAddr, u64, bool) + Send + Sync>,
-    /// A peer knows a newer era of the store than was known here.
+    /// A peer knows a newer era of the store than this node did.
     pub store_era: Arc<dyn Fn(u64) + Send + Sync>,
-    /// A peer knows a newer slot map: fetch it there or from the table. Repeated until
+    /// A peer has a newer slot map, which can be fetched there or from the table. Called again until
     /// [`super::ControlHandle::set_slot_map_version`] catches up.
     pub newer_slot_map: Arc<dyn Fn(NewerSlotMap) + Send + Sync>,
-    /// A member has found out who uses a route.
+    /// A member announces who uses a route.
     pub route_use: RouteUseHandler,
-    /// A member tells of accounts' allowances.
+    /// A member sends a message about accounts' allowances.
     pub allowances: AllowancesHandler,
-    /// The versions of slot maps differ from those of this peer for long: compare them all.
+    /// The slot map versions here and at this peer have differed for long: compare all of them.
     pub compare_slot_maps: Arc<dyn Fn(SocketAddr) + Send + Sync>,
 }
 
--- a/src/control/control_loop.rs
+++ b/src/control/control_loop.rs
@@ -1,4 +1,4 @@
-//! The loop that owns the membership: datagrams, commands and the passing of time.
+//! The event loop that owns the membership: it handles datagrams, commands and timer ticks.
 
 use std::io;
 use std::net::SocketAddr;
@@ -27,26 +27,27 @@
 use crate::membership::decode_datagram;
 use crate::membership::encode_datagram;
 
-/// How often the membership looks at the time. It also batches news for this long.
+/// The period of the membership timer. Updates are also batched for this long.
 const TICK: Duration = Duration::from_millis(100);
-/// How often gauges are set from the view: counting all members at each change would cost the square of
-/// them in a start of all.
-const SHOW: Duration = Duration::from_millis(500);
-/// Datagrams taken in before commands and ticks get their turn.
-const MAX_BATCH: usize = 64;
-/// How many of the seeds that it is told are asked for all members at once: one is enough, others may be
-/// gone. Asked of eight three times, whole tables were the most of what crossed failure domains.
-const JOIN_SEEDS: usize = 3;
-/// The largest datagram that UDP carries.
+/// How often the gauges are set from the view. If all members were counted at each change, the cost
+/// would grow with the square of their number when all nodes start at once.
+const GAUGE_PERIOD: Duration = Duration::from_millis(500);
+/// The largest number of datagrams handled before commands and ticks are served.
+const MAX_DATAGRAM_BATCH: usize = 64;
+/// How many of the added seeds are asked for all members at once. One answer is enough, but some seeds
+/// may be gone. When eight seeds were asked three times each, full member tables made up most of the
+/// traffic between failure domains.
+const MAX_JOIN_SEEDS: usize = 3;
+/// The size of the receive buffer: no UDP datagram is larger.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
 
-/// Everything that the loop owns.
+/// The state of the event loop.
 pub struct ControlLoop {
     pub membership: Membership,
     pub socket: UdpSocket,
     pub commands: UnboundedReceiver<Command>,
-    /// For tasks of this thread that bring back results.
-    pub own_commands: UnboundedSender<Command>,
+    /// For tasks on this thread that return their results as commands.
+    pub command_sender: UnboundedSender<Command>,
     pub handlers: ControlHandlers,
     pub clients: Arc<PeerClients>,
     pub view: Arc<Published<View>>,
@@ -60,14 +61,14 @@
     pub async fn run(mut self) {
         let mut ticks = interval(TICK);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut shows = interval(SHOW);
-        shows.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut shown = 0;
+        let mut gauge_ticks = interval(GAUGE_PERIOD);
+        gauge_ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut shown_changes = 0;
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         self.publish();
         loop {
-            // Datagrams before ticks: after a pause, answers that wait in the socket must be
-            // seen before anybody is suspected for the lack of them.
+            // Datagrams are handled before ticks. After a pause of this process, answers may wait
+            // in the socket; a tick handled first would suspect the members that sent them.
             tokio::select! {
                 biased;
                 ready = self.socket.readable() => match ready {
@@ -76,24 +77,24 @@
                 },
                 command = self.commands.recv() => match command {
                     Some(Command::Shutdown) | None => break,
-                    Some(command) => self.obey(command),
+                    Some(command) => self.handle_command(command),
                 },
                 _ = ticks.tick() => {}
-                _ = shows.tick() => self.show(&mut shown),
+                _ = gauge_ticks.tick() => self.update_gauges(&mut shown_changes),
             }
             let actions = self.membership.tick(self.clock.now());
-            self.act(actions);
+            self.perform(actions);
         }
         let actions = self.membership.tick(self.clock.now());
-        self.act(actions);
+        self.perform(actions);
     }
 
     fn receive_batch(&mut self, buffer: &mut [u8]) {
-        for _ in 0..MAX_BATCH {
+        for _ in 0..MAX_DATAGRAM_BATCH {
             match self.socket.try_recv_from(buffer) {
                 Ok((bytes, from)) => self.receive(&buffer[..bytes], from),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
-                // The kernel reports here that an earlier datagram met a closed port.
+                // The kernel reports here that an earlier datagram was sent to a closed port.
                 Err(error) => log::trace!("gossip: receive failed error={error}"),
             }
         }
@@ -108,8 +109,8 @@
                 let now = self.clock.now();
                 let actions = self.membership.handle(now, from, datagram);
                 self.freshness.record_heard(now);
-                self.show_confirmed();
-                self.act(actions);
+                self.publish_confirmed();
+                self.perform(actions);
             }
             Err(error) => {
                 self.metrics.dropped_datagrams.inc();
@@ -118,7 +119,7 @@
         }
     }
 
-    fn obey(&mut self, command: Command) {
+    fn handle_command(&mut self, command: Command) {
         let now = self.clock.now();
         match command {
             Command::Announce {
@@ -134,7 +135,7 @@
             Command::SetConfigVersion(version) => self.membership.set_config_version(version),
             Command::ConfirmConfigVersion(version) => {
                 self.membership.confirm_config(version, now);
-                self.show_confirmed();
+                self.publish_confirmed();
             }
             Command::SetSlotMapVersion { service, version } => {
                 self.membership.set_slot_map_version(&service, version);
@@ -147,40 +148,40 @@
             }
             Command::SendAllowances { to, message } => {
                 let actions = self.membership.send_allowances(&to, message, now);
-                self.act(actions);
+                self.perform(actions);
             }
             Command::AddSeeds(seeds) => self.join(&seeds),
-            Command::Exchange { ask, answer } => {
-                let from = ask.own.control_address;
-                let (held, actions) = self.membership.answer_exchange(now, from, &ask);
-                self.act(actions);
-                // The asker may have gone; then nobody needs the answer.
-                drop(answer.send(held));
+            Command::Exchange { request, reply } => {
+                let from = request.own.control_address;
+                let (held, actions) = self.membership.answer_exchange(now, from, &request);
+                self.perform(actions);
+                // A failed send means that the caller is gone and the reply is not needed.
+                drop(reply.send(held));
             }
             Command::Merge { from, members } => {
                 let actions = self.membership.merge(now, from, &members);
-                self.act(actions);
+                self.perform(actions);
             }
             Command::Shutdown => {}
         }
     }
 
-    /// Asks some of the seeds for all members at once. Guards against a node that knows the others'
-    /// addresses and still takes seconds to hear who is there: after a restart of many, each of
-    /// them knows few.
+    /// Adds the seeds, and asks some of them for all members at once. Without this, a node that has
+    /// the addresses of others takes seconds to learn all members after many nodes have restarted,
+    /// because each of them knows only a few.
     fn join(&mut self, seeds: &[SocketAddr]) {
         self.membership.add_seeds(seeds);
         let mut others: Vec<SocketAddr> = seeds.to_vec();
         others.retain(|seed| *seed != self.membership.own().control_address);
-        // The first ones are the best to ask; one any other, should those be gone.
-        let rest = others.split_off(others.len().min(JOIN_SEEDS - 1));
+        // The first seeds are preferred. One random other is added in case they are gone.
+        let rest = others.split_off(others.len().min(MAX_JOIN_SEEDS - 1));
         others.extend(fastrand::choice(rest));
         for seed in others {
             self.exchange(seed);
         }
     }
 
-    fn act(&mut self, actions: Vec<Action>) {
+    fn perform(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send { to, datagram } => self.send(to, &datagram),
@@ -208,7 +209,7 @@
         }
     }
 
-    /// A datagram that cannot be sent now counts as lost, which the protocol expects.
+    /// Sends a datagram. One that cannot be sent at once is lost, which the protocol tolerates.
     fn send(&self, to: SocketAddr, datagram: &Datagram) {
         let bytes = encode_datagram(datagram);
         let kind = datagram.body.kind();
@@ -220,7 +221,7 @@
         }
     }
 
-    fn show_confirmed(&self) {
+    fn publish_confirmed(&self) {
         if let Some(confirmed) = self.membership.config_confirmed() {
             self.freshness.record_confirmed(confirmed);
         }
@@ -231,24 +232,24 @@
         self.view.store(Arc::new(view));
     }
 
-    /// Sets the gauges, unless they show this view already.
-    fn show(&self, shown: &mut u64) {
+    /// Sets the gauges, unless the view has not changed since they were last set.
+    fn update_gauges(&self, shown_changes: &mut u64) {
         let view = self.view.load();
-        if *shown != view.changes {
-            *shown = view.changes;
-            self.metrics.show_view(&view);
+        if *shown_changes != view.changes {
+            *shown_changes = view.changes;
+            self.metrics.set_gauges(&view);
         }
     }
 
     fn exchange(&self, with: SocketAddr) {
-        let ask = self.membership.exchange_request();
+        let request = self.membership.exchange_request();
         let clients = self.clients.clone();
-        let commands = self.own_commands.clone();
+        let commands = self.command_sender.clone();
         tokio::spawn(async move {
-            match clients.exchange_members(with, ask).await {
+            match clients.exchange_members(with, request).await {
                 Ok(members) => {
                     let from = with;
-                    // The loop may have ended; then nobody needs the members.
+                    // A failed send means that the loop has ended and the members are not needed.
                     drop(commands.send(Command::Merge { from, members }));
                 }
                 Err(error) => log::debug!("gossip: exchange failed with={with} error={error}"),
--- a/src/control/control_metrics.rs
+++ b/src/control/control_metrics.rs
@@ -1,4 +1,4 @@
-//! What the control thread counts.
+//! The metrics of the control thread.
 
 use prometheus::IntCounter;
 use prometheus::IntCounterVec;
@@ -9,7 +9,7 @@
 use crate::core::TargetState;
 use crate::core::View;
 
-/// Which way control traffic went.
+/// The direction of control traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
     Sent,
@@ -25,9 +25,9 @@
     }
 }
 
-/// The label of everything that goes over control calls.
+/// The `kind` label of all bytes of control calls.
 const CALL_KIND: &str = "call";
-/// IP and UDP headers, counted with each datagram.
+/// The size of the IP and UDP headers, added to each datagram.
 const PACKET_OVERHEAD_BYTES: usize = 28;
 
 /// Control traffic by direction and kind, members by state, and datagrams that were dropped.
@@ -41,7 +41,7 @@
 }
 
 impl ControlMetrics {
-    /// Registers the metrics.
+    /// Creates and registers the metrics.
     ///
     /// # Errors
     /// When one of the names is registered already.
@@ -98,14 +98,14 @@
             .inc_by((payload_bytes + PACKET_OVERHEAD_BYTES) as u64);
     }
 
-    /// The counter of bytes of control calls.
+    /// The counter of the bytes of control calls in one direction.
     pub fn call_bytes(&self, direction: Direction) -> IntCounter {
         self.bytes
             .with_label_values(&[direction.as_str(), CALL_KIND])
     }
 
     /// Sets the gauges from a view.
-    pub fn show_view(&self, view: &View) {
+    pub fn set_gauges(&self, view: &View) {
         self.members.reset();
         for target in view.nodes.values() {
             let state = state_label(target.state);
--- a/src/control/control_settings.rs
+++ b/src/control/control_settings.rs
@@ -1,4 +1,4 @@
-//! What the control thread has to know before it starts.
+//! The settings of the control thread.
 
 use std::net::SocketAddr;
 
@@ -9,27 +9,27 @@
 use crate::core::TargetState;
 use crate::membership::MembershipSettings;
 
-/// Who this node is, where it listens and whom it asks first.
+/// The identity of this node, its addresses, and the nodes that it contacts first.
 #[derive(Clone, Debug)]
 pub struct ControlSettings {
     pub node: Name,
     pub region: Name,
     pub domain: Name,
-    /// Where other nodes forward calls; told to all members.
+    /// Where other nodes forward calls to; announced to all members.
     pub peer_address: SocketAddr,
-    /// Where to listen for datagrams and control calls; port 0 takes any free port.
+    /// Where to listen for datagrams and control calls. Port 0 binds any free port.
     pub control_address: SocketAddr,
-    /// Where others reach that address; port 0 stands for the port that was bound.
+    /// The address at which others reach the listener. Port 0 stands for the port that was bound.
     pub advertised_address: SocketAddr,
     pub seeds: Vec<SocketAddr>,
     pub membership: MembershipSettings,
-    /// The clock of the whole process, so that its times can be compared.
+    /// The clock of the whole process, so that its times are comparable.
     pub clock: Clock,
 }
 
 impl ControlSettings {
-    /// Takes from a node's settings what concerns control. The peer listener must be bound
-    /// before, so that its real port is in `peer_address`.
+    /// Builds the settings from those of the node. The peer listener must be bound before, so that
+    /// `peer_address` has the real port.
     pub fn new(node: &NodeSettings, peer_address: SocketAddr, clock: Clock) -> Self {
         Self {
             node: node.node.clone(),
@@ -44,9 +44,9 @@
         }
     }
 
-    /// The first record of this node, bound at `bound`: its backend server has not announced
-    /// itself yet.
-    pub fn first_target(&self, bound: SocketAddr) -> Target {
+    /// The first member record of this node, whose control listener is bound to `bound`. Its backend
+    /// server has not announced itself yet.
+    pub fn initial_target(&self, bound: SocketAddr) -> Target {
         let mut control_address = self.advertised_address;
         if control_address.port() == 0 {
             control_address.set_port(bound.port());
--- a/src/control/counted_stream.rs
+++ b/src/control/counted_stream.rs
@@ -1,4 +1,4 @@
-//! A connection whose bytes are counted.
+//! A TCP stream that counts its bytes.
 
 use std::io;
 use std::pin::Pin;
@@ -15,7 +15,7 @@
 use super::ControlMetrics;
 use super::Direction;
 
-/// A connection for control calls, which counts towards the budget of control traffic.
+/// A connection for control calls. Its bytes count towards the budget of control traffic.
 #[derive(Debug)]
 pub struct CountedStream {
     inner: TcpStream,
@@ -24,7 +24,7 @@
 }
 
 impl CountedStream {
-    /// Counts the bytes of `inner`.
+    /// Wraps `inner`, whose bytes are counted in `metrics`.
     pub fn new(inner: TcpStream, metrics: &ControlMetrics) -> Self {
         Self {
             inner,
--- a/src/control/freshness.rs
+++ b/src/control/freshness.rs
@@ -1,11 +1,11 @@
-//! How fresh what gossip tells is, readable from every thread.
+//! How recent the state received by gossip is, readable from every thread.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
 use crate::core::TimeMs;
 
-/// When gossip was last heard from anybody, and when the store was last known to hold no newer
+/// When gossip was last received from any node, and when the store was last known to hold no newer
 /// configuration than the one in force here.
 #[derive(Debug, Default)]
 pub struct Freshness {
@@ -14,7 +14,7 @@
 }
 
 impl Freshness {
-    /// A node that starts `now` counts both times from there.
+    /// Both times start at `now`, the start of the node.
     pub fn new(now: TimeMs) -> Self {
         let this = Self::default();
         this.record_heard(now);
@@ -22,12 +22,12 @@
         this
     }
 
-    /// The last datagram of another node came then.
+    /// When the last datagram of another node was received.
     pub fn last_heard(&self) -> TimeMs {
         TimeMs(self.heard_ms.load(Ordering::Relaxed))
     }
 
-    /// The store was last known then to hold nothing newer.
+    /// When the store was last known to hold no newer configuration.
     pub fn last_confirmed(&self) -> TimeMs {
         TimeMs(self.confirmed_ms.load(Ordering::Relaxed))
     }
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,5 +1,5 @@
-//! The control thread: membership, configuration and slot ownership, and the calls between nodes
-//! that serve them. Traffic threads read what it publishes.
+//! The control thread runs membership, configuration and slot ownership, and the control calls
+//! between nodes that they need. Traffic threads read what it publishes.
 
 mod command;
 mod control_address;
--- a/src/control/peer_clients.rs
+++ b/src/control/peer_clients.rs
@@ -32,17 +32,17 @@
 use crate::errors::PeerCallError;
 use crate::membership::ExchangeRequest;
 
-/// Connections kept; the one unused for longest goes first.
-const MAX_CLIENTS: usize = 32;
-/// A connection unused for so long is closed at the next call to anybody.
-const IDLE_MS: u64 = 60_000;
-/// How long the whole call may take, as a default.
+/// The largest number of cached connections. Beyond it the least recently used one is dropped.
+const MAX_CONNECTIONS: usize = 32;
+/// A connection unused for this long is closed at the next call to any peer.
+const IDLE_TIMEOUT_MS: u64 = 60_000;
+/// The default timeout of a whole call.
 pub const CALL_TIMEOUT_MS: u64 = 1_000;
 
 #[derive(Clone)]
 struct CachedClient {
     client: PeerControlClient,
-    /// Tells connections to one address apart, so that only the failed one is dropped.
+    /// Distinguishes connections to one address, so that only the failed one is dropped.
     connection: u64,
     last_used: TimeMs,
 }
@@ -55,20 +55,21 @@
 
 /// Clients of peers by control address, usable from every thread.
 ///
-/// A connection may go silent for good while new ones work. A call over a cached connection
-/// therefore gets half of the time; without an answer the connection is dropped and the rest of
-/// the time goes to a new one. All control calls can be repeated without harm.
+/// A connection may stop answering for good while new connections to the same peer work. A call over
+/// a cached connection therefore gets half of its timeout. Without an answer the connection is
+/// dropped, and the call is sent again over a new one for the rest of the time. All control calls
+/// are idempotent.
 pub struct PeerClients {
     runtime: Handle,
     clock: Clock,
     metrics: ControlMetrics,
-    /// From which address to connect, so that peers and networks see the same one as in gossip.
+    /// The local address of connections, so that peers and networks see the same one as in gossip.
     source: IpAddr,
     cache: Mutex<Cache>,
 }
 
 impl PeerClients {
-    /// Clients whose connections live on `runtime` and come from `source`.
+    /// Creates clients whose connections are driven by `runtime` and come from `source`.
     pub fn new(runtime: Handle, clock: Clock, metrics: ControlMetrics, source: IpAddr) -> Self {
         Self {
             runtime,
@@ -86,11 +87,11 @@
     pub async fn exchange_members(
         &self,
         address: SocketAddr,
-        ask: ExchangeRequest,
+        request: ExchangeRequest,
     ) -> Result<Vec<Target>, PeerCallError> {
         self.call(address, CALL_TIMEOUT_MS, move |client, context| {
-            let ask = ask.clone();
-            async move { client.exchange_members(context, ask).await }
+            let request = request.clone();
+            async move { client.exchange_members(context, request).await }
         })
         .await
     }
@@ -135,11 +136,11 @@
     pub async fn promise(
         &self,
         address: SocketAddr,
-        ask: PromiseRequest,
+        request: PromiseRequest,
     ) -> Result<Promise, PeerCallError> {
         self.call(address, CALL_TIMEOUT_MS, move |client, context| {
-            let ask = ask.clone();
-            async move { client.promise(context, ask).await }
+            let request = request.clone();
+            async move { client.promise(context, request).await }
         })
         .await
     }
@@ -181,9 +182,9 @@
     /// # Errors
     /// When no answer comes in [`CALL_TIMEOUT_MS`].
     pub async fn node_status(&self, address: SocketAddr) -> Result<String, PeerCallError> {
-        let ask =
+        let request =
             |client: PeerControlClient, context| async move { client.node_status(context).await };
-        self.call(address, CALL_TIMEOUT_MS, ask).await
+        self.call(address, CALL_TIMEOUT_MS, request).await
     }
 
     /// See [`super::PeerControl::drain`].
@@ -191,11 +192,12 @@
     /// # Errors
     /// When no answer comes in [`CALL_TIMEOUT_MS`].
     pub async fn drain(&self, address: SocketAddr) -> Result<(), PeerCallError> {
-        let ask = |client: PeerControlClient, context| async move { client.drain(context).await };
-        self.call(address, CALL_TIMEOUT_MS, ask).await
+        let request =
+            |client: PeerControlClient, context| async move { client.drain(context).await };
+        self.call(address, CALL_TIMEOUT_MS, request).await
     }
 
-    /// Calls a peer, over a cached connection first and a new one when that is silent.
+    /// Calls a peer over a cached connection, and over a new one if that does not answer.
     ///
     /// # Errors
     /// When it cannot be reached or does not answer in `timeout_ms`.
@@ -203,7 +205,7 @@
         &self,
         address: SocketAddr,
         timeout_ms: u64,
-        ask: impl Fn(PeerControlClient, Context) -> F,
+        request: impl Fn(PeerControlClient, Context) -> F,
     ) -> Result<T, PeerCallError>
     where
         F: Future<Output = Result<T, RpcError>>,
@@ -211,18 +213,20 @@
         let deadline = Instant::now() + Duration::from_millis(timeout_ms);
         if let Some(cached) = self.cached(address) {
             let half = Instant::now() + Duration::from_millis(timeout_ms / 2);
-            match within(half, &ask, cached.client).await {
+            match call_until(half, &request, cached.client).await {
                 Ok(answer) => return Ok(answer),
                 Err(error) => {
-                    log::debug!("control: drop connection peer={address} error={error}");
-                    self.forget(address, cached.connection);
+                    log::debug!(
+                        "control: dropping a failed connection peer={address} error={error}"
+                    );
+                    self.drop_connection(address, cached.connection);
                 }
             }
         }
         let fresh = self.connect(address, deadline).await?;
-        let answer = within(deadline, &ask, fresh.client).await;
+        let answer = call_until(deadline, &request, fresh.client).await;
         if answer.is_err() {
-            self.forget(address, fresh.connection);
+            self.drop_connection(address, fresh.connection);
         }
         answer
     }
@@ -232,13 +236,13 @@
         let mut cache = self.cache.lock().unwrap_or_else(PoisonError::into_inner);
         cache
             .clients
-            .retain(|_, cached| now.since(cached.last_used) < IDLE_MS);
+            .retain(|_, cached| now.since(cached.last_used) < IDLE_TIMEOUT_MS);
         let cached = cache.clients.get_mut(&address)?;
         cached.last_used = now;
         Some(cached.clone())
     }
 
-    fn forget(&self, address: SocketAddr, connection: u64) {
+    fn drop_connection(&self, address: SocketAddr, connection: u64) {
         let mut cache = self.cache.lock().unwrap_or_else(PoisonError::into_inner);
         let is_same = |cached: &CachedClient| cached.connection == connection;
         if cache.clients.get(&address).is_some_and(is_same) {
@@ -254,22 +258,22 @@
         let metrics = self.metrics.clone();
         let source = self.source;
         let connecting = async move {
-            let stream = timeout(left(deadline), connect_from(source, address))
+            let stream = timeout(time_left(deadline), connect_from(source, address))
                 .await
                 .map_err(|_| PeerCallError::Timeout)??;
             let transport = peer_transport(stream, &metrics);
             let client = PeerControlClient::new(Config::default(), transport).spawn();
             Ok::<_, PeerCallError>(client)
         };
-        // The connection has to live on the control thread, whoever asks for it.
+        // The connection has to run on the control thread, whichever thread calls.
         let client = match self.runtime.spawn(connecting).await {
             Ok(connected) => connected?,
             Err(_) => return Err(PeerCallError::Stopped),
         };
-        Ok(self.keep(address, client))
+        Ok(self.insert(address, client))
     }
 
-    fn keep(&self, address: SocketAddr, client: PeerControlClient) -> CachedClient {
+    fn insert(&self, address: SocketAddr, client: PeerControlClient) -> CachedClient {
         let mut cache = self.cache.lock().unwrap_or_else(PoisonError::into_inner);
         cache.connections += 1;
         let cached = CachedClient {
@@ -278,12 +282,12 @@
             last_used: self.clock.now(),
         };
         cache.clients.insert(address, cached.clone());
-        if cache.clients.len() > MAX_CLIENTS {
-            let by_use = cache
+        if cache.clients.len() > MAX_CONNECTIONS {
+            let least_recent = cache
                 .clients
                 .iter()
                 .min_by_key(|(_, other)| other.last_used);
-            if let Some(oldest) = by_use.map(|(address, _)| *address) {
+            if let Some(oldest) = least_recent.map(|(address, _)| *address) {
                 cache.clients.remove(&oldest);
             }
         }
@@ -291,9 +295,9 @@
     }
 }
 
-async fn within<T, F>(
+async fn call_until<T, F>(
     deadline: Instant,
-    ask: &impl Fn(PeerControlClient, Context) -> F,
+    request: &impl Fn(PeerControlClient, Context) -> F,
     client: PeerControlClient,
 ) -> Result<T, PeerCallError>
 where
@@ -301,7 +305,7 @@
 {
     let mut context = tarpc::context::current();
     context.deadline = deadline;
-    match timeout(left(deadline), ask(client, context)).await {
+    match timeout(time_left(deadline), request(client, context)).await {
         Ok(answer) => answer.map_err(PeerCallError::from),
         Err(_) => Err(PeerCallError::Timeout),
     }
@@ -318,6 +322,6 @@
     socket.connect(address).await
 }
 
-fn left(deadline: Instant) -> Duration {
+fn time_left(deadline: Instant) -> Duration {
     deadline.saturating_duration_since(Instant::now())
 }
--- a/src/control/peer_server.rs
+++ b/src/control/peer_server.rs
@@ -1,4 +1,4 @@
-//! Answers control calls of peers.
+//! The server of control calls from peers.
 
 use std::io;
 use std::time::Duration;
@@ -27,12 +27,13 @@
 use crate::core::Target;
 use crate::membership::ExchangeRequest;
 
-/// Requests of one connection that are worked on at once; further ones wait in the socket.
+/// The largest number of calls of one connection handled at once. Further calls wait in the socket.
 const MAX_CONCURRENT_CALLS: usize = 32;
-/// How long to wait before accepting again when the process has no file descriptor left.
+/// The pause before the next accept after one failed, as when the process has no file descriptor
+/// left.
 const ACCEPT_RETRY: Duration = Duration::from_millis(100);
 
-/// Passes each call to the membership or to the concern that handles it.
+/// Passes each call to the membership or to its handler.
 #[derive(Clone)]
 pub struct PeerServer {
     pub handlers: ControlHandlers,
@@ -68,9 +69,9 @@
 }
 
 impl PeerControl for PeerServer {
-    async fn exchange_members(self, _: Context, ask: ExchangeRequest) -> Vec<Target> {
-        let (answer, answered) = oneshot::channel();
-        let command = Command::Exchange { ask, answer };
+    async fn exchange_members(self, _: Context, request: ExchangeRequest) -> Vec<Target> {
+        let (reply, answered) = oneshot::channel();
+        let command = Command::Exchange { request, reply };
         if self.commands.send(command).is_err() {
             return Vec::new();
         }
@@ -85,8 +86,8 @@
         (self.handlers.attempt_status)(attempt).await
     }
 
-    async fn promise(self, _: Context, ask: PromiseRequest) -> Promise {
-        (self.handlers.promise)(ask)
+    async fn promise(self, _: Context, request: PromiseRequest) -> Promise {
+        (self.handlers.promise)(request)
     }
 
     async fn hand_over(self, _: Context, transfer: Vec<u8>) -> bool {
--- a/src/control/peer_service.rs
+++ b/src/control/peer_service.rs
@@ -9,34 +9,34 @@
 use crate::membership::ExchangeRequest;
 use crate::poison::CrashReport;
 
-/// What a guard knows of an attempt, when its sender asks over a new connection because the old
-/// one went silent.
+/// The state of an attempt at a guard. The sender asks for it over a new connection when the old
+/// one has stopped answering.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum AttemptStatus {
-    /// It is not among the attempts remembered, and will be refused if it still arrives. It never
-    /// arrived, and may be sent again, if it was sent less than `complete_for_ms` ago: for so long
-    /// this guard has run and has forgotten no attempt.
+    /// The guard has no record of the attempt, and refuses it if it still arrives. The guard has
+    /// run for `complete_for_ms` and has dropped no record in that time: an attempt sent within it
+    /// has never arrived and may be sent again.
     NeverSeen { complete_for_ms: u64 },
     /// It waits or runs; ask again.
     InProgress,
-    /// It ended; the whole answer is repeated.
+    /// The attempt ended; this is its whole answer.
     Done(KeptAnswer),
-    /// It ended, but its answer was too large to keep or was dropped since.
+    /// The attempt ended, but its answer was too large to keep or has been dropped since.
     DoneWithoutAnswer,
 }
 
-/// A whole answer as kept for a while at the guard.
+/// A whole answer that the guard keeps for a limited time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct KeptAnswer {
     pub status: u16,
-    /// Headers in order, the encoded answer header among them.
+    /// Headers in order, including the encoded answer header.
     pub headers: Vec<(String, Vec<u8>)>,
     pub body: Vec<u8>,
 }
 
-/// A published configuration as it is handed from node to node.
+/// A published configuration as nodes send it to each other.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ConfigDocument {
@@ -46,32 +46,32 @@
     pub document: String,
 }
 
-/// An owner's request that one member of its service refrain from taking over its slots.
+/// An owner's request that one member of its service does not take over its slots for a while.
 ///
-/// Both sides are named by process instance: a restarted member has forgotten what its
-/// predecessor promised or began, so it must not answer for it.
+/// Both sides are identified by process instance. A restarted member does not know what the
+/// previous process promised or began, so it must not answer on its behalf.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct PromiseRequest {
     pub service: Name,
-    /// The process instance of the owner that asks.
+    /// The process instance of the requesting owner.
     pub owner: u64,
-    /// The process instance that is asked.
+    /// The process instance of the member that has to answer.
     pub member: u64,
 }
 
-/// The answer to an owner's request that this node refrain from taking over its slots.
+/// The answer to a [`PromiseRequest`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Promise {
-    /// No take-over of the asker's slots is under way here, and none will be completed within
-    /// `hold_ms` of the receipt of the request.
+    /// This node is not taking over slots of the owner, and will complete no take-over within
+    /// `hold_ms` of receiving the request.
     Granted { hold_ms: u64 },
-    /// A take-over is under way or done; the asker must not rely on its ownership.
+    /// A take-over is in progress or done. The owner must not rely on its ownership.
     Refused,
 }
 
-/// Requests that ran when a backend server crashed.
+/// The requests that ran when a backend server crashed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Suspects {
@@ -79,23 +79,24 @@
     pub report: CrashReport,
 }
 
-/// What one node can ask of another.
+/// The control calls that nodes serve to each other.
 #[tarpc::service]
 pub trait PeerControl {
-    /// Tells what is known of members where the caller holds something else.
-    async fn exchange_members(ask: ExchangeRequest) -> Vec<Target>;
-    /// The configuration in force here, if its version is higher than `above`.
+    /// Returns the members of which this node holds another record than the caller.
+    async fn exchange_members(request: ExchangeRequest) -> Vec<Target>;
+    /// Returns the configuration in force here, if its version is higher than `above`.
     async fn config_above(above: u64) -> Option<ConfigDocument>;
-    /// What became of an attempt; an attempt that was never seen is revoked by asking.
+    /// Returns the state of an attempt. An attempt that was never seen is revoked by this call.
     async fn attempt_status(attempt: AttemptId) -> AttemptStatus;
-    /// Asks for the promise not to take over slots of the owner's service for a while.
-    async fn promise(ask: PromiseRequest) -> Promise;
-    /// Hands over an encoded `claims::LedgerTransfer`; `true` confirms that it was taken in.
+    /// Requests the promise not to take over the owner's slots for a while.
+    async fn promise(request: PromiseRequest) -> Promise;
+    /// Hands over an encoded `claims::LedgerTransfer`. `true` confirms that it was merged.
     async fn hand_over(transfer: Vec<u8>) -> bool;
-    /// Spreads requests that ran when a backend server crashed.
+    /// Passes on the requests that ran when a backend server crashed.
     async fn report_suspects(suspects: Suspects);
-    /// The status of this node in JSON, without its members, for an operator who asks another.
+    /// Returns the status of this node in JSON, without its members, for an operator who has asked
+    /// another node.
     async fn node_status() -> String;
-    /// An operator's word to take the target beside this node out of service.
+    /// Drains the target beside this node, as requested by an operator.
     async fn drain();
 }
--- a/src/control/peer_transport.rs
+++ b/src/control/peer_transport.rs
@@ -1,4 +1,4 @@
-//! How control calls are framed, the same at both ends.
+//! The framing of control calls, shared by client and server.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -11,15 +11,16 @@
 use super::ControlMetrics;
 use super::CountedStream;
 
-/// The largest message: a kept answer or a ledger, with room to spare. A longer one ends the
-/// connection, so that a broken peer cannot make this node reserve memory without bound.
+/// The largest message. A kept answer or a ledger fits with room to spare. A larger message ends the
+/// connection, so that a faulty peer cannot make this node allocate memory without bound.
 const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
 
 /// A framed and counted connection.
 pub type PeerTransport<Item, SinkItem> =
     Transport<CountedStream, Item, SinkItem, Bincode<Item, SinkItem>>;
 
-/// Frames a connection. Small messages must not wait for the acknowledgement of the one before.
+/// Frames a connection, with Nagle's algorithm off: a small message must not wait until the previous
+/// one is acknowledged.
 pub fn peer_transport<Item, SinkItem>(
     stream: TcpStream,
     metrics: &ControlMetrics,
@@ -29,7 +30,7 @@
     SinkItem: Serialize,
 {
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!("control: cannot set nodelay error={error}");
+        log::debug!("control: cannot set TCP_NODELAY error={error}");
     }
     let mut codec = LengthDelimitedCodec::new();
     codec.set_max_frame_length(MAX_FRAME_BYTES);
--- a/src/control/start.rs
+++ b/src/control/start.rs
@@ -24,8 +24,8 @@
 use crate::errors::ControlError;
 use crate::membership::Membership;
 
-/// Binds the control address and starts the control thread. Everything of it runs there: gossip,
-/// control calls in both directions, and what the concerns spawn.
+/// Binds the control address and starts the control thread. Gossip, control calls in both directions
+/// and the tasks spawned by other parts of the node run on this thread.
 ///
 /// # Errors
 /// When the address cannot be bound or the thread cannot be started.
@@ -39,7 +39,7 @@
         source,
     })?;
     let runtime = Builder::new_current_thread().enable_all().build()?;
-    let _entered = runtime.enter();
+    let _runtime_context = runtime.enter();
     let socket = UdpSocket::from_std(sockets.datagrams)?;
     let listener = TcpListener::from_std(sockets.calls)?;
     let clock = settings.clock;
@@ -51,9 +51,9 @@
     ));
     let view = Arc::new(Published::new(Arc::new(View::default())));
     let freshness = Arc::new(Freshness::new(clock.now()));
-    let (own_commands, commands) = unbounded_channel();
+    let (command_sender, commands) = unbounded_channel();
     let membership = Membership::new(
-        settings.first_target(sockets.address),
+        settings.initial_target(sockets.address),
         settings.seeds.clone(),
         settings.membership,
         Rng::new(),
@@ -61,14 +61,14 @@
     );
     let server = PeerServer {
         handlers: handlers.clone(),
-        commands: own_commands.clone(),
+        commands: command_sender.clone(),
         metrics: metrics.clone(),
     };
     let control_loop = ControlLoop {
         membership,
         socket,
         commands,
-        own_commands: own_commands.clone(),
+        command_sender: command_sender.clone(),
         handlers,
         clients: clients.clone(),
         view: view.clone(),
@@ -77,7 +77,7 @@
         clock,
     };
     let handle = runtime.handle().clone();
-    drop(_entered);
+    drop(_runtime_context);
     let thread = thread::Builder::new()
         .name("control".to_owned())
         .spawn(move || {
@@ -91,7 +91,7 @@
         freshness,
         clients,
         runtime: handle,
-        commands: own_commands,
+        commands: command_sender,
         thread: Mutex::new(Some(thread)),
     })
 }
--- a/tests/control_shutdown.rs
+++ b/tests/control_shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of a node's control thread.
+//! Shutdown of a node's control thread.
 
 use std::net::SocketAddr;
 use std::panic;
@@ -12,9 +12,8 @@
 use sassafrasgap::node::NodeInputs;
 use sassafrasgap::node::NodeProcess;
 
-// What a user would see: a panic in the log of a node that stops.
-// The node is dropped; a task of its control thread holds the last handle to that thread and
-// drops it there. Cause: the thread waits for its own end.
+// Guards against a panic in the log of a node that stops: a task on the control thread drops the
+// last handle to that thread, and the thread joins itself.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_last_handle_may_be_dropped_on_the_control_thread() {
     let panics = Arc::new(AtomicUsize::new(0));
