--- a/src/configuration/change.rs
+++ b/src/configuration/change.rs
@@ -1,11 +1,11 @@
-//! A change of the configuration by an operator.
+//! The identity of a configuration change by an operator.
 
 use crate::core::Name;
 
-/// Who changes something, under which id.
+/// The operator of a change and the id of the change.
 ///
-/// The id is written with the change. After a lost answer it tells this change from one of
-/// another operator to the same preset.
+/// The id is written with the change. When the answer to a write is lost, the id distinguishes this
+/// change from another operator's change to the same preset.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
     pub change_id: Name,
--- a/src/configuration/config_metrics.rs
+++ b/src/configuration/config_metrics.rs
@@ -1,4 +1,4 @@
-//! What the configuration task counts.
+//! The metrics of the configuration task.
 
 use prometheus::IntCounter;
 use prometheus::IntCounterVec;
@@ -10,7 +10,7 @@
 use crate::configuration::PollOutcome;
 use crate::configuration::Source;
 
-/// Polls of the platform, questions to peers, and what became of the documents heard of.
+/// Counts polls of the platform, queries to peers, and documents applied or ignored.
 #[derive(Clone, Debug)]
 pub struct ConfigMetrics {
     polls: IntCounterVec,
@@ -21,7 +21,7 @@
 }
 
 impl ConfigMetrics {
-    /// Registers the metrics.
+    /// Creates and registers the metrics.
     ///
     /// # Errors
     /// When one of the names is registered already.
--- a/src/configuration/config_publish.rs
+++ b/src/configuration/config_publish.rs
@@ -1,11 +1,12 @@
-//! Publishing a preset: its document becomes an immutable row, and the latest revision names it.
+//! Publishes a preset: writes its document as an immutable row, and the row that names the latest
+//! revision.
 
 use crate::conf::parse_preset;
 use crate::configuration::Change;
 use crate::configuration::ConfigStore;
 use crate::configuration::InForceRow;
 use crate::configuration::LatestRow;
-use crate::configuration::config_store::Held;
+use crate::configuration::config_store::VersionedRow;
 use crate::configuration::document_hash;
 use crate::configuration::rows::IN_FORCE_KEY;
 use crate::configuration::rows::document_key;
@@ -17,12 +18,12 @@
 use crate::table_service::Resolution;
 use crate::table_service::Transaction;
 
-/// Revisions of one preset that are kept; the one in force is kept in any case.
+/// The number of revisions kept of one preset. The one in force is always kept.
 const KEPT_REVISIONS: u64 = 20;
-/// The largest preset document. It travels between nodes whole, within their byte budget.
+/// The largest preset document. Nodes send it to each other whole, within their byte budget.
 const MAX_DOCUMENT_BYTES: usize = 64 * 1024;
 
-/// What publishing led to.
+/// The outcome of publishing.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Publication {
     Published {
@@ -37,12 +38,12 @@
 }
 
 impl ConfigStore {
-    /// Publishes a preset document as the next revision. It does not come into force by that.
+    /// Publishes a preset document as the next revision, without bringing it into force.
     ///
     /// # Errors
     /// `Settings` when the document has problems; `PublishConflict` when another operator
-    /// published the same preset at the same moment; `OutcomeUnknown` when the answer was lost
-    /// and could not be found out: publishing the same document again is safe.
+    /// published the same preset concurrently; `OutcomeUnknown` when the answer was lost and the
+    /// outcome could not be determined. Publishing the same document again is safe.
     pub async fn publish(
         &self,
         file: &str,
@@ -57,7 +58,7 @@
         }
         let preset = parse_preset(file, document)?.name;
         let key = latest_key(&preset);
-        let held: Held<LatestRow> = self.held(&key).await?;
+        let held: VersionedRow<LatestRow> = self.read_row(&key).await?;
         let hash = document_hash(document);
         if let Some(latest) = held.row.as_ref().filter(|latest| latest.hash == hash) {
             let revision = latest.revision;
@@ -74,14 +75,14 @@
             .publish_transaction(&preset, document, &held, &latest)
             .await?;
         let resolution = self.apply(&transaction, &key, change).await?;
-        self.resolved_publication(preset, &latest, resolution).await
+        self.publish_outcome(preset, &latest, resolution).await
     }
 
     async fn publish_transaction(
         &self,
         preset: &Name,
         document: &str,
-        held: &Held<LatestRow>,
+        held: &VersionedRow<LatestRow>,
         latest: &LatestRow,
     ) -> Result<Transaction, ConfigError> {
         let document_key = document_key(preset, latest.revision);
@@ -98,15 +99,15 @@
         Ok(transaction)
     }
 
-    /// Deletes an old revision unless it is in force. The check on the row in force keeps a switch
-    /// from slipping in between.
+    /// Adds the deletion of an old revision unless it is in force. The transaction checks the row
+    /// in force, so it fails if that revision is switched to concurrently.
     async fn add_deletion(
         &self,
         transaction: &mut Transaction,
         preset: &Name,
         revision: u64,
     ) -> Result<(), ConfigError> {
-        let in_force: Held<InForceRow> = self.held(IN_FORCE_KEY).await?;
+        let in_force: VersionedRow<InForceRow> = self.read_row(IN_FORCE_KEY).await?;
         let is_in_force = |row: &InForceRow| row.preset == *preset && row.revision == revision;
         if in_force.row.as_ref().is_some_and(is_in_force) {
             return Ok(());
@@ -119,9 +120,10 @@
         Ok(())
     }
 
-    /// After a lost answer another operator may have published the next revision already, and the
-    /// row of the latest one no longer tells. The immutable document of this revision does.
-    async fn resolved_publication(
+    /// Determines the outcome of publishing. After a lost answer, the row of the latest revision
+    /// does not show the outcome if another operator has published the next revision since. The
+    /// immutable document of this revision does.
+    async fn publish_outcome(
         &self,
         preset: Name,
         latest: &LatestRow,
--- a/src/configuration/config_shared.rs
+++ b/src/configuration/config_shared.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, shared between the task that changes it and the threads that read.
+//! The configuration in force, shared by the task that changes it and the threads that read it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,8 +24,8 @@
 use crate::core::Published;
 use crate::preset::InForce;
 
-/// News that wait for the task; more are dropped, since gossip repeats them.
-const MAX_WAITING_NEWS: usize = 64;
+/// The largest number of updates queued for the task. More are dropped, since gossip repeats them.
+const MAX_QUEUED_UPDATES: usize = 64;
 
 /// A peer has a higher version in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,7 +35,7 @@
     pub version: u64,
 }
 
-/// What is in force here. Any thread may read it and pass on updates of other nodes.
+/// The configuration in force at this node. Any thread may read it and report versions of peers.
 pub struct ConfigShared {
     state: Mutex<ConfigState>,
     in_force: Arc<Published<Option<InForce>>>,
@@ -45,14 +45,14 @@
 }
 
 impl ConfigShared {
-    /// A node that knows no configuration yet publishes `None`: nothing can be classified, and
-    /// calls are refused as `no_preset`. There is no built-in preset to fall back on, as it could
-    /// rank work differently from what operators chose.
+    /// Creates the state and the queue of updates for the task. A node that knows no configuration
+    /// yet publishes `None`: calls cannot be classified and are refused as `no_preset`. There is no
+    /// built-in default preset, because it could rank work differently from what operators chose.
     pub fn new(
         in_force: Arc<Published<Option<InForce>>>,
         metrics: ConfigMetrics,
     ) -> (Arc<Self>, Receiver<NewerConfig>) {
-        let (updates, receiver) = channel(MAX_WAITING_NEWS);
+        let (updates, receiver) = channel(MAX_QUEUED_UPDATES);
         let shared = Self {
             state: Mutex::new(ConfigState::new()),
             in_force,
@@ -63,8 +63,8 @@
         (Arc::new(shared), receiver)
     }
 
-    /// Takes the updates, from gossip or from the header of an answer, that a peer has `version` in
-    /// force. Costs one load of an atomic when the version is held here.
+    /// Records that a peer has `version` in force, as learned from gossip or from the header of an
+    /// answer, and queues a fetch if it is higher. Otherwise it costs one load of an atomic.
     pub fn record_peer_version(&self, from: SocketAddr, version: u64) {
         if version <= self.highest.load(Ordering::Relaxed) {
             return;
@@ -78,22 +78,22 @@
         }
     }
 
-    /// The document in force if its version is higher than `above`, for a peer that asks.
+    /// The document in force if its version is higher than `above`, for a peer that requests it.
     pub fn document_above(&self, above: u64) -> Option<ConfigDocument> {
         self.lock().document_above(above)
     }
 
-    /// The version in force, 0 when none is known.
+    /// The version in force, or 0 if none is known.
     pub fn version(&self) -> u64 {
         self.lock().version()
     }
 
-    /// The highest version held here, in force or still collected at the start.
+    /// The highest version held here, in force or collected from peers at the start.
     pub fn highest(&self) -> u64 {
         self.highest.load(Ordering::Relaxed)
     }
 
-    /// Takes in a document; answers the version if it came into force.
+    /// Offers a document to the state. Returns the version that came into force, if any.
     pub fn offer(&self, document: ConfigDocument, source: Source) -> Option<u64> {
         let mut state = self.lock();
         let version = document.version;
@@ -109,7 +109,8 @@
         }
     }
 
-    /// Every peer asked at the start has answered or failed.
+    /// To be called when every peer queried at the start has answered or failed. Returns the
+    /// version that came into force, if any.
     pub fn finish_initial_queries(&self) -> Option<u64> {
         let mut state = self.lock();
         let in_force = state.finish_initial_queries()?;
@@ -133,7 +134,9 @@
 
 fn log_ignored(version: u64, reason: &IgnoreReason) {
     match reason {
-        IgnoreReason::OtherContent => error!("config: two documents under one version={version}"),
+        IgnoreReason::OtherContent => {
+            error!("config: another document has the same version={version}")
+        }
         IgnoreReason::Unreadable(error) => {
             error!("config: unreadable version={version} error={error}")
         }
--- a/src/configuration/config_state.rs
+++ b/src/configuration/config_state.rs
@@ -1,4 +1,4 @@
-//! Which configuration is in force at this node: the decision, without I/O.
+//! Decides which configuration is in force at this node, without I/O.
 
 use std::sync::Arc;
 
@@ -9,10 +9,10 @@
 use crate::preset::InForce;
 use crate::preset::Preset;
 
-/// Where a document was heard of.
+/// Where a document came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// The platform's table: nothing higher has been accepted anywhere.
+    /// The platform's table: no higher version has been accepted anywhere.
     Platform,
     /// Another node, which may be behind.
     Peer,
@@ -21,44 +21,45 @@
 /// Why an offered document is not brought into force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum IgnoreReason {
-    /// Its version is not above the one in force.
+    /// The version is not above the one in force.
     NotHigher { in_force: u64 },
-    /// It has the version in force but another content. Versions are given by compare-and-set, so
-    /// this is a fault of the program; the content already in force stays.
+    /// The version is the one in force, but the content differs. Versions are assigned by
+    /// compare-and-set, so this is a defect of the program. The content in force stays.
     OtherContent,
-    /// It cannot be read here, for example because it was checked by a newer program.
+    /// This program cannot parse the document, for example because a newer program published it.
     Unreadable(SettingsError),
-    /// This node has just started and still asks its peers; the highest answer will be applied.
+    /// This node has just started and is still querying its peers. The highest answer will be
+    /// applied.
     StillAsking,
 }
 
-/// What becomes of an offered document.
+/// The outcome of offering a document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OfferOutcome {
-    /// It is in force from now on.
+    /// This configuration is in force from now on.
     Apply(InForce),
     Ignore(IgnoreReason),
 }
 
-/// A document whose preset has been checked.
+/// A document with its parsed and checked preset.
 #[derive(Clone, Debug)]
-struct Accepted {
+struct ParsedDocument {
     document: ConfigDocument,
     preset: Arc<Preset>,
 }
 
 /// The configuration in force at one node.
 ///
-/// A node keeps nothing over a restart. If it applied the first answer that it hears, a peer that
-/// is behind (its failure domain was cut off until now) would take the node back to a version
-/// lower than the one that it had in force before the restart. So it begins by asking: until the
-/// platform has answered, or every peer asked has answered or failed, offers are only collected,
-/// and then the highest comes into force. After that versions only rise.
+/// A node persists no configuration over a restart. If it applied the first answer, a peer that is
+/// behind because its failure domain was cut off until now would take the node back to a version
+/// lower than the one that it had in force before the restart. So the node starts by querying its
+/// peers. Offers are only collected until the platform has answered, or every queried peer has
+/// answered or failed. Then the highest one comes into force. After that, versions only increase.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigState {
-    in_force: Option<Accepted>,
-    /// The highest offer while still asking.
-    best: Option<Accepted>,
+    in_force: Option<ParsedDocument>,
+    /// The highest offer while peers are still being queried.
+    highest_offer: Option<ParsedDocument>,
 }
 
 impl ConfigState {
@@ -67,40 +68,43 @@
         Self::default()
     }
 
-    /// The version in force, 0 when none is known.
+    /// The version in force, or 0 if none is known.
     pub fn version(&self) -> u64 {
         self.in_force
             .as_ref()
-            .map_or(0, |known| known.document.version)
+            .map_or(0, |current| current.document.version)
     }
 
-    /// The highest version that this node holds, in force or not. What is not higher need not be
+    /// The highest version that this node holds, in force or not. Only higher versions need to be
     /// fetched.
     pub fn highest(&self) -> u64 {
-        let best = self.best.as_ref().map_or(0, |best| best.document.version);
-        best.max(self.version())
+        let offered = self
+            .highest_offer
+            .as_ref()
+            .map_or(0, |offer| offer.document.version);
+        offered.max(self.version())
     }
 
-    /// The document in force if its version is higher than `above`, for a peer that asks.
+    /// The document in force if its version is higher than `above`, for a peer that requests it.
     pub fn document_above(&self, above: u64) -> Option<ConfigDocument> {
-        let known = self.in_force.as_ref()?;
-        (known.document.version > above).then(|| known.document.clone())
+        let current = self.in_force.as_ref()?;
+        (current.document.version > above).then(|| current.document.clone())
     }
 
-    /// Takes in a document.
+    /// Applies, collects or ignores a document.
     pub fn offer(&mut self, document: ConfigDocument, source: Source) -> OfferOutcome {
-        if let Some(ignored) = self.refuse_lower(&document) {
+        if let Some(ignored) = self.reason_to_ignore(&document) {
             return OfferOutcome::Ignore(ignored);
         }
         let preset = match parse_preset(&document.preset, &document.document) {
             Ok(preset) => Arc::new(preset),
             Err(error) => return OfferOutcome::Ignore(IgnoreReason::Unreadable(error)),
         };
-        let accepted = Accepted { document, preset };
+        let parsed = ParsedDocument { document, preset };
         if self.in_force.is_some() {
-            return OfferOutcome::Apply(self.apply(accepted));
+            return OfferOutcome::Apply(self.apply(parsed));
         }
-        self.collect(accepted);
+        self.collect(parsed);
         match source {
             Source::Platform => self.finish_initial_queries().map_or(
                 OfferOutcome::Ignore(IgnoreReason::StillAsking),
@@ -110,41 +114,43 @@
         }
     }
 
-    /// Every peer asked has answered or failed: the highest answer comes into force. `None` when
-    /// something is in force already or nothing was heard.
+    /// To be called when every queried peer has answered or failed. The highest answer comes into
+    /// force. Returns `None` if a version is in force already or no peer had one.
     pub fn finish_initial_queries(&mut self) -> Option<InForce> {
-        let best = self.best.take()?;
-        Some(self.apply(best))
+        let highest_offer = self.highest_offer.take()?;
+        Some(self.apply(highest_offer))
     }
 
-    fn refuse_lower(&self, document: &ConfigDocument) -> Option<IgnoreReason> {
-        let known = self.in_force.as_ref()?;
-        let in_force = known.document.version;
-        if document.version == in_force && document.document != known.document.document {
+    fn reason_to_ignore(&self, document: &ConfigDocument) -> Option<IgnoreReason> {
+        let current = self.in_force.as_ref()?;
+        let in_force = current.document.version;
+        if document.version == in_force && document.document != current.document.document {
             return Some(IgnoreReason::OtherContent);
         }
         (document.version <= in_force).then_some(IgnoreReason::NotHigher { in_force })
     }
 
-    fn collect(&mut self, accepted: Accepted) {
-        if accepted.document.version > self.highest() {
-            self.best = Some(accepted);
+    fn collect(&mut self, parsed: ParsedDocument) {
+        if parsed.document.version > self.highest() {
+            self.highest_offer = Some(parsed);
         }
     }
 
-    /// The one place where a version comes into force.
-    fn apply(&mut self, accepted: Accepted) -> InForce {
-        debug_assert!(accepted.document.version > self.version(), "versions rise");
+    /// Brings a version into force. No other function does so.
+    fn apply(&mut self, parsed: ParsedDocument) -> InForce {
+        debug_assert!(parsed.document.version > self.version(), "versions rise");
         let in_force = InForce {
-            version: accepted.document.version,
-            preset: accepted.preset.clone(),
+            version: parsed.document.version,
+            preset: parsed.preset.clone(),
         };
-        self.in_force = Some(accepted);
+        self.in_force = Some(parsed);
         in_force
     }
 
     /// The name of the preset in force.
     pub fn preset(&self) -> Option<&Name> {
-        self.in_force.as_ref().map(|known| &known.document.preset)
+        self.in_force
+            .as_ref()
+            .map(|current| &current.document.preset)
     }
 }
--- a/src/configuration/config_store.rs
+++ b/src/configuration/config_store.rs
@@ -1,4 +1,4 @@
-//! The configuration in the platform's table, as operators and polling nodes read it.
+//! Reads the configuration in the platform's table, for operators and polling nodes.
 
 use std::time::Duration;
 
@@ -25,82 +25,81 @@
 use crate::table_service::Transaction;
 use crate::table_service::transact_resolved;
 
-/// How often an operator's read is sent in all.
-const PATIENT_READ_TRIES: u32 = 4;
-/// The pause before a read is sent again.
-const READ_AGAIN: Duration = Duration::from_millis(100);
+/// The largest number of attempts of an operator's read.
+const OPERATOR_READ_ATTEMPTS: u32 = 4;
+/// The pause before a read is retried.
+const READ_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// A preset as the table lists it.
+/// A published preset with its latest revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PublishedPreset {
     pub preset: Name,
     pub latest: LatestRow,
 }
 
-/// A row of the table, decoded, with the version by which a write is made conditional.
-pub(super) struct Held<T> {
+/// A decoded row of the table, with the version on which a write is made conditional.
+pub(super) struct VersionedRow<T> {
     pub row_version: Option<u64>,
     pub row: Option<T>,
 }
 
-/// The operators' and the polling nodes' way to the table. Publishing and switching are in files
-/// of their own.
+/// The access of operators and polling nodes to the configuration in the table. Publishing and
+/// switching are in separate files.
 #[derive(Clone)]
 pub struct ConfigStore {
     client: PlatformClient,
-    read_tries: u32,
+    max_read_attempts: u32,
 }
 
 impl ConfigStore {
-    /// A store behind this client, for a node that polls: a read that fails is left to the next
-    /// poll.
+    /// Creates a store for a node that polls. A failed read is not retried before the next poll.
     pub fn new(client: PlatformClient) -> Self {
         Self {
             client,
-            read_tries: 1,
+            max_read_attempts: 1,
         }
     }
 
-    /// A store for an operator. A change takes several reads; with a store that fails now and
-    /// then it would hardly ever come through if one failure ended it.
+    /// Creates a store for an operator. A change takes several reads. If one failed read ended it,
+    /// a change would rarely succeed while the platform fails now and then.
     pub fn with_read_retries(client: PlatformClient) -> Self {
         Self {
             client,
-            read_tries: PATIENT_READ_TRIES,
+            max_read_attempts: OPERATOR_READ_ATTEMPTS,
         }
     }
 
-    /// Reads a row, again when the platform said that it did nothing.
+    /// Reads a row. Retries when the platform has answered that it did nothing.
     async fn get(&self, key: &str) -> Result<Option<Row>, PlatformError> {
-        let mut tries = 1;
+        let mut attempts = 1;
         loop {
             match self.client.get(key).await {
                 Err(PlatformError::Unavailable | PlatformError::RateLimited)
-                    if tries < self.read_tries =>
+                    if attempts < self.max_read_attempts =>
                 {
-                    tries += 1;
-                    sleep(READ_AGAIN).await;
+                    attempts += 1;
+                    sleep(READ_RETRY_PAUSE).await;
                 }
                 result => return result,
             }
         }
     }
 
-    /// What is in force according to the table.
+    /// The configuration in force according to the table.
     ///
     /// # Errors
     /// When the platform cannot be read.
     pub async fn in_force(&self) -> Result<Option<InForceRow>, ConfigError> {
-        let held: Held<InForceRow> = self.held(IN_FORCE_KEY).await?;
+        let held: VersionedRow<InForceRow> = self.read_row(IN_FORCE_KEY).await?;
         Ok(held.row)
     }
 
-    /// The last switches.
+    /// The log of the latest switches.
     ///
     /// # Errors
     /// When the platform cannot be read.
     pub async fn change_log(&self) -> Result<ChangeLog, ConfigError> {
-        let held: Held<ChangeLog> = self.held(CHANGE_LOG_KEY).await?;
+        let held: VersionedRow<ChangeLog> = self.read_row(CHANGE_LOG_KEY).await?;
         Ok(held.row.unwrap_or_default())
     }
 
@@ -121,11 +120,11 @@
         Ok(presets)
     }
 
-    /// The document in force if its version is higher than `above`: one read while nothing has
-    /// changed, two when something has.
+    /// The document in force if its version is higher than `above`. This takes one read if nothing
+    /// has changed, and two otherwise.
     ///
     /// # Errors
-    /// When the platform cannot be read, or holds what does not fit together.
+    /// When the platform cannot be read, or when its rows do not match.
     pub async fn newer_than(&self, above: u64) -> Result<Option<ConfigDocument>, ConfigError> {
         let Some(row) = self.in_force().await?.filter(|row| row.version > above) else {
             return Ok(None);
@@ -153,24 +152,24 @@
         }
     }
 
-    pub(super) async fn held<T: DeserializeOwned>(
+    pub(super) async fn read_row<T: DeserializeOwned>(
         &self,
         key: &str,
-    ) -> Result<Held<T>, ConfigError> {
+    ) -> Result<VersionedRow<T>, ConfigError> {
         let Some(Row { version, value }) = self.get(key).await? else {
-            return Ok(Held {
+            return Ok(VersionedRow {
                 row_version: None,
                 row: None,
             });
         };
-        Ok(Held {
+        Ok(VersionedRow {
             row_version: Some(version),
             row: Some(decode(key, &value)?),
         })
     }
 
-    /// Applies a transaction and finds out what became of it when the answer is lost. A plain
-    /// conflict becomes [`Resolution::NotApplied`], so that both ways of losing are told alike.
+    /// Applies a transaction, and finds out its outcome when the answer is lost. A conflict becomes
+    /// [`Resolution::NotApplied`], so that callers handle both kinds of rejection in one way.
     pub(super) async fn apply(
         &self,
         transaction: &Transaction,
--- a/src/configuration/config_switch.rs
+++ b/src/configuration/config_switch.rs
@@ -1,4 +1,4 @@
-//! Switching the preset in force by compare-and-set.
+//! Switches the preset in force by compare-and-set.
 
 use futures::try_join;
 
@@ -8,7 +8,7 @@
 use crate::configuration::InForceRow;
 use crate::configuration::LatestRow;
 use crate::configuration::PastChange;
-use crate::configuration::config_store::Held;
+use crate::configuration::config_store::VersionedRow;
 use crate::configuration::rows::CHANGE_LOG_KEY;
 use crate::configuration::rows::IN_FORCE_KEY;
 use crate::configuration::rows::decode;
@@ -21,24 +21,24 @@
 use crate::table_service::Resolution;
 use crate::table_service::Transaction;
 
-/// What a switch led to.
+/// The outcome of a switch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SwitchOutcome {
     /// The preset came into force under this version.
     InForce { version: u64, revision: u64 },
-    /// It was in force already, so nothing was changed.
+    /// The preset was in force already, so nothing was changed.
     AlreadyInForce { version: u64, revision: u64 },
-    /// It came into force under `version`, and another change has replaced it since.
+    /// The preset came into force under `version`, and another change has replaced it since.
     Replaced { version: u64, by_version: u64 },
 }
 
-/// Both rows that a switch changes, as they were read before.
-struct Before {
-    in_force: Held<InForceRow>,
-    log: Held<ChangeLog>,
+/// Both rows that a switch changes, as read before the change.
+struct RowsBefore {
+    in_force: VersionedRow<InForceRow>,
+    log: VersionedRow<ChangeLog>,
 }
 
-impl Before {
+impl RowsBefore {
     fn version(&self) -> u64 {
         self.in_force.row.as_ref().map_or(0, |row| row.version)
     }
@@ -47,7 +47,7 @@
         self.log.row.clone().unwrap_or_default()
     }
 
-    fn holds(&self, preset: &Name, revision: u64) -> bool {
+    fn is_in_force(&self, preset: &Name, revision: u64) -> bool {
         let is_same = |row: &InForceRow| row.preset == *preset && row.revision == revision;
         self.in_force.row.as_ref().is_some_and(is_same)
     }
@@ -56,13 +56,13 @@
 impl ConfigStore {
     /// Brings the latest revision of a preset into force by compare-and-set.
     ///
-    /// `expected` is the version that the operator believes to be in force, if it matters to him.
-    /// The new version is above `floor`: after the table was restored from an old copy, nodes
-    /// still hold higher versions, and a lower one would never be applied.
+    /// `expected` is the version that must be in force, or `None` for any. The new version is above
+    /// `floor`. After the table was restored from an old copy, nodes still hold higher versions and
+    /// would never apply a lower one.
     ///
     /// # Errors
-    /// `Conflict` names the change that won; `OutcomeUnknown` when the answer was lost and cannot
-    /// be found out now: the same call with the same change id finds out later.
+    /// `Conflict` names the change that won; `OutcomeUnknown` when the answer was lost and the
+    /// outcome cannot be determined now. The same call with the same change id determines it later.
     pub async fn switch(
         &self,
         preset: &Name,
@@ -72,23 +72,23 @@
     ) -> Result<SwitchOutcome, ConfigError> {
         let latest_key = latest_key(preset);
         let (in_force, log, latest) = try_join!(
-            self.held(IN_FORCE_KEY),
-            self.held(CHANGE_LOG_KEY),
-            self.held(&latest_key),
+            self.read_row(IN_FORCE_KEY),
+            self.read_row(CHANGE_LOG_KEY),
+            self.read_row(&latest_key),
         )?;
-        let before = Before { in_force, log };
+        let before = RowsBefore { in_force, log };
         let changes = before.changes();
         if let Some(done) = changes.find(&change.change_id) {
             return Ok(outcome(done, &changes));
         }
         let version = before.version();
         if expected.is_some_and(|expected| expected != version) {
-            // Read at the same time as the row in force, the log may lack the change that won.
+            // The log was read concurrently with the row in force and may lack the change that won.
             return Err(conflict(&self.change_log().await?));
         }
-        let latest = self.published(preset, latest).await?;
+        let latest = self.latest_or_unknown(preset, latest).await?;
         let revision = latest.revision;
-        if version > floor && before.holds(preset, revision) {
+        if version > floor && before.is_in_force(preset, revision) {
             return Ok(SwitchOutcome::AlreadyInForce { version, revision });
         }
         let next = PastChange {
@@ -101,13 +101,13 @@
         };
         let transaction = self.switch_transaction(&before, &latest, &next).await?;
         let resolution = self.apply(&transaction, CHANGE_LOG_KEY, change).await?;
-        self.resolved_switch(&next, version, resolution).await
+        self.switch_outcome(&next, version, resolution).await
     }
 
-    async fn published(
+    async fn latest_or_unknown(
         &self,
         preset: &Name,
-        latest: Held<LatestRow>,
+        latest: VersionedRow<LatestRow>,
     ) -> Result<LatestRow, ConfigError> {
         if let Some(latest) = latest.row {
             return Ok(latest);
@@ -120,11 +120,11 @@
         })
     }
 
-    /// The document must still be there when the switch takes effect, or nodes could never fetch
-    /// what is in force: so it is checked in the same transaction.
+    /// Builds the transaction of a switch. It checks that the document still exists. Otherwise a
+    /// document deleted in the meantime could come into force, and nodes could never fetch it.
     async fn switch_transaction(
         &self,
-        before: &Before,
+        before: &RowsBefore,
         latest: &LatestRow,
         next: &PastChange,
     ) -> Result<Transaction, ConfigError> {
@@ -150,7 +150,7 @@
         Ok(transaction)
     }
 
-    async fn resolved_switch(
+    async fn switch_outcome(
         &self,
         next: &PastChange,
         version_before: u64,
@@ -168,7 +168,8 @@
         };
         match log.find(&next.change_id) {
             Some(done) => Ok(outcome(done, &log)),
-            // Only a log that reaches back far enough proves that the change never took effect.
+            // A log without the change proves that it never took effect only if the log covers all
+            // changes since.
             None if log.covers_changes_after(version_before) => Err(conflict(&log)),
             None => Err(unknown()),
         }
--- a/src/configuration/config_task.rs
+++ b/src/configuration/config_task.rs
@@ -1,5 +1,5 @@
-//! Keeps the configuration in force up to date: asks peers at the start, polls the platform, and
-//! fetches from peers what gossip and answers tell of.
+//! Keeps the configuration in force up to date: queries peers at the start, polls the platform, and
+//! fetches newer versions from peers that have them in force.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,24 +20,25 @@
 use crate::configuration::Source;
 use crate::core::Clock;
 
-/// How often the schedule is looked at: whether this node polls may change at any moment.
-const LOOK_MS: u64 = 50;
-/// How long a peer may take to answer. The next one that has the updates is asked after that, so
-/// that one silent connection does not hold the change up.
-const ASK_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long a peer may take at the start: longer, since an answer that comes too late to count may
-/// be the one that holds the highest version.
-const FIRST_ASK_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// How many peers are asked at the start, in one round: enough that nodes of the own failure
-/// domain are among the seeds asked, whose domains are not known yet.
-const FIRST_PEERS: usize = 32;
-/// The pause after the first round of questions at the start; it doubles with each round.
-const ROUND_PAUSE_MS: u64 = 200;
-/// The longest pause. Before anything was ever in force, with the platform down, all nodes ask for
-/// as long as that lasts; asking on without growing pauses took 8 KB/s of each node.
-const LONGEST_ROUND_PAUSE_MS: u64 = 12_800;
+/// How often the schedule is checked: whether this node is a poller may change at any time.
+const SCHEDULE_CHECK_MS: u64 = 50;
+/// The timeout of a query. After it the next peer with the newer version is queried, so that one
+/// peer that does not answer does not delay the change.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(400);
+/// The timeout of a query at the start. It is longer, because an answer that comes too late is
+/// ignored and may be the one with the highest version.
+const INITIAL_QUERY_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// The largest number of peers queried in one round at the start. The failure domains of the seeds
+/// are not known yet; with so many, nodes of the own failure domain are among them.
+const MAX_INITIAL_PEERS: usize = 32;
+/// The pause after the first round of queries at the start. It doubles with each round.
+const INITIAL_ROUND_PAUSE_MS: u64 = 200;
+/// The longest pause between rounds. If the platform is down and no configuration has ever been in
+/// force, all nodes query their peers until that changes. Without growing pauses this took 8 KB/s
+/// of each node.
+const MAX_ROUND_PAUSE_MS: u64 = 12_800;
 
-/// Runs on the control thread.
+/// The configuration task. It runs on the control thread.
 pub struct ConfigTask {
     pub shared: Arc<ConfigShared>,
     pub updates: Receiver<NewerConfig>,
@@ -58,47 +59,52 @@
         } = self;
         let start = query_initial_peers(&shared, &ports);
         let polls = poll(&shared, &ports, clock, PollSchedule::new(poll_ms));
-        let fetches = fetch_news(&shared, &ports, updates);
+        let fetches = fetch_updates(&shared, &ports, updates);
         tokio::join!(start, polls, fetches);
     }
 }
 
-/// Asks until something is in force; the platform's answer ends it as well. It does not end at
-/// the first answer: see [`crate::configuration::ConfigState`].
+/// Queries peers until a configuration is in force, from a peer or from the platform. The first
+/// answer is not applied at once: see [`crate::configuration::ConfigState`].
 async fn query_initial_peers(shared: &ConfigShared, ports: &ConfigPorts) {
-    let mut pause_ms = ROUND_PAUSE_MS;
+    let mut pause_ms = INITIAL_ROUND_PAUSE_MS;
     while shared.version() == 0 {
         let mut peers = (ports.initial_peers)();
-        peers.truncate(FIRST_PEERS);
-        let asked = peers
+        peers.truncate(MAX_INITIAL_PEERS);
+        let queries = peers
             .into_iter()
-            .map(|peer| ask(shared, ports, peer, FIRST_ASK_TIMEOUT));
-        join_all(asked).await;
+            .map(|peer| query(shared, ports, peer, INITIAL_QUERY_TIMEOUT));
+        join_all(queries).await;
         if let Some(version) = shared.finish_initial_queries() {
             (ports.announce)(version);
         }
         sleep(Duration::from_millis(pause_ms)).await;
-        pause_ms = (pause_ms * 2).min(LONGEST_ROUND_PAUSE_MS);
+        pause_ms = (pause_ms * 2).min(MAX_ROUND_PAUSE_MS);
     }
 }
 
-async fn poll(shared: &ConfigShared, ports: &ConfigPorts, clock: Clock, mut plan: PollSchedule) {
-    let mut due = plan.due(true, 0);
+async fn poll(
+    shared: &ConfigShared,
+    ports: &ConfigPorts,
+    clock: Clock,
+    mut schedule: PollSchedule,
+) {
+    let mut due = schedule.due(true, 0);
     let mut was_poller = (ports.is_poller)();
     loop {
         let is_poller = (ports.is_poller)();
         if is_poller != was_poller {
             was_poller = is_poller;
-            due = plan.due(is_poller, fastrand::u64(0..=1_000));
+            due = schedule.due(is_poller, fastrand::u64(0..=1_000));
         }
         if clock.now() < due {
-            sleep(Duration::from_millis(LOOK_MS)).await;
+            sleep(Duration::from_millis(SCHEDULE_CHECK_MS)).await;
             continue;
         }
         let outcome = poll_once(shared, ports).await;
         shared.metrics.count_poll(outcome);
-        plan.record(outcome, clock.now());
-        due = plan.due(is_poller, fastrand::u64(0..=1_000));
+        schedule.record(outcome, clock.now());
+        due = schedule.due(is_poller, fastrand::u64(0..=1_000));
     }
 }
 
@@ -118,23 +124,24 @@
     }
 }
 
-/// News are taken one after the other: the first answer makes the rest of them old, and a peer
-/// that does not answer is followed by the next one that told.
-async fn fetch_news(
+/// Fetches newer versions from peers, one peer at a time. After the first answer the remaining
+/// updates are outdated and skipped. If a peer does not answer, the peer of the next update is
+/// queried.
+async fn fetch_updates(
     shared: &ConfigShared,
     ports: &ConfigPorts,
     mut updates: Receiver<NewerConfig>,
 ) {
     while let Some(NewerConfig { from, version }) = updates.recv().await {
         if version > shared.highest() {
-            ask(shared, ports, from, ASK_TIMEOUT).await;
+            query(shared, ports, from, QUERY_TIMEOUT).await;
         }
     }
 }
 
-async fn ask(shared: &ConfigShared, ports: &ConfigPorts, peer: SocketAddr, wait: Duration) {
+async fn query(shared: &ConfigShared, ports: &ConfigPorts, peer: SocketAddr, time_limit: Duration) {
     let answer = (ports.query_peer)(peer, shared.highest());
-    let answer = timeout(wait, answer).await;
+    let answer = timeout(time_limit, answer).await;
     let answer = answer.unwrap_or(PeerAnswer::NoAnswer);
     shared.metrics.count_peer_query(&answer);
     match answer {
@@ -144,6 +151,6 @@
             }
         }
         PeerAnswer::NothingNewer => {}
-        PeerAnswer::NoAnswer => debug!("config: no answer peer={peer}"),
+        PeerAnswer::NoAnswer => debug!("config: peer did not answer peer={peer}"),
     }
 }
--- a/src/configuration/confirmation.rs
+++ b/src/configuration/confirmation.rs
@@ -1,4 +1,4 @@
-//! Where a version is in force.
+//! In which failure domains a version is in force.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 
 use crate::core::Name;
 
-/// What one node says, or that it did not answer.
+/// The version that one node reports, or that it did not answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct NodeVersion {
@@ -17,7 +17,7 @@
     pub version: Option<u64>,
 }
 
-/// How far a version has come in one failure domain.
+/// How far a version has been rolled out in one failure domain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct DomainConfirmation {
@@ -26,18 +26,18 @@
     /// Nodes that have the version, or a higher one, in force.
     pub in_force: usize,
     pub behind: Vec<Name>,
-    /// They may have it in force; nobody can tell from here.
+    /// Nodes that did not answer. Whether they have the version in force is unknown.
     pub silent: Vec<Name>,
 }
 
 impl DomainConfirmation {
-    /// Whether every node of the domain said that it has the version in force.
+    /// Whether every node of the domain has reported the version in force.
     pub fn is_confirmed(&self) -> bool {
         self.behind.is_empty() && self.silent.is_empty()
     }
 }
 
-/// Sorts what the nodes say by failure domain. Silence is never taken for consent.
+/// Groups the reports by failure domain. A node that did not answer never counts as confirmed.
 pub fn confirmations(version: u64, nodes: &[NodeVersion]) -> Vec<DomainConfirmation> {
     let mut domains: BTreeMap<Name, DomainConfirmation> = BTreeMap::new();
     for node in nodes {
--- a/src/configuration/mod.rs
+++ b/src/configuration/mod.rs
@@ -1,5 +1,6 @@
-//! The configuration in force: published and switched by operators through the platform's table,
-//! fanned out between nodes, and never lowered ([docs/CONFIGURATION.md](../../docs/CONFIGURATION.md)).
+//! The configuration in force: operators publish and switch it through the platform's table, nodes
+//! pass it on to each other, and its version never falls
+//! ([docs/CONFIGURATION.md](../../docs/CONFIGURATION.md)).
 
 mod change;
 mod config_metrics;
--- a/src/configuration/pollers.rs
+++ b/src/configuration/pollers.rs
@@ -3,13 +3,13 @@
 use crate::core::TargetState;
 use crate::core::View;
 
-/// Pollers of one failure domain: a second one, so that the news does not wait until the death of
-/// the first is noticed.
+/// The number of pollers in each failure domain. With a second one, a change does not wait until
+/// the failure of the first is detected.
 const POLLERS_PER_DOMAIN: usize = 2;
 
-/// Whether this node polls: it is among the lowest names of its failure domain. Every node of a
-/// domain works this out from its own view, without a message; while views differ, a few more or
-/// fewer poll, which costs a few reads or a few gossip periods.
+/// Whether this node is a poller. The pollers are the live nodes with the lowest names in each
+/// failure domain. Each node decides this from its own view, without messages. While views differ,
+/// too many or too few nodes poll, which costs a few reads or a delay of a few gossip periods.
 pub fn is_poller(view: &View, node: &str, domain: &str) -> bool {
     let alive = |state: TargetState| {
         matches!(
--- a/src/configuration/rows.rs
+++ b/src/configuration/rows.rs
@@ -7,31 +7,31 @@
 use crate::core::Name;
 use crate::errors::ConfigError;
 
-/// The row that says what is in force. It is polled, so it is kept small: the log of changes and
-/// the document are rows of their own.
+/// The row that names the preset in force. It is polled, so it is kept small: the change log and
+/// the document are in separate rows.
 pub const IN_FORCE_KEY: &str = "in_force";
-/// The row with the last changes; written together with [`IN_FORCE_KEY`].
+/// The row with the latest changes, written together with [`IN_FORCE_KEY`].
 pub const CHANGE_LOG_KEY: &str = "in_force_log";
-/// Prefix of the rows that name the latest revision of each preset.
+/// The key prefix of the rows that name the latest revision of each preset.
 pub const LATEST_PREFIX: &str = "preset_latest/";
-/// How many changes the log keeps. A change whose answer was lost is looked up in it, so it must
-/// outlast the changes that other operators can make in the meantime.
-const LOGGED_CHANGES: usize = 32;
+/// The largest number of changes in the log. A change whose answer was lost is looked up in the
+/// log, so the log must have room for the changes that other operators make in the meantime.
+const MAX_LOGGED_CHANGES: usize = 32;
 
-/// What is in force.
+/// The configuration in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct InForceRow {
-    /// Rises with every switch.
+    /// Increases with every switch.
     pub version: u64,
     pub preset: Name,
     pub revision: u64,
-    /// Of the document, see [`document_hash`](crate::configuration::document_hash).
+    /// The hash of the document, see [`document_hash`](crate::configuration::document_hash).
     pub hash: String,
     pub change_id: Name,
 }
 
-/// One switch, as the log keeps it.
+/// One switch in the change log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct PastChange {
@@ -44,7 +44,7 @@
     pub at_unix_s: u64,
 }
 
-/// The last switches, newest last.
+/// The latest switches, newest last.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ChangeLog {
@@ -52,14 +52,14 @@
 }
 
 impl ChangeLog {
-    /// Adds a switch and drops the oldest beyond the bound.
+    /// Appends a switch and drops the oldest ones beyond the limit.
     pub fn push(&mut self, change: PastChange) {
         self.changes.push(change);
-        let surplus = self.changes.len().saturating_sub(LOGGED_CHANGES);
+        let surplus = self.changes.len().saturating_sub(MAX_LOGGED_CHANGES);
         self.changes.drain(..surplus);
     }
 
-    /// The version of the last switch, 0 when there was none.
+    /// The version of the last switch, or 0 if there was none.
     pub fn version(&self) -> u64 {
         self.changes.last().map_or(0, |last| last.version)
     }
@@ -71,9 +71,9 @@
             .find(|change| &*change.change_id == change_id)
     }
 
-    /// Whether a switch that followed version `version` would still be listed.
+    /// Whether every switch after `version` is still in the log.
     pub fn covers_changes_after(&self, version: u64) -> bool {
-        let is_complete = self.changes.len() < LOGGED_CHANGES;
+        let is_complete = self.changes.len() < MAX_LOGGED_CHANGES;
         let oldest = self.changes.first();
         is_complete || oldest.is_none_or(|oldest| oldest.version <= version + 1)
     }
@@ -101,7 +101,7 @@
     Name::from(format!("{LATEST_PREFIX}{preset}"))
 }
 
-/// Reads a row's value.
+/// Decodes a row's value.
 pub fn decode<T: DeserializeOwned>(key: &str, value: &str) -> Result<T, ConfigError> {
     serde_json::from_str(value).map_err(|source| ConfigError::MalformedRow {
         key: Name::from(key),
@@ -109,7 +109,7 @@
     })
 }
 
-/// Writes a row's value.
+/// Encodes a row's value.
 pub fn encode<T: Serialize>(row: &T) -> String {
     serde_json::to_string(row).expect("plain structs always encode")
 }
--- a/src/control/control_handle.rs
+++ b/src/control/control_handle.rs
@@ -57,8 +57,8 @@
         self.command(Command::SetConfigVersion(version));
     }
 
-    /// Announces to all members that the store holds no newer configuration than this version, if it is
-    /// the one in force here.
+    /// Announces to all members that the store holds no newer configuration than this version, if
+    /// it is the one in force here.
     pub fn confirm_config_version(&self, version: u64) {
         self.command(Command::ConfirmConfigVersion(version));
     }
--- a/src/control/control_handlers.rs
+++ b/src/control/control_handlers.rs
@@ -59,8 +59,8 @@
     pub newer_config: Arc<dyn Fn(SocketAddr, u64, bool) + Send + Sync>,
     /// A peer knows a newer era of the store than this node did.
     pub store_era: Arc<dyn Fn(u64) + Send + Sync>,
-    /// A peer has a newer slot map, which can be fetched there or from the table. Called again until
-    /// [`super::ControlHandle::set_slot_map_version`] catches up.
+    /// A peer has a newer slot map, which can be fetched there or from the table. Called again
+    /// until [`super::ControlHandle::set_slot_map_version`] catches up.
     pub newer_slot_map: Arc<dyn Fn(NewerSlotMap) + Send + Sync>,
     /// A member announces who uses a route.
     pub route_use: RouteUseHandler,
--- a/src/control/control_loop.rs
+++ b/src/control/control_loop.rs
@@ -34,9 +34,9 @@
 const GAUGE_PERIOD: Duration = Duration::from_millis(500);
 /// The largest number of datagrams handled before commands and ticks are served.
 const MAX_DATAGRAM_BATCH: usize = 64;
-/// How many of the added seeds are asked for all members at once. One answer is enough, but some seeds
-/// may be gone. When eight seeds were asked three times each, full member tables made up most of the
-/// traffic between failure domains.
+/// How many of the added seeds are asked for all members at once. One answer is enough, but some
+/// seeds may be gone. When eight seeds were asked three times each, full member tables made up most
+/// of the traffic between failure domains.
 const MAX_JOIN_SEEDS: usize = 3;
 /// The size of the receive buffer: no UDP datagram is larger.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
--- a/src/control/control_settings.rs
+++ b/src/control/control_settings.rs
@@ -44,8 +44,8 @@
         }
     }
 
-    /// The first member record of this node, whose control listener is bound to `bound`. Its backend
-    /// server has not announced itself yet.
+    /// The first member record of this node, whose control listener is bound to `bound`. Its
+    /// backend server has not announced itself yet.
     pub fn initial_target(&self, bound: SocketAddr) -> Target {
         let mut control_address = self.advertised_address;
         if control_address.port() == 0 {
--- a/src/control/peer_clients.rs
+++ b/src/control/peer_clients.rs
@@ -55,8 +55,8 @@
 
 /// Clients of peers by control address, usable from every thread.
 ///
-/// A connection may stop answering for good while new connections to the same peer work. A call over
-/// a cached connection therefore gets half of its timeout. Without an answer the connection is
+/// A connection may stop answering for good while new connections to the same peer work. A call
+/// over a cached connection therefore gets half of its timeout. Without an answer the connection is
 /// dropped, and the call is sent again over a new one for the rest of the time. All control calls
 /// are idempotent.
 pub struct PeerClients {
--- a/src/control/peer_transport.rs
+++ b/src/control/peer_transport.rs
@@ -11,16 +11,16 @@
 use super::ControlMetrics;
 use super::CountedStream;
 
-/// The largest message. A kept answer or a ledger fits with room to spare. A larger message ends the
-/// connection, so that a faulty peer cannot make this node allocate memory without bound.
+/// The largest message. A kept answer or a ledger fits with room to spare. A larger message ends
+/// the connection, so that a faulty peer cannot make this node allocate memory without bound.
 const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
 
 /// A framed and counted connection.
 pub type PeerTransport<Item, SinkItem> =
     Transport<CountedStream, Item, SinkItem, Bincode<Item, SinkItem>>;
 
-/// Frames a connection, with Nagle's algorithm off: a small message must not wait until the previous
-/// one is acknowledged.
+/// Frames a connection, with Nagle's algorithm off: a small message must not wait until the
+/// previous one is acknowledged.
 pub fn peer_transport<Item, SinkItem>(
     stream: TcpStream,
     metrics: &ControlMetrics,
--- a/src/control/start.rs
+++ b/src/control/start.rs
@@ -24,8 +24,8 @@
 use crate::errors::ControlError;
 use crate::membership::Membership;
 
-/// Binds the control address and starts the control thread. Gossip, control calls in both directions
-/// and the tasks spawned by other parts of the node run on this thread.
+/// Binds the control address and starts the control thread. Gossip, control calls in both
+/// directions and the tasks spawned by other parts of the node run on this thread.
 ///
 /// # Errors
 /// When the address cannot be bound or the thread cannot be started.
