--- a/src/configuration/config_shared.rs
+++ b/src/configuration/config_shared.rs
@@ -135,7 +135,7 @@
 fn log_ignored(version: u64, reason: &IgnoreReason) {
     match reason {
         IgnoreReason::OtherContent => {
-            error!("config: another document has the same version={version}")
+            error!("config: different document with the version in force version={version}")
         }
         IgnoreReason::Unreadable(error) => {
             error!("config: unreadable version={version} error={error}")
--- a/tests/configuration_pollers.rs
+++ b/tests/configuration_pollers.rs
@@ -1,4 +1,4 @@
-//! Who polls the platform, how often, and where a version is confirmed.
+//! Which nodes poll the platform, how often, and where a version is confirmed.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -35,10 +35,10 @@
     view
 }
 
-// What a user would see: switches reach one failure domain late for good.
-// Both of its pollers died; the others go on waiting for them. Cause: the dead are counted.
+// Guards against a failure domain that gets every switch late: both of its pollers have failed, and
+// no other node takes their place because dead nodes are counted.
 #[test]
-fn the_two_lowest_nodes_alive_of_each_domain_poll() {
+fn the_two_live_nodes_with_the_lowest_names_of_each_domain_poll() {
     use TargetState::Dead;
     use TargetState::Draining;
     use TargetState::Left;
@@ -70,8 +70,8 @@
 fn waits_between_polls(
     #[case] is_poller: bool,
     #[case] failures: u32,
-    #[case] least_ms: u64,
-    #[case] most_ms: u64,
+    #[case] min_ms: u64,
+    #[case] max_ms: u64,
 ) {
     let mut schedule = PollSchedule::new(500);
     assert_eq!(
@@ -83,24 +83,24 @@
     for _ in 0..failures {
         schedule.record(PollOutcome::Failed, TimeMs(10_000));
     }
-    assert_eq!(schedule.due(is_poller, 0), TimeMs(10_000 + least_ms));
-    assert_eq!(schedule.due(is_poller, 1_000), TimeMs(10_000 + most_ms));
+    assert_eq!(schedule.due(is_poller, 0), TimeMs(10_000 + min_ms));
+    assert_eq!(schedule.due(is_poller, 1_000), TimeMs(10_000 + max_ms));
 }
 
 #[test]
-fn silence_is_no_confirmation() {
+fn a_node_that_does_not_answer_is_not_confirmed() {
     let node = |node: &str, domain: &str, version| NodeVersion {
         node: Name::from(node),
         domain: Name::from(domain),
         version,
     };
-    let told = [
+    let reports = [
         node("n1", "a", Some(5)),
         node("n2", "a", Some(6)),
         node("n3", "b", Some(4)),
         node("n4", "c", None),
     ];
-    let domains = confirmations(5, &told);
+    let domains = confirmations(5, &reports);
     let confirmed: Vec<bool> = domains.iter().map(|domain| domain.is_confirmed()).collect();
     assert_eq!(confirmed, [true, false, false]);
     assert_eq!(domains[0].in_force, 2);
--- a/tests/configuration_state.rs
+++ b/tests/configuration_state.rs
@@ -1,4 +1,4 @@
-//! Versions only rise, whatever is heard from whom.
+//! Versions only increase, whichever documents are offered from whichever source.
 
 mod support;
 
@@ -19,11 +19,10 @@
     state
 }
 
-// What a user would see: the preset of last week is back for some seconds after a node restarts.
-// The platform is down. The node asks its peers; one of them was cut off for a while and answers
-// first, with an old version. Cause: the first answer was applied as soon as it came.
+// Guards against an old preset in force for seconds after a restart with the platform down: a peer
+// that was cut off answers first, with an old version, and the node applies the first answer.
 #[test]
-fn a_restarted_node_waits_for_all_peers_asked_before_it_applies_one() {
+fn a_restarted_node_waits_for_all_queried_peers_before_it_applies_an_answer() {
     let mut state = ConfigState::new();
     let stale = state.offer(document(4), Source::Peer);
     assert_eq!(stale, OfferOutcome::Ignore(IgnoreReason::StillAsking));
@@ -56,11 +55,11 @@
     assert_eq!(state.version(), 7);
 }
 
-// What a user would see: a node that runs an older program refuses every call after a switch.
-// The new preset has a field that the old program does not know. Cause: it must not guess what an
-// unreadable preset means, but the one in force is still the best that it knows.
+// Guards against a node with an older program that refuses every call after a switch to a preset
+// with a field unknown to it. It must not guess what the new preset means, so it keeps the one in
+// force.
 #[test]
-fn an_unreadable_document_leaves_what_is_in_force() {
+fn an_unreadable_document_leaves_the_version_in_force() {
     let mut state = in_force(7);
     let unreadable = ConfigDocument {
         document: "preset: ordinary\nnew_field: 1\n".into(),
@@ -90,8 +89,8 @@
     Restart {
         node: usize,
     },
-    /// One round of questions to everybody who can be reached; `first` rotates the answers.
-    AskPeers {
+    /// One round of queries to all reachable peers; `first` rotates the order of the answers.
+    QueryPeers {
         node: usize,
         first: usize,
     },
@@ -110,7 +109,7 @@
         3 => node.clone().prop_map(|node| Step::Poll { node }),
         6 => (node.clone(), node.clone()).prop_map(|(by, from)| Step::Pull { by, from }),
         2 => node.clone().prop_map(|node| Step::Restart { node }),
-        3 => (node.clone(), node).prop_map(|(node, first)| Step::AskPeers { node, first }),
+        3 => (node.clone(), node).prop_map(|(node, first)| Step::QueryPeers { node, first }),
         1 => any::<bool>().prop_map(|up| Step::SetPlatform { up }),
         1 => any::<bool>().prop_map(|cut| Step::SetCut { cut }),
     ]
@@ -120,7 +119,7 @@
 /// the platform when it is cut off from domain 1.
 struct Model {
     nodes: Vec<ConfigState>,
-    /// What each node had in force last, over restarts.
+    /// The version that each node had in force before its last restart.
     before_restart: Vec<u64>,
     platform_version: u64,
     platform_up: bool,
@@ -158,7 +157,7 @@
         }
     }
 
-    fn ask_peers(&mut self, node: usize, first: usize) {
+    fn query_peers(&mut self, node: usize, first: usize) {
         if self.nodes[node].version() > 0 {
             return;
         }
@@ -176,7 +175,7 @@
         self.nodes[node].finish_initial_queries();
         let version = self.nodes[node].version();
         assert_eq!(version, highest.unwrap_or(0), "the highest answer counts");
-        // A node whose version somebody within reach still holds does not come back lower.
+        // A restarted node gets no lower version while a reachable peer still holds its old one.
         let known = highest.unwrap_or(0).min(self.before_restart[node]);
         assert!(version >= known);
     }
@@ -204,29 +203,29 @@
                 self.before_restart[node] = self.nodes[node].version();
                 self.nodes[node] = ConfigState::new();
             }
-            Step::AskPeers { node, first } => self.ask_peers(node, first),
+            Step::QueryPeers { node, first } => self.query_peers(node, first),
             Step::SetPlatform { up } => self.platform_up = up,
             Step::SetCut { cut } => self.cut = cut,
         }
     }
 
-    /// Everything heals and everybody hears of everybody: all have the last version.
+    /// Ends all faults and lets every node poll or query: all nodes reach the latest version.
     fn settle(&mut self) {
         self.cut = false;
         self.platform_up = true;
         self.run(&Step::Poll { node: 0 });
         for by in 1..NODES {
             self.run(&Step::Pull { by, from: 0 });
-            self.run(&Step::AskPeers { node: by, first: 0 });
+            self.run(&Step::QueryPeers { node: by, first: 0 });
         }
         let versions: Vec<u64> = self.nodes.iter().map(ConfigState::version).collect();
         assert_eq!(versions, vec![self.platform_version; NODES]);
     }
 }
 
-// What a user would see: a preset that was replaced an hour ago is in force again somewhere.
-// Nodes restart while the platform is down, domains are cut off and healed, peers are behind; in
-// any order. Cause: any path on which a lower version is applied after a higher one.
+// Guards against a replaced preset that comes into force again, on any path on which a lower
+// version is applied after a higher one: restarts with the platform down, partitions that heal, and
+// peers that are behind, in any order.
 proptest! {
     #![proptest_config(ProptestConfig {
         cases: 400,
--- a/tests/configuration_store.rs
+++ b/tests/configuration_store.rs
@@ -1,4 +1,4 @@
-//! Publishing and switching through the platform's table, with its faults.
+//! Publishing and switching through the platform's table, with faults of the platform.
 
 mod support;
 
@@ -33,7 +33,7 @@
 }
 
 #[tokio::test]
-async fn a_switch_raises_the_version_and_hands_out_the_document() {
+async fn a_switch_raises_the_version_and_returns_the_document() {
     let platform = TestPlatform::start().await;
     let store = store_with(&platform, &["ordinary", "peak"]).await;
     assert_eq!(store.newer_than(0).await.unwrap(), None);
@@ -92,11 +92,10 @@
     assert_eq!(store.presets().await.unwrap()[0].latest.revision, 2);
 }
 
-// What a user would see: a node that starts cannot fetch the preset in force any more.
-// The preset in force is published again and again without a switch; old revisions are deleted.
-// Cause: the revision in force is among the old ones.
+// Guards against a preset in force that starting nodes cannot fetch. It is published many times
+// without a switch, and the revision in force is deleted with the old ones.
 #[tokio::test]
-async fn the_revision_in_force_outlives_many_publications() {
+async fn the_revision_in_force_is_kept_over_many_publications() {
     let platform = TestPlatform::start().await;
     let store = store_with(&platform, &["peak"]).await;
     switch(&store, "peak", "c1").await.unwrap();
@@ -114,7 +113,7 @@
     assert_eq!(kept.len(), 21);
 }
 
-/// The row is polled twice a second by each poller, within 3 KB/s for all control.
+/// Each poller reads the row twice a second, within 3 KB/s for all control traffic.
 #[tokio::test]
 async fn the_polled_row_stays_small() {
     let platform = TestPlatform::start().await;
@@ -129,14 +128,14 @@
     assert!(row.value.len() <= 160, "{} bytes", row.value.len());
 }
 
-// What a user would see: two operators both read "done", and one of the changes is gone.
-// Both switch at the same moment. Cause: the second write does not look at the first.
+// Guards against a lost update: two operators switch concurrently, both are told that it succeeded,
+// and the second write overwrites the first.
 #[tokio::test]
-async fn of_two_operators_one_wins_and_the_other_learns_who() {
+async fn of_two_concurrent_switches_one_wins_and_the_other_gets_the_winner() {
     let platform = TestPlatform::start().await;
     let store = store_with(&platform, &["ordinary", "peak", "night"]).await;
     switch(&store, "ordinary", "setup").await.unwrap();
-    // Slow answers let both read before either writes.
+    // With slow answers both read before either writes.
     platform.add_fault(json!({"slow_delay_ms": 20})).await;
     let mut conflicts = 0;
     for round in 0..10 {
@@ -146,7 +145,7 @@
         let (won, lost, winner) = match (peak, night) {
             (Ok(won), Err(lost)) => (won, lost, ana),
             (Err(lost), Ok(won)) => (won, lost, rui),
-            // One came wholly after the other: both took effect, in order.
+            // One ran entirely after the other, so both took effect.
             (Ok(_), Ok(_)) => continue,
             both => panic!("both lost: {both:?}"),
         };
@@ -203,9 +202,9 @@
     assert!(text.contains("published are: ordinary, peak"), "{text}");
 }
 
-// What a user would see: a switch that took effect is reported as failed, and is repeated.
-// The platform writes the change, and the answer is lost; the connection breaks or goes silent.
-// Cause: silence is taken for failure instead of reading back the change id.
+// Guards against a switch that took effect but is reported as failed and repeated. The platform
+// writes the change and its answer is lost, because the connection breaks or stops answering. The
+// lost answer is taken for a failure, and the change id is not read back.
 #[rstest]
 #[case::broken("broken")]
 #[case::silent("silent")]
@@ -239,12 +238,12 @@
     assert_eq!(store.change_log().await.unwrap().changes.len(), 2);
 }
 
-// What a user would see: an operator whose connection broke is told that he lost, or switches a
-// second time, although his switch came into force and was then replaced by a colleague.
-// Order: the switch is written, its answer lost, the platform unreachable, a colleague switches;
-// then the operator asks again under the same change id. Cause: only the row in force is looked at.
+// Guards against a conflict or a second switch reported for a switch that came into force and was
+// then replaced. The switch is written, its answer is lost, the platform cannot be reached, and
+// another operator switches; then the first one repeats the call with the same change id. This
+// fails if only the row in force is read.
 #[tokio::test]
-async fn asking_again_under_the_same_change_id_finds_out_what_became_of_it() {
+async fn a_repeat_with_the_same_change_id_returns_the_outcome() {
     let platform = TestPlatform::start().await;
     let store = store_with(&platform, &["ordinary", "peak"]).await;
     switch(&store, "ordinary", "c1").await.unwrap();
@@ -260,9 +259,9 @@
     switch(&store, "peak", "c2").await.unwrap();
     platform.clear_faults().await;
     switch(&store, "ordinary", "c3").await.unwrap();
-    let asked = switch(&store, "peak", "c2").await.unwrap();
+    let repeated = switch(&store, "peak", "c2").await.unwrap();
     assert_eq!(
-        asked,
+        repeated,
         SwitchOutcome::Replaced {
             version: 2,
             by_version: 3
@@ -272,15 +271,15 @@
 }
 
 #[tokio::test]
-async fn a_floor_lifts_versions_over_those_that_nodes_hold() {
+async fn a_floor_raises_the_version_above_those_that_nodes_hold() {
     let platform = TestPlatform::start().await;
     let store = store_with(&platform, &["ordinary"]).await;
     switch(&store, "ordinary", "c1").await.unwrap();
-    let lifted = store
+    let raised = store
         .switch(&Name::from("ordinary"), None, 40, &change("c2", "eva"))
         .await;
     assert_eq!(
-        lifted.unwrap(),
+        raised.unwrap(),
         SwitchOutcome::InForce {
             version: 41,
             revision: 1
@@ -306,11 +305,10 @@
     assert_eq!(store.in_force().await.unwrap().unwrap().version, 1);
 }
 
-// What a user would see: nodes classify calls by a text that nobody published.
-// Something wrote over the row of a document. Cause: what is fetched is not compared with what
-// the row in force says.
+// Guards against nodes that classify calls by a document that was never published: its row was
+// overwritten, and the fetched document is not compared with the hash in the row in force.
 #[tokio::test]
-async fn a_document_that_was_written_over_is_not_handed_out() {
+async fn an_overwritten_document_is_not_returned() {
     let platform = TestPlatform::start().await;
     let store = store_with(&platform, &["peak"]).await;
     switch(&store, "peak", "c1").await.unwrap();
@@ -326,11 +324,11 @@
     );
 }
 
-// What a user would see: a switch is reported as lost to another operator, yet it had been in
-// force for a while. Many switches followed before its lost answer could be looked into, and the
-// log no longer lists it. Cause: absence from a log that has been cut is taken for a proof.
+// Guards against a conflict reported for a switch that had been in force. So many switches followed
+// before its lost answer was resolved that the log no longer lists it, and absence from a truncated
+// log is taken as proof that it never took effect.
 #[test]
-fn a_log_that_has_been_cut_proves_nothing_about_older_changes() {
+fn a_truncated_log_proves_nothing_about_older_changes() {
     let mut log = ChangeLog::default();
     assert!(log.covers_changes_after(0));
     for version in 1..=40 {
@@ -349,10 +347,10 @@
     assert!(log.covers_changes_after(8));
 }
 
-// What a user would see: a switch never comes through while the platform fails every third
-// request, although most of its reads succeed. Cause: one failed read of several ends it.
+// Guards against a switch that never succeeds while the platform fails every third read, because
+// one failed read of several ends it.
 #[tokio::test]
-async fn an_operator_gets_through_to_a_platform_that_fails_now_and_then() {
+async fn an_operator_can_switch_on_a_platform_that_fails_now_and_then() {
     let platform = TestPlatform::start().await;
     store_with(&platform, &["ordinary", "peak"]).await;
     let store = ConfigStore::with_read_retries(platform.client("a"));
--- a/tests/configuration_task.rs
+++ b/tests/configuration_task.rs
@@ -33,20 +33,20 @@
     Silent,
 }
 
-/// What the fakes answer and what they were asked; changed while the task runs.
+/// What the fakes answer, and the calls that they received. Tests change it while the task runs.
 #[derive(Default)]
-struct World {
+struct FakeState {
     peers: FastMap<SocketAddr, Peer>,
     /// `None` is a platform that is down.
     platform: Option<u64>,
     polls: u32,
-    asks: u32,
+    queries: u32,
     announced: Vec<u64>,
     is_poller: bool,
 }
 
 struct Running {
-    world: Arc<Mutex<World>>,
+    state: Arc<Mutex<FakeState>>,
     shared: Arc<ConfigShared>,
     in_force: Arc<Published<Option<InForce>>>,
     task: JoinHandle<()>,
@@ -76,28 +76,28 @@
     }
 }
 
-fn ports(world: &Arc<Mutex<World>>) -> ConfigPorts {
-    let (polled, asked, poller, first, told) = (
-        world.clone(),
-        world.clone(),
-        world.clone(),
-        world.clone(),
-        world.clone(),
+fn ports(state: &Arc<Mutex<FakeState>>) -> ConfigPorts {
+    let (polled, asked, poller, first, announcer) = (
+        state.clone(),
+        state.clone(),
+        state.clone(),
+        state.clone(),
+        state.clone(),
     );
     ConfigPorts {
         poll: Arc::new(move |above| {
-            let mut world = polled.lock().unwrap();
-            world.polls += 1;
-            let answer = match world.platform {
+            let mut state = polled.lock().unwrap();
+            state.polls += 1;
+            let answer = match state.platform {
                 Some(version) => Ok((version > above).then(|| document(version))),
                 None => Err(ConfigError::Platform(PlatformError::Unavailable)),
             };
             ready(answer).boxed()
         }),
         query_peer: Arc::new(move |peer, above| {
-            let mut world = asked.lock().unwrap();
-            world.asks += 1;
-            answer(world.peers.get(&peer).copied(), above).boxed()
+            let mut state = asked.lock().unwrap();
+            state.queries += 1;
+            answer(state.peers.get(&peer).copied(), above).boxed()
         }),
         is_poller: Arc::new(move || poller.lock().unwrap().is_poller),
         initial_peers: Arc::new(move || {
@@ -105,24 +105,24 @@
             peers.sort_unstable();
             peers
         }),
-        announce: Arc::new(move |version| told.lock().unwrap().announced.push(version)),
+        announce: Arc::new(move |version| announcer.lock().unwrap().announced.push(version)),
     }
 }
 
-fn start(world: World) -> Running {
-    let world = Arc::new(Mutex::new(world));
+fn start(state: FakeState) -> Running {
+    let state = Arc::new(Mutex::new(state));
     let in_force = Arc::new(Published::from_pointee(None));
     let metrics = ConfigMetrics::new(&Registry::new()).unwrap();
     let (shared, updates) = ConfigShared::new(in_force.clone(), metrics);
     let task = ConfigTask {
         shared: shared.clone(),
         updates,
-        ports: ports(&world),
+        ports: ports(&state),
         clock: Clock::new(),
         poll_ms: 50,
     };
     Running {
-        world,
+        state,
         shared,
         in_force,
         task: tokio::spawn(task.run()),
@@ -141,7 +141,7 @@
     }
 
     fn announced(&self) -> Vec<u64> {
-        self.world.lock().unwrap().announced.clone()
+        self.state.lock().unwrap().announced.clone()
     }
 }
 
@@ -151,12 +151,11 @@
         .collect()
 }
 
-// What a user would see: after a restart a node serves by an old preset for a moment.
-// The platform is down; the peer that is behind answers first, the others some time later, one
-// never. Cause: the first answer was applied.
+// Guards against an old preset in force for a moment after a restart with the platform down: the
+// peer that is behind answers first, another later and one never, and the first answer is applied.
 #[tokio::test]
 async fn a_restart_with_the_platform_down_applies_only_the_highest_answer() {
-    let running = start(World {
+    let running = start(FakeState {
         peers: peers(&[
             (
                 1,
@@ -174,7 +173,7 @@
             ),
             (3, Peer::Silent),
         ]),
-        ..World::default()
+        ..FakeState::default()
     });
     running.wait_for(5).await;
     assert_eq!(running.announced(), [5], "3 was never in force");
@@ -183,8 +182,8 @@
 }
 
 #[tokio::test]
-async fn nothing_is_in_force_while_nobody_knows_anything() {
-    let running = start(World {
+async fn nothing_is_in_force_while_no_peer_knows_a_version() {
+    let running = start(FakeState {
         peers: peers(&[
             (
                 1,
@@ -195,45 +194,49 @@
             ),
             (2, Peer::Silent),
         ]),
-        ..World::default()
+        ..FakeState::default()
     });
     sleep(Duration::from_millis(700)).await;
     assert!(running.in_force.load().is_none());
-    let news = (
+    let update = (
         address(1),
         Peer::Holds {
             version: 1,
             after_ms: 0,
         },
     );
-    running.world.lock().unwrap().peers.insert(news.0, news.1);
+    running
+        .state
+        .lock()
+        .unwrap()
+        .peers
+        .insert(update.0, update.1);
     running.wait_for(1).await;
 }
 
 #[tokio::test]
-async fn a_poller_takes_a_change_from_the_platform_and_tells_the_others() {
-    let running = start(World {
+async fn a_poller_takes_a_change_from_the_platform_and_announces_it() {
+    let running = start(FakeState {
         platform: Some(1),
         is_poller: true,
-        ..World::default()
+        ..FakeState::default()
     });
     running.wait_for(1).await;
-    running.world.lock().unwrap().platform = Some(2);
+    running.state.lock().unwrap().platform = Some(2);
     running.wait_for(2).await;
     assert_eq!(running.announced(), [1, 2]);
 }
 
-// What a user would see: a switch takes seconds at some nodes.
-// The first peer that told of the new version has gone silent; another told as well. Cause: the
-// node waits for the first one for as long as a call may take.
+// Guards against a switch that takes seconds at some nodes. Two peers announce the new version and
+// the first does not answer; the node waits for it as long as a call may take.
 #[tokio::test]
-async fn a_silent_peer_does_not_hold_up_the_news() {
-    let running = start(World {
+async fn a_peer_that_does_not_answer_does_not_delay_an_update() {
+    let running = start(FakeState {
         platform: Some(1),
-        ..World::default()
+        ..FakeState::default()
     });
     running.wait_for(1).await;
-    let telling = [
+    let announcing = [
         (1, Peer::Silent),
         (
             2,
@@ -243,16 +246,16 @@
             },
         ),
     ];
-    running.world.lock().unwrap().peers = peers(&telling);
+    running.state.lock().unwrap().peers = peers(&announcing);
     running.shared.record_peer_version(address(1), 2);
     running.shared.record_peer_version(address(2), 2);
     running.wait_for(2).await;
-    assert_eq!(running.world.lock().unwrap().asks, 2);
+    assert_eq!(running.state.lock().unwrap().queries, 2);
 }
 
 #[tokio::test]
-async fn news_of_what_is_held_costs_no_message() {
-    let running = start(World {
+async fn an_update_of_a_held_version_costs_no_message() {
+    let running = start(FakeState {
         platform: Some(7),
         peers: peers(&[(
             1,
@@ -261,38 +264,43 @@
                 after_ms: 0,
             },
         )]),
-        ..World::default()
+        ..FakeState::default()
     });
     running.wait_for(7).await;
     sleep(Duration::from_millis(50)).await;
-    let asks = running.world.lock().unwrap().asks;
+    let queries = running.state.lock().unwrap().queries;
     for _ in 0..1_000 {
         running.shared.record_peer_version(address(1), 7);
         running.shared.record_peer_version(address(1), 6);
     }
-    let news = (
+    let update = (
         address(1),
         Peer::Holds {
             version: 8,
             after_ms: 0,
         },
     );
-    running.world.lock().unwrap().peers.insert(news.0, news.1);
+    running
+        .state
+        .lock()
+        .unwrap()
+        .peers
+        .insert(update.0, update.1);
     running.shared.record_peer_version(address(1), 8);
     running.wait_for(8).await;
-    assert_eq!(running.world.lock().unwrap().asks, asks + 1);
+    assert_eq!(running.state.lock().unwrap().queries, queries + 1);
 }
 
-// What a user would see: each switch makes every node send many messages.
-// All its peers tell a node of the new version at the same moment. Cause: it asks each of them.
+// Guards against many messages of every node at each switch: all peers of a node announce the new
+// version at the same time, and the node queries each of them.
 #[tokio::test]
-async fn many_peers_that_tell_the_same_are_asked_once() {
-    let running = start(World {
+async fn many_peers_with_the_same_version_are_queried_once() {
+    let running = start(FakeState {
         platform: Some(1),
-        ..World::default()
+        ..FakeState::default()
     });
     running.wait_for(1).await;
-    let telling: Vec<(u16, Peer)> = (1..20)
+    let announcing: Vec<(u16, Peer)> = (1..20)
         .map(|port| {
             (
                 port,
@@ -303,33 +311,32 @@
             )
         })
         .collect();
-    running.world.lock().unwrap().peers = peers(&telling);
-    for (port, _) in telling {
+    running.state.lock().unwrap().peers = peers(&announcing);
+    for (port, _) in announcing {
         running.shared.record_peer_version(address(port), 2);
     }
     running.wait_for(2).await;
     sleep(Duration::from_millis(100)).await;
-    assert_eq!(running.world.lock().unwrap().asks, 1);
+    assert_eq!(running.state.lock().unwrap().queries, 1);
 }
 
-// What a user would see: the platform, just back, is met by a storm of reads and stays slow.
-// It was down for a while and all nodes polled it again and again. Cause: no back-off, or every
-// node polls.
+// Guards against a platform that stays slow after an outage because of too many polls: there is no
+// back-off, or every node polls.
 #[tokio::test]
 async fn polls_back_off_while_the_platform_is_down_and_only_pollers_poll() {
-    let poller = start(World {
+    let poller = start(FakeState {
         is_poller: true,
-        ..World::default()
+        ..FakeState::default()
     });
-    let other = start(World {
+    let other = start(FakeState {
         platform: Some(1),
-        ..World::default()
+        ..FakeState::default()
     });
     sleep(Duration::from_millis(1_500)).await;
-    let polls = poller.world.lock().unwrap().polls;
+    let polls = poller.state.lock().unwrap().polls;
     assert!(
         (3..=8).contains(&polls),
         "{polls} instead of some 30 without back-off"
     );
-    assert_eq!(other.world.lock().unwrap().polls, 1, "the one at the start");
+    assert_eq!(other.state.lock().unwrap().polls, 1, "the one at the start");
 }
