--- a/src/configuration/config_state.rs
+++ b/src/configuration/config_state.rs
@@ -78,11 +78,11 @@
     /// The highest version that this node holds, in force or not. Only higher versions need to be
     /// fetched.
     pub fn highest(&self) -> u64 {
-        let offered = self
+        let collected_version = self
             .highest_offer
             .as_ref()
-            .map_or(0, |offer| offer.document.version);
-        offered.max(self.version())
+            .map_or(0, |collected| collected.document.version);
+        collected_version.max(self.version())
     }
 
     /// The document in force if its version is higher than `above`, for a peer that requests it.
--- a/src/control/peer_clients.rs
+++ b/src/control/peer_clients.rs
@@ -270,10 +270,10 @@
             Ok(connected) => connected?,
             Err(_) => return Err(PeerCallError::Stopped),
         };
-        Ok(self.insert(address, client))
+        Ok(self.cache_client(address, client))
     }
 
-    fn insert(&self, address: SocketAddr, client: PeerControlClient) -> CachedClient {
+    fn cache_client(&self, address: SocketAddr, client: PeerControlClient) -> CachedClient {
         let mut cache = self.cache.lock().unwrap_or_else(PoisonError::into_inner);
         cache.connections += 1;
         let cached = CachedClient {
--- a/src/control/peer_service.rs
+++ b/src/control/peer_service.rs
@@ -18,7 +18,7 @@
     /// run for `complete_for_ms` and has dropped no record in that time: an attempt sent within it
     /// has never arrived and may be sent again.
     NeverSeen { complete_for_ms: u64 },
-    /// It waits or runs; ask again.
+    /// The attempt waits or runs; ask again.
     InProgress,
     /// The attempt ended; this is its whole answer.
     Done(KeptAnswer),
