--- a/src/configuration/config_state.rs
+++ b/src/configuration/config_state.rs
@@ -138,7 +138,10 @@
 
     /// Brings a version into force. No other function does so.
     fn apply(&mut self, parsed: ParsedDocument) -> InForce {
-        debug_assert!(parsed.document.version > self.version(), "versions rise");
+        debug_assert!(
+            parsed.document.version > self.version(),
+            "versions increase"
+        );
         let in_force = InForce {
             version: parsed.document.version,
             preset: parsed.preset.clone(),
--- a/src/configuration/config_store.rs
+++ b/src/configuration/config_store.rs
@@ -103,7 +103,7 @@
         Ok(held.row.unwrap_or_default())
     }
 
-    /// All published presets by name.
+    /// All published presets.
     ///
     /// # Errors
     /// When the platform cannot be read.
@@ -124,7 +124,8 @@
     /// has changed, and two otherwise.
     ///
     /// # Errors
-    /// When the platform cannot be read, or when its rows do not match.
+    /// When the platform cannot be read, or when the document is missing or does not have the hash
+    /// in the row in force.
     pub async fn newer_than(&self, above: u64) -> Result<Option<ConfigDocument>, ConfigError> {
         let Some(row) = self.in_force().await?.filter(|row| row.version > above) else {
             return Ok(None);
@@ -137,7 +138,8 @@
         }))
     }
 
-    /// One revision of a preset with the version of its row.
+    /// The document of one revision of a preset, with the version of its row. A document with
+    /// another hash than `hash` counts as missing.
     pub(super) async fn document(
         &self,
         preset: &Name,
--- a/src/configuration/config_switch.rs
+++ b/src/configuration/config_switch.rs
@@ -78,8 +78,8 @@
         )?;
         let before = RowsBefore { in_force, log };
         let changes = before.changes();
-        if let Some(done) = changes.find(&change.change_id) {
-            return Ok(outcome(done, &changes));
+        if let Some(logged) = changes.find(&change.change_id) {
+            return Ok(outcome(logged, &changes));
         }
         let version = before.version();
         if expected.is_some_and(|expected| expected != version) {
@@ -167,7 +167,7 @@
             Resolution::Unknown => return Err(unknown()),
         };
         match log.find(&next.change_id) {
-            Some(done) => Ok(outcome(done, &log)),
+            Some(logged) => Ok(outcome(logged, &log)),
             // A log without the change proves that it never took effect only if the log covers all
             // changes since.
             None if log.covers_changes_after(version_before) => Err(conflict(&log)),
@@ -176,18 +176,18 @@
     }
 }
 
-fn outcome(done: &PastChange, log: &ChangeLog) -> SwitchOutcome {
+fn outcome(logged: &PastChange, log: &ChangeLog) -> SwitchOutcome {
     let by_version = log.version();
-    if done.version < by_version {
-        let version = done.version;
+    if logged.version < by_version {
+        let version = logged.version;
         return SwitchOutcome::Replaced {
             version,
             by_version,
         };
     }
     SwitchOutcome::InForce {
-        version: done.version,
-        revision: done.revision,
+        version: logged.version,
+        revision: logged.revision,
     }
 }
 
--- a/src/configuration/config_task.rs
+++ b/src/configuration/config_task.rs
@@ -29,7 +29,7 @@
 /// ignored and may be the one with the highest version.
 const INITIAL_QUERY_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// The largest number of peers queried in one round at the start. The failure domains of the seeds
-/// are not known yet; with so many, nodes of the own failure domain are among them.
+/// are not known yet. Among this many seeds, some are in the own failure domain.
 const MAX_INITIAL_PEERS: usize = 32;
 /// The pause after the first round of queries at the start. It doubles with each round.
 const INITIAL_ROUND_PAUSE_MS: u64 = 200;
--- a/src/configuration/confirmation.rs
+++ b/src/configuration/confirmation.rs
@@ -52,7 +52,7 @@
             });
         domain.nodes += 1;
         match node.version {
-            Some(held) if held >= version => domain.in_force += 1,
+            Some(reported) if reported >= version => domain.in_force += 1,
             Some(_) => domain.behind.push(node.node.clone()),
             None => domain.silent.push(node.node.clone()),
         }
--- a/src/configuration/poll_schedule.rs
+++ b/src/configuration/poll_schedule.rs
@@ -2,8 +2,8 @@
 
 use crate::core::TimeMs;
 
-/// The poll period of nodes that are not pollers. A node whose view or gossip is wrong still
-/// catches up by it. It costs 24 reads a second for 720 nodes.
+/// The poll period of nodes that are not pollers. These polls bring a node up to date even if its
+/// view or the state received by gossip is wrong. They cost 24 reads a second for 720 nodes.
 const FALLBACK_POLL_MS: u64 = 30_000;
 /// The longest back-off of a poller after errors, well under the 8 s that a change may take.
 const MAX_BACKOFF_MS: u64 = 4_000;
@@ -24,7 +24,7 @@
     poll_ms: u64,
     consecutive_failures: u32,
     /// `None` before the first poll, which is due at once.
-    last_end: Option<TimeMs>,
+    last_poll_end: Option<TimeMs>,
 }
 
 impl PollSchedule {
@@ -33,13 +33,13 @@
         Self {
             poll_ms,
             consecutive_failures: 0,
-            last_end: None,
+            last_poll_end: None,
         }
     }
 
     /// Records the outcome of a poll.
     pub fn record(&mut self, outcome: PollOutcome, now: TimeMs) {
-        self.last_end = Some(now);
+        self.last_poll_end = Some(now);
         self.consecutive_failures = match outcome {
             PollOutcome::Answered => 0,
             PollOutcome::Failed => self.consecutive_failures.saturating_add(1),
@@ -48,7 +48,7 @@
 
     /// When the next poll is due. `random` is a random number in 0..=1000.
     pub fn due(&self, is_poller: bool, random: u64) -> TimeMs {
-        let Some(last_end) = self.last_end else {
+        let Some(last_poll_end) = self.last_poll_end else {
             return TimeMs(0);
         };
         let backoff_ms = self.poll_ms << self.consecutive_failures.min(8);
@@ -58,6 +58,6 @@
         };
         let min_ms = wait_ms * (100 - JITTER_PERCENT) / 100;
         let spread_ms = wait_ms * 2 * JITTER_PERCENT / 100;
-        last_end + min_ms + spread_ms * random.min(1_000) / 1_000
+        last_poll_end + min_ms + spread_ms * random.min(1_000) / 1_000
     }
 }
--- a/src/configuration/pollers.rs
+++ b/src/configuration/pollers.rs
@@ -17,11 +17,11 @@
             TargetState::Starting | TargetState::Up | TargetState::Draining
         )
     };
-    let before = view
+    let lower_names = view
         .nodes
         .values()
         .filter(|other| &*other.domain == domain && alive(other.state))
         .filter(|other| &*other.node < node)
         .count();
-    before < POLLERS_PER_DOMAIN
+    lower_names < POLLERS_PER_DOMAIN
 }
--- a/src/control/command.rs
+++ b/src/control/command.rs
@@ -42,7 +42,8 @@
         message: AllowanceMessage,
     },
     AddSeeds(Vec<SocketAddr>),
-    /// A peer asks for the members of which it holds another record than this node.
+    /// A peer requests this node's member records in all buckets whose digests differ from those
+    /// in the request.
     Exchange {
         request: ExchangeRequest,
         reply: oneshot::Sender<Vec<Target>>,
--- a/src/control/control_address.rs
+++ b/src/control/control_address.rs
@@ -5,8 +5,8 @@
 use std::net::TcpListener;
 use std::net::UdpSocket;
 
-/// The number of attempts to bind both with port 0: a port that is free for TCP may be taken for
-/// UDP.
+/// The number of attempts to bind both sockets with port 0. A port that is free for TCP may be in
+/// use for UDP.
 const MAX_BIND_ATTEMPTS: usize = 50;
 
 /// A UDP socket and a TCP listener on one address.
--- a/src/control/control_handle.rs
+++ b/src/control/control_handle.rs
@@ -91,13 +91,15 @@
         self.command(Command::AddSeeds(seeds));
     }
 
-    /// Announces that this node leaves, and ends the thread once that is sent. Blocks briefly.
+    /// Announces that this node leaves, and ends the thread once the announcement is sent. Blocks
+    /// briefly, until the thread has ended.
     pub fn leave(&self) {
         self.set_state(TargetState::Left);
         self.shutdown();
     }
 
-    /// Ends the thread without announcing it, as a crash would. Blocks briefly.
+    /// Ends the thread without announcing it, as a crash would. Blocks briefly, until the thread
+    /// has ended.
     pub fn shutdown(&self) {
         self.command(Command::Shutdown);
         let thread = self
--- a/src/control/control_handlers.rs
+++ b/src/control/control_handlers.rs
@@ -35,7 +35,7 @@
 /// One closure for each kind of call or message. They run on the control thread and must not block;
 /// longer work is spawned on [`super::ControlHandle::runtime`].
 ///
-/// Each default is the safe answer of a node that does not have the part in question.
+/// Each default is the answer that is safe for a node without the part that provides the handler.
 #[derive(Clone)]
 pub struct ControlHandlers {
     /// Returns the configuration in force here, if its version is higher than the argument.
@@ -57,7 +57,7 @@
     /// the control address of the peer, the version, and whether the peer is in the own failure
     /// domain. Called again until [`super::ControlHandle::set_config_version`] catches up.
     pub newer_config: Arc<dyn Fn(SocketAddr, u64, bool) + Send + Sync>,
-    /// A peer knows a newer era of the store than this node did.
+    /// A peer has announced a newer era of the store than the one known to this node until now.
     pub store_era: Arc<dyn Fn(u64) + Send + Sync>,
     /// A peer has a newer slot map, which can be fetched there or from the table. Called again
     /// until [`super::ControlHandle::set_slot_map_version`] catches up.
@@ -66,7 +66,8 @@
     pub route_use: RouteUseHandler,
     /// A member sends a message about accounts' allowances.
     pub allowances: AllowancesHandler,
-    /// The slot map versions here and at this peer have differed for long: compare all of them.
+    /// The digests of the slot map versions here and at this peer have differed for several
+    /// seconds: compare all versions.
     pub compare_slot_maps: Arc<dyn Fn(SocketAddr) + Send + Sync>,
 }
 
--- a/src/control/control_loop.rs
+++ b/src/control/control_loop.rs
@@ -34,9 +34,9 @@
 const GAUGE_PERIOD: Duration = Duration::from_millis(500);
 /// The largest number of datagrams handled before commands and ticks are served.
 const MAX_DATAGRAM_BATCH: usize = 64;
-/// How many of the added seeds are asked for all members at once. One answer is enough, but some
-/// seeds may be gone. When eight seeds were asked three times each, full member tables made up most
-/// of the traffic between failure domains.
+/// The largest number of added seeds with which members are exchanged at once. One answer is
+/// enough, but some seeds may be gone. With eight seeds and three exchanges with each, full member
+/// tables made up most of the traffic between failure domains.
 const MAX_JOIN_SEEDS: usize = 3;
 /// The size of the receive buffer: no UDP datagram is larger.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
@@ -166,9 +166,9 @@
         }
     }
 
-    /// Adds the seeds, and asks some of them for all members at once. Without this, a node that has
-    /// the addresses of others takes seconds to learn all members after many nodes have restarted,
-    /// because each of them knows only a few.
+    /// Adds the seeds, and exchanges members with some of them at once. When many nodes restart
+    /// together, each of them has few members in its view. Without these exchanges it takes seconds
+    /// until gossip has spread all members, although the addresses are known.
     fn join(&mut self, seeds: &[SocketAddr]) {
         self.membership.add_seeds(seeds);
         let mut others: Vec<SocketAddr> = seeds.to_vec();
--- a/src/control/control_settings.rs
+++ b/src/control/control_settings.rs
@@ -19,7 +19,7 @@
     pub peer_address: SocketAddr,
     /// Where to listen for datagrams and control calls. Port 0 binds any free port.
     pub control_address: SocketAddr,
-    /// The address at which others reach the listener. Port 0 stands for the port that was bound.
+    /// The address at which other nodes reach the listener. Port 0 is replaced by the bound port.
     pub advertised_address: SocketAddr,
     pub seeds: Vec<SocketAddr>,
     pub membership: MembershipSettings,
--- a/src/control/peer_clients.rs
+++ b/src/control/peer_clients.rs
@@ -43,14 +43,14 @@
 struct CachedClient {
     client: PeerControlClient,
     /// Distinguishes connections to one address, so that only the failed one is dropped.
-    connection: u64,
+    connection_id: u64,
     last_used: TimeMs,
 }
 
 #[derive(Default)]
 struct Cache {
     clients: FastMap<SocketAddr, CachedClient>,
-    connections: u64,
+    last_connection_id: u64,
 }
 
 /// Clients of peers by control address, usable from every thread.
@@ -212,21 +212,21 @@
     {
         let deadline = Instant::now() + Duration::from_millis(timeout_ms);
         if let Some(cached) = self.cached(address) {
-            let half = Instant::now() + Duration::from_millis(timeout_ms / 2);
-            match call_until(half, &request, cached.client).await {
+            let first_deadline = Instant::now() + Duration::from_millis(timeout_ms / 2);
+            match call_until(first_deadline, &request, cached.client).await {
                 Ok(answer) => return Ok(answer),
                 Err(error) => {
                     log::debug!(
                         "control: dropping a failed connection peer={address} error={error}"
                     );
-                    self.drop_connection(address, cached.connection);
+                    self.drop_connection(address, cached.connection_id);
                 }
             }
         }
         let fresh = self.connect(address, deadline).await?;
         let answer = call_until(deadline, &request, fresh.client).await;
         if answer.is_err() {
-            self.drop_connection(address, fresh.connection);
+            self.drop_connection(address, fresh.connection_id);
         }
         answer
     }
@@ -242,9 +242,9 @@
         Some(cached.clone())
     }
 
-    fn drop_connection(&self, address: SocketAddr, connection: u64) {
+    fn drop_connection(&self, address: SocketAddr, connection_id: u64) {
         let mut cache = self.cache.lock().unwrap_or_else(PoisonError::into_inner);
-        let is_same = |cached: &CachedClient| cached.connection == connection;
+        let is_same = |cached: &CachedClient| cached.connection_id == connection_id;
         if cache.clients.get(&address).is_some_and(is_same) {
             cache.clients.remove(&address);
         }
@@ -275,10 +275,10 @@
 
     fn cache_client(&self, address: SocketAddr, client: PeerControlClient) -> CachedClient {
         let mut cache = self.cache.lock().unwrap_or_else(PoisonError::into_inner);
-        cache.connections += 1;
+        cache.last_connection_id += 1;
         let cached = CachedClient {
             client,
-            connection: cache.connections,
+            connection_id: cache.last_connection_id,
             last_used: self.clock.now(),
         };
         cache.clients.insert(address, cached.clone());
--- a/src/control/peer_service.rs
+++ b/src/control/peer_service.rs
@@ -9,7 +9,7 @@
 use crate::membership::ExchangeRequest;
 use crate::poison::CrashReport;
 
-/// The state of an attempt at a guard. The sender asks for it over a new connection when the old
+/// The state of an attempt at a guard. The sender requests it over a new connection when the old
 /// one has stopped answering.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
@@ -18,7 +18,7 @@
     /// run for `complete_for_ms` and has dropped no record in that time: an attempt sent within it
     /// has never arrived and may be sent again.
     NeverSeen { complete_for_ms: u64 },
-    /// The attempt waits or runs; ask again.
+    /// The attempt waits or runs. The sender requests its state again later.
     InProgress,
     /// The attempt ended; this is its whole answer.
     Done(KeptAnswer),
@@ -46,7 +46,8 @@
     pub document: String,
 }
 
-/// An owner's request that one member of its service does not take over its slots for a while.
+/// The request of a slot owner that one member of its service does not take over the owner's slots
+/// for a while.
 ///
 /// Both sides are identified by process instance. A restarted member does not know what the
 /// previous process promised or began, so it must not answer on its behalf.
@@ -82,7 +83,8 @@
 /// The control calls that nodes serve to each other.
 #[tarpc::service]
 pub trait PeerControl {
-    /// Returns the members of which this node holds another record than the caller.
+    /// Returns this node's member records in all buckets whose digests differ from those in the
+    /// request.
     async fn exchange_members(request: ExchangeRequest) -> Vec<Target>;
     /// Returns the configuration in force here, if its version is higher than `above`.
     async fn config_above(above: u64) -> Option<ConfigDocument>;
@@ -97,6 +99,6 @@
     /// Returns the status of this node in JSON, without its members, for an operator who has asked
     /// another node.
     async fn node_status() -> String;
-    /// Drains the target beside this node, as requested by an operator.
+    /// Starts to drain the local target of this node, as requested by an operator.
     async fn drain();
 }
--- a/tests/configuration_mesh.rs
+++ b/tests/configuration_mesh.rs
@@ -74,14 +74,17 @@
         }
     }
 
-    async fn wait_for(&self, wanted: &[u64]) {
+    async fn wait_for(&self, expected: &[u64]) {
         for _ in 0..MAX_WAIT_MS / POLL_INTERVAL.as_millis() as u64 {
-            if *self.versions.lock().unwrap() == wanted {
+            if *self.versions.lock().unwrap() == expected {
                 return;
             }
             sleep(POLL_INTERVAL).await;
         }
-        panic!("{:?} instead of {wanted:?}", self.versions.lock().unwrap());
+        panic!(
+            "{:?} instead of {expected:?}",
+            self.versions.lock().unwrap()
+        );
     }
 
     fn assert_no_decrease(&self) {
@@ -123,7 +126,7 @@
         }
         sleep(POLL_INTERVAL).await;
     }
-    panic!("{node} knows no version");
+    panic!("{node} reports no version");
 }
 
 // Guards against a node that restarts while the platform is down and applies an old preset or
--- a/tests/configuration_pollers.rs
+++ b/tests/configuration_pollers.rs
@@ -58,7 +58,7 @@
     assert!(is_poller(&view, "n0", "b"));
     assert!(
         is_poller(&View::default(), "n9", "a"),
-        "a node that knows nobody polls"
+        "a node with an empty view polls"
     );
 }
 
--- a/tests/configuration_state.rs
+++ b/tests/configuration_state.rs
@@ -29,11 +29,11 @@
     assert_eq!(state.version(), 0);
     assert!(
         state.document_above(0).is_none(),
-        "what is not in force is not handed on"
+        "a version that is not in force is not sent to peers"
     );
     state.offer(document(7), Source::Peer);
     state.offer(document(5), Source::Peer);
-    let applied = state.finish_initial_queries().expect("something was heard");
+    let applied = state.finish_initial_queries().expect("peers have answered");
     assert_eq!(applied.version, 7);
     assert_eq!(state.document_above(6).map(|held| held.version), Some(7));
     assert!(state.finish_initial_queries().is_none());
@@ -150,7 +150,7 @@
         let version = offered.version;
         match self.nodes[node].offer(offered, source) {
             OfferOutcome::Apply(applied) => {
-                assert!(applied.version > before, "versions rise");
+                assert!(applied.version > before, "versions increase");
                 assert!(applied.version >= version);
             }
             OfferOutcome::Ignore(_) => assert_eq!(self.nodes[node].version(), before),
--- a/tests/configuration_store.rs
+++ b/tests/configuration_store.rs
@@ -163,7 +163,7 @@
         assert_eq!((*named, &**change_id), (version, winner.as_str()));
         conflicts += 1;
     }
-    assert!(conflicts > 0, "the operators never met");
+    assert!(conflicts > 0, "no two switches conflicted");
     let log = store.change_log().await.unwrap();
     let versions: Vec<u64> = log.changes.iter().map(|change| change.version).collect();
     assert!(versions.is_sorted_by(|a, b| a < b), "{versions:?}");
--- a/tests/configuration_task.rs
+++ b/tests/configuration_task.rs
@@ -77,7 +77,7 @@
 }
 
 fn ports(state: &Arc<Mutex<FakeState>>) -> ConfigPorts {
-    let (polled, asked, poller, first, announcer) = (
+    let (polled, queried, poller, initial, announcer) = (
         state.clone(),
         state.clone(),
         state.clone(),
@@ -95,13 +95,13 @@
             ready(answer).boxed()
         }),
         query_peer: Arc::new(move |peer, above| {
-            let mut state = asked.lock().unwrap();
+            let mut state = queried.lock().unwrap();
             state.queries += 1;
             answer(state.peers.get(&peer).copied(), above).boxed()
         }),
         is_poller: Arc::new(move || poller.lock().unwrap().is_poller),
         initial_peers: Arc::new(move || {
-            let mut peers: Vec<_> = first.lock().unwrap().peers.keys().copied().collect();
+            let mut peers: Vec<_> = initial.lock().unwrap().peers.keys().copied().collect();
             peers.sort_unstable();
             peers
         }),
@@ -198,7 +198,7 @@
     });
     sleep(Duration::from_millis(700)).await;
     assert!(running.in_force.load().is_none());
-    let update = (
+    let new_peer = (
         address(1),
         Peer::Holds {
             version: 1,
@@ -210,7 +210,7 @@
         .lock()
         .unwrap()
         .peers
-        .insert(update.0, update.1);
+        .insert(new_peer.0, new_peer.1);
     running.wait_for(1).await;
 }
 
@@ -273,7 +273,7 @@
         running.shared.record_peer_version(address(1), 7);
         running.shared.record_peer_version(address(1), 6);
     }
-    let update = (
+    let new_peer = (
         address(1),
         Peer::Holds {
             version: 8,
@@ -285,7 +285,7 @@
         .lock()
         .unwrap()
         .peers
-        .insert(update.0, update.1);
+        .insert(new_peer.0, new_peer.1);
     running.shared.record_peer_version(address(1), 8);
     running.wait_for(8).await;
     assert_eq!(running.state.lock().unwrap().queries, queries + 1);
