--- a/src/configuration/mod.rs
+++ b/src/configuration/mod.rs
@@ -1,5 +1,6 @@
-//! The configuration in force: published and switched by operators through the platform's table,
-//! fanned out between nodes, and never lowered ([docs/CONFIGURATION.md](../../docs/CONFIGURATION.md)).
+//! The configuration in force: operators publish and switch it through the platform's table, nodes
+//! pass it on to each other, and its version never falls
+//! ([docs/CONFIGURATION.md](../../docs/CONFIGURATION.md)).
 
 mod change;
 mod config_metrics;
@@ -21,15 +22,15 @@
 pub use config_ports::ConfigPorts;
 pub use config_ports::PeerAnswer;
 pub use config_publish::Publication;
-pub use config_shared::ConfigNews;
 pub use config_shared::ConfigShared;
+pub use config_shared::NewerConfig;
 pub use config_state::ConfigState;
-pub use config_state::Ignored;
-pub use config_state::Offer;
+pub use config_state::IgnoreReason;
+pub use config_state::OfferOutcome;
 pub use config_state::Source;
 pub use config_store::ConfigStore;
 pub use config_store::PublishedPreset;
-pub use config_switch::Switched;
+pub use config_switch::SwitchOutcome;
 pub use config_task::ConfigTask;
 pub use confirmation::DomainConfirmation;
 pub use confirmation::NodeVersion;
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,5 +1,5 @@
-//! The control thread: membership, configuration and slot ownership, and the calls between nodes
-//! that serve them. Traffic threads read what it publishes.
+//! The control thread runs membership, configuration and slot ownership, and the control calls
+//! between nodes that they need. Traffic threads read what it publishes.
 
 mod command;
 mod control_address;
@@ -17,9 +17,9 @@
 mod start;
 
 pub use control_handle::ControlHandle;
+pub use control_handlers::AllowancesHandler;
 pub use control_handlers::ControlHandlers;
-pub use control_handlers::SlotMapNews;
-pub use control_handlers::TakeAllowances;
+pub use control_handlers::NewerSlotMap;
 pub use control_metrics::ControlMetrics;
 pub use control_metrics::Direction;
 pub use control_settings::ControlSettings;
@@ -32,7 +32,7 @@
 pub use peer_service::PeerControl;
 pub use peer_service::PeerControlClient;
 pub use peer_service::Promise;
-pub use peer_service::PromiseAsk;
+pub use peer_service::PromiseRequest;
 pub use peer_service::Suspects;
 pub use start::start;
 
--- a/src/traffic/allowance_task.rs
+++ b/src/traffic/allowance_task.rs
@@ -10,8 +10,8 @@
 
 use crate::accounts::AccountId;
 use crate::accounts::AllowanceMessage;
+use crate::control::AllowancesHandler;
 use crate::control::ControlHandle;
-use crate::control::TakeAllowances;
 use crate::core::FastMap;
 use crate::core::Name;
 use crate::traffic::allowances::PeerMessage;
@@ -24,7 +24,7 @@
 const METRICS_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Passes messages of other nodes to [`run_allowances`].
-pub(super) fn allowance_handler(waiting: Sender<PeerMessage>) -> TakeAllowances {
+pub(super) fn allowance_handler(waiting: Sender<PeerMessage>) -> AllowancesHandler {
     Arc::new(move |from: &Name, message: AllowanceMessage| {
         if waiting.try_send((from.clone(), message)).is_err() {
             log::debug!(
@@ -73,7 +73,7 @@
     let now = traffic.clock.now();
     let view = traffic.view.load();
     if let Some((to, reply)) = traffic.allowances.handle(now, &view, from, message) {
-        control.tell_allowances(to, reply);
+        control.send_allowances(to, reply);
     }
 }
 
@@ -84,6 +84,6 @@
     let now = traffic.clock.now();
     let view = traffic.view.load();
     for (to, message) in traffic.allowances.tick(now, &view, &in_force) {
-        control.tell_allowances(to, message);
+        control.send_allowances(to, message);
     }
 }
--- a/src/traffic/control_link.rs
+++ b/src/traffic/control_link.rs
@@ -63,7 +63,7 @@
     ControlHandlers {
         report_suspects: Arc::new(move |report| apply_peer_report(&poison, &service, &report)),
         config_above: Arc::new(move |above| for_requests.document_above(above)),
-        config_news: Arc::new(move |from, version, same_domain| {
+        newer_config: Arc::new(move |from, version, same_domain| {
             let announced = VersionAnnouncement {
                 from,
                 version,
@@ -94,8 +94,8 @@
                 let discovery_time_ms = discovery_time_ms(settings.store_rates);
                 now.since(started) as i64 - discovery_time_ms as i64
             }),
-            last_contact_ms_ago: now.since(control.freshness.heard()),
-            confirmed_ms_ago: now.since(control.freshness.confirmed()),
+            last_contact_ms_ago: now.since(control.freshness.last_heard()),
+            confirmed_ms_ago: now.since(control.freshness.last_confirmed()),
             keys_hold_ms: traffic.live().keys_hold_ms,
         };
         let view = traffic.view.load();
