--- a/src/adapters/body_budget.rs
+++ b/src/adapters/body_budget.rs
@@ -15,22 +15,22 @@
 /// ends it. It holds because every byte is counted before it is kept, until the body is dropped.
 #[derive(Debug)]
 pub struct BodyBudget {
-    most_bytes: AtomicUsize,
+    max_bytes: AtomicUsize,
     held_bytes: AtomicUsize,
 }
 
 impl BodyBudget {
     /// A budget of which nothing is used.
-    pub fn new(most_bytes: usize) -> Arc<Self> {
+    pub fn new(max_bytes: usize) -> Arc<Self> {
         Arc::new(Self {
-            most_bytes: AtomicUsize::new(most_bytes),
+            max_bytes: AtomicUsize::new(max_bytes),
             held_bytes: AtomicUsize::new(0),
         })
     }
 
     /// Changes the bound. What is held already stays.
-    pub fn set_most_bytes(&self, most_bytes: usize) {
-        self.most_bytes.store(most_bytes, Ordering::Relaxed);
+    pub fn set_max_bytes(&self, max_bytes: usize) {
+        self.max_bytes.store(max_bytes, Ordering::Relaxed);
     }
 
     /// How many bytes are held at present.
@@ -59,15 +59,15 @@
     /// # Errors
     /// When the budget has not so many left; the share then stays as it was.
     pub(super) fn grow(&mut self, bytes: usize) -> Result<(), SendError> {
-        let most_bytes = self.budget.most_bytes.load(Ordering::Relaxed);
+        let max_bytes = self.budget.max_bytes.load(Ordering::Relaxed);
         let before = self.budget.held_bytes.fetch_add(bytes, Ordering::Relaxed);
         self.bytes += bytes;
-        if before + bytes <= most_bytes {
+        if before + bytes <= max_bytes {
             return Ok(());
         }
         self.budget.held_bytes.fetch_sub(bytes, Ordering::Relaxed);
         self.bytes -= bytes;
-        Err(SendError::NoMemory { most_bytes })
+        Err(SendError::NoMemory { max_bytes })
     }
 
     /// Ties the share to the body: it is given back when the last reference to the body goes.
--- a/src/adapters/whole_body.rs
+++ b/src/adapters/whole_body.rs
@@ -19,15 +19,15 @@
 /// Reads a body to its end. What it takes of `budget` is given back when the body is dropped.
 ///
 /// # Errors
-/// When it is cut short, longer than `most_bytes`, or the budget has no room for it.
+/// When it is cut short, longer than `max_bytes`, or the budget has no room for it.
 pub async fn read_whole(
     mut body: Incoming,
-    most_bytes: usize,
+    max_bytes: usize,
     budget: &Arc<BodyBudget>,
 ) -> Result<Bytes, SendError> {
     let announced_bytes = body.size_hint().lower();
-    if announced_bytes > most_bytes as u64 {
-        return Err(SendError::TooLong { most_bytes });
+    if announced_bytes > max_bytes as u64 {
+        return Err(SendError::TooLong { max_bytes });
     }
     let mut share = budget.share();
     let mut pieces = Pieces::new(announced_bytes as usize);
@@ -35,8 +35,8 @@
         let Ok(piece) = frame?.into_data() else {
             continue;
         };
-        if pieces.bytes() + piece.len() > most_bytes {
-            return Err(SendError::TooLong { most_bytes });
+        if pieces.bytes() + piece.len() > max_bytes {
+            return Err(SendError::TooLong { max_bytes });
         }
         share.grow(piece.len())?;
         pieces.add(piece);
--- a/src/errors/traffic.rs
+++ b/src/errors/traffic.rs
@@ -63,11 +63,11 @@
     #[error("lost after it was sent: {0}")]
     Lost(#[from] hyper::Error),
     /// The body of the answer is longer than may be held.
-    #[error("the answer is longer than {most_bytes} bytes")]
-    TooLong { most_bytes: usize },
+    #[error("the answer is longer than {max_bytes} bytes")]
+    TooLong { max_bytes: usize },
     /// All bodies together may not take more memory.
-    #[error("bodies take all of the {most_bytes} bytes that they may")]
-    NoMemory { most_bytes: usize },
+    #[error("bodies take all of the {max_bytes} bytes that they may")]
+    NoMemory { max_bytes: usize },
 }
 
 impl SendError {
--- a/src/traffic/traffic.rs
+++ b/src/traffic/traffic.rs
@@ -217,7 +217,7 @@
 
     /// Puts changed settings into force.
     pub(super) fn set_live(&self, live: LiveSettings) {
-        self.bodies.set_most_bytes(live.held_body_bytes);
+        self.bodies.set_max_bytes(live.held_body_bytes);
         if live.retry_bound != self.live().retry_bound {
             self.budgets.set_bound(live.retry_bound);
         }
