--- a/src/adapters/http_listener.rs
+++ b/src/adapters/http_listener.rs
@@ -45,7 +45,7 @@
     /// request.
     pub idle_ms: u64,
     /// The longest request head.
-    pub most_head_bytes: usize,
+    pub max_head_bytes: usize,
     /// Nothing acknowledged for so long ends a connection.
     pub silence_ms: u64,
 }
@@ -139,7 +139,7 @@
         .auto_date_header(false)
         .header_read_timeout(Duration::from_millis(conf.idle_ms))
         .keep_alive(!is_stopping)
-        .max_buf_size(conf.most_head_bytes.max(LEAST_BUFFER_BYTES))
+        .max_buf_size(conf.max_head_bytes.max(LEAST_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
     let ended = tokio::select! {
--- a/src/traffic/listeners.rs
+++ b/src/traffic/listeners.rs
@@ -81,7 +81,7 @@
         let limits = desired.limits();
         ListenerConf {
             idle_ms: limits.idle_timeout_ms.max(limits.header_timeout_ms),
-            most_head_bytes: limits.max_header_bytes,
+            max_head_bytes: limits.max_header_bytes,
             silence_ms: SILENCE_MS,
         }
     };
@@ -94,7 +94,7 @@
 pub(super) async fn serve_peers(traffic: Arc<Traffic>, listener: TcpListener) {
     let conf = || ListenerConf {
         idle_ms: PEER_IDLE_MS,
-        most_head_bytes: PEER_HEAD_BYTES,
+        max_head_bytes: PEER_HEAD_BYTES,
         silence_ms: SILENCE_MS,
     };
     let closed = traffic.guard_closed.subscribe();
@@ -110,7 +110,7 @@
 ) {
     let conf = || ListenerConf {
         idle_ms: PEER_IDLE_MS,
-        most_head_bytes: 0,
+        max_head_bytes: 0,
         silence_ms: SILENCE_MS,
     };
     // These go on during a stop: whoever asks must get an answer.
