--- a/src/logging/event_rate.rs
+++ b/src/logging/event_rate.rs
@@ -54,7 +54,7 @@
     }
 
     /// How many lines were left out since this was last asked.
-    pub fn take_left_out(&mut self) -> u64 {
+    pub fn take_suppressed(&mut self) -> u64 {
         std::mem::take(&mut self.left_out)
     }
 }
--- a/src/logging/logger.rs
+++ b/src/logging/logger.rs
@@ -67,7 +67,7 @@
             return (admitted, None);
         }
         bounds.told_at = now;
-        (admitted, Some(bounds.rate.take_left_out()))
+        (admitted, Some(bounds.rate.take_suppressed()))
     }
 
     fn tell_left_out(&self, left_out: u64) {
--- a/tests/logging.rs
+++ b/tests/logging.rs
@@ -82,8 +82,8 @@
         }
     }
     assert!((90..=110).contains(&told), "{told}");
-    assert_eq!(rate.take_left_out(), 10_000 - told);
-    assert_eq!(rate.take_left_out(), 0);
+    assert_eq!(rate.take_suppressed(), 10_000 - told);
+    assert_eq!(rate.take_suppressed(), 0);
 }
 
 /// The same requests are sampled wherever they are looked at, about one in 64.
