--- a/src/metrics/metrics.rs
+++ b/src/metrics/metrics.rs
@@ -297,7 +297,7 @@
     }
 
     /// Sets for which services' sake requests are refused. At most as many as there are services.
-    pub fn set_pressed(&self, pressed: &[OverloadedService]) {
+    pub fn set_overloaded(&self, pressed: &[OverloadedService]) {
         self.pressures.reset();
         self.admitted.reset();
         for each in pressed {
--- a/src/traffic/admin.rs
+++ b/src/traffic/admin.rs
@@ -116,7 +116,7 @@
     traffic.metrics.body_bytes.set(held as i64);
     let failing = traffic.failing_permille(traffic.clock.now());
     traffic.metrics.failing_permille.set(i64::from(failing));
-    traffic.metrics.set_pressed(&traffic.roots.pressed());
+    traffic.metrics.set_overloaded(&traffic.roots.pressed());
     let queued = traffic.gate.queued_by_class();
     traffic.metrics.set_guard_queue(&queued);
     let version = traffic.desired.version();
