--- a/src/capacity/fleet.rs
+++ b/src/capacity/fleet.rs
@@ -123,7 +123,7 @@
             waiting.retain(|_| !is_there.next().unwrap_or(false));
             if elapsed_ms > limit_ms {
                 let nodes = waiting.len();
-                return Err(CapacityError::Never {
+                return Err(CapacityError::NotReached {
                     what,
                     nodes,
                     limit_ms,
--- a/src/errors/mesh.rs
+++ b/src/errors/mesh.rs
@@ -61,7 +61,7 @@
     #[error("process {pid} is gone")]
     ProcessGone { pid: u32 },
     #[error("{nodes} nodes did not get there within {limit_ms} ms: {what}")]
-    Never {
+    NotReached {
         what: &'static str,
         nodes: usize,
         limit_ms: u64,
