--- a/src/adapters/body_budget.rs
+++ b/src/adapters/body_budget.rs
@@ -1,4 +1,4 @@
-//! The memory that all bodies of a process may take together.
+//! The limit on the memory used by all message bodies of a process together.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
@@ -8,11 +8,11 @@
 
 use crate::errors::SendError;
 
-/// Counts the bytes of bodies that are held, and bounds them in sum.
+/// Counts the bytes of all bodies in memory and limits their sum.
 ///
-/// Guards against many callers that send large bodies slowly, or read large answers slowly: each
-/// stays within the bound for one body, and together they would take the process's memory, which
-/// ends it. It holds because every byte is counted before it is kept, until the body is dropped.
+/// Many callers that send large bodies slowly, or read large answers slowly, can each stay within the
+/// limit for one body and together exhaust the memory of the process, which then is killed. To
+/// prevent this, every byte is counted before it is kept, until the body is dropped.
 #[derive(Debug)]
 pub struct BodyBudget {
     max_bytes: AtomicUsize,
@@ -20,7 +20,7 @@
 }
 
 impl BodyBudget {
-    /// A budget of which nothing is used.
+    /// An unused budget.
     pub fn new(max_bytes: usize) -> Arc<Self> {
         Arc::new(Self {
             max_bytes: AtomicUsize::new(max_bytes),
@@ -28,36 +28,36 @@
         })
     }
 
-    /// Changes the bound. What is held already stays.
+    /// Changes the limit. Bodies already in memory are kept.
     pub fn set_max_bytes(&self, max_bytes: usize) {
         self.max_bytes.store(max_bytes, Ordering::Relaxed);
     }
 
-    /// How many bytes are held at present.
+    /// How many bytes of bodies are in memory.
     pub fn held_bytes(&self) -> usize {
         self.held_bytes.load(Ordering::Relaxed)
     }
 
-    pub(super) fn share(self: &Arc<Self>) -> BodyShare {
-        BodyShare {
+    pub(super) fn reservation(self: &Arc<Self>) -> BodyReservation {
+        BodyReservation {
             budget: self.clone(),
             bytes: 0,
         }
     }
 }
 
-/// What one body takes of the budget, until it is dropped.
+/// The part of the budget that one body uses. Dropping it releases the bytes.
 #[derive(Debug)]
-pub(super) struct BodyShare {
+pub(super) struct BodyReservation {
     budget: Arc<BodyBudget>,
     bytes: usize,
 }
 
-impl BodyShare {
-    /// Takes so many bytes more.
+impl BodyReservation {
+    /// Reserves `bytes` more.
     ///
     /// # Errors
-    /// When the budget has not so many left; the share then stays as it was.
+    /// When the budget has fewer bytes left. The reservation is then unchanged.
     pub(super) fn grow(&mut self, bytes: usize) -> Result<(), SendError> {
         let max_bytes = self.budget.max_bytes.load(Ordering::Relaxed);
         let before = self.budget.held_bytes.fetch_add(bytes, Ordering::Relaxed);
@@ -70,28 +70,31 @@
         Err(SendError::NoMemory { max_bytes })
     }
 
-    /// Ties the share to the body: it is given back when the last reference to the body goes.
-    pub(super) fn tie_to(self, body: Bytes) -> Bytes {
+    /// Attaches the reservation to the body. It is released with the last reference to the body.
+    pub(super) fn attach_to(self, body: Bytes) -> Bytes {
         if body.is_empty() {
             return body;
         }
-        Bytes::from_owner(HeldBody { body, _share: self })
+        Bytes::from_owner(ReservedBody {
+            body,
+            _reservation: self,
+        })
     }
 }
 
-impl Drop for BodyShare {
+impl Drop for BodyReservation {
     fn drop(&mut self) {
         let held = &self.budget.held_bytes;
         held.fetch_sub(self.bytes, Ordering::Relaxed);
     }
 }
 
-struct HeldBody {
+struct ReservedBody {
     body: Bytes,
-    _share: BodyShare,
+    _reservation: BodyReservation,
 }
 
-impl AsRef<[u8]> for HeldBody {
+impl AsRef<[u8]> for ReservedBody {
     fn as_ref(&self) -> &[u8] {
         &self.body
     }
--- a/src/adapters/connection_pool.rs
+++ b/src/adapters/connection_pool.rs
@@ -1,7 +1,8 @@
-//! Kept HTTP/1.1 connections, one request at a time on each.
+//! A pool of HTTP/1.1 connections, with one request at a time on each.
 //!
-//! `hyper` without the pool of `hyper-util`: what a request costs is the first limit of a node, and
-//! the sender of a request has to know whether anything of it has left the process.
+//! It uses `hyper` without the pool of `hyper-util`, for two reasons. The cost of a request is the
+//! first limit of a node's throughput, and the sender of a request has to know whether any part of
+//! it has left the process.
 
 use std::io;
 use std::net::SocketAddr;
@@ -25,31 +26,31 @@
 use tokio::net::TcpStream;
 
 use crate::adapters::BodyBudget;
-use crate::adapters::kept_for::kept_for_ms;
+use crate::adapters::keep_alive::keep_alive_ms;
 use crate::adapters::read_whole;
 use crate::core::Clock;
 use crate::core::FastMap;
 use crate::core::TimeMs;
 use crate::errors::SendError;
 
-/// Unused connections kept for one address. More than this were needed at once only in a surge.
-const MOST_IDLE: usize = 64;
-/// Addresses for which unused connections are kept.
-const MOST_ADDRESSES: usize = 2_048;
+/// Idle connections kept for one address. More are needed at once only in a surge.
+const MAX_IDLE_PER_ADDRESS: usize = 64;
+/// Number of addresses above which those without a usable idle connection are removed.
+const MAX_ADDRESSES: usize = 2_048;
 
-/// How connections are made and kept.
+/// Timeouts of connections.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolConf {
-    /// How long a new connection may take.
+    /// How long establishing a connection may take.
     pub connect_timeout_ms: u64,
-    /// How long an unused connection is kept.
+    /// How long an idle connection is kept.
     pub idle_ms: u64,
-    /// Nothing acknowledged for so long ends a connection, with requests on it as well. A network
-    /// that drops packets without a word shows in nothing else.
+    /// A connection is closed, even with a request in flight, if sent data is not acknowledged for
+    /// this long. A network that drops packets silently can be detected in no other way.
     pub silence_ms: u64,
 }
 
-/// A whole answer.
+/// An answer whose body has been read completely.
 #[derive(Clone, Debug)]
 pub struct WholeAnswer {
     pub status: http::StatusCode,
@@ -57,22 +58,22 @@
     pub body: Bytes,
 }
 
-struct Idle {
+struct IdleConnection {
     sender: SendRequest<Full<Bytes>>,
-    /// From then on it is not used again.
-    until: TimeMs,
+    /// The time from which the connection is not used again.
+    expires_at: TimeMs,
 }
 
-/// Connections by address. Bounded in number and in time.
+/// Idle connections by address, limited in number and age.
 pub struct ConnectionPool {
     conf: PoolConf,
     clock: Clock,
     bodies: Arc<BodyBudget>,
-    idle: Mutex<FastMap<SocketAddr, Vec<Idle>>>,
+    idle: Mutex<FastMap<SocketAddr, Vec<IdleConnection>>>,
 }
 
 impl ConnectionPool {
-    /// An empty pool whose answers count against the budget of bodies.
+    /// An empty pool. Answer bodies count against the body budget.
     pub fn new(conf: PoolConf, clock: Clock, bodies: Arc<BodyBudget>) -> Self {
         Self {
             conf,
@@ -82,27 +83,28 @@
         }
     }
 
-    /// Sends a request and reads the whole answer. Dropped before its end, it closes the
-    /// connection, so that the other side learns that nobody waits any more.
+    /// Sends a request and reads the complete answer. If the future is dropped earlier, the connection
+    /// is closed, so that the server learns that the request was cancelled.
     ///
-    /// `is_sound` looks at the head of the answer; a connection whose answer is not is not used
+    /// `is_reusable` examines the head of the answer and decides whether the connection may be used
     /// again.
     ///
     /// # Errors
-    /// When no connection can be made, and when it ends before the answer does.
+    /// When no connection can be made, when it ends before the answer does, and when the body budget
+    /// is exhausted.
     pub async fn send(
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
-        is_sound: impl FnOnce(&Response<Incoming>) -> bool,
+        is_reusable: impl FnOnce(&Response<Incoming>) -> bool,
     ) -> Result<WholeAnswer, SendError> {
         let (sender, response) = self.send_head(address, request).await?;
-        let keep = is_sound(&response);
+        let keep = is_reusable(&response);
         let (parts, body) = response.into_parts();
         let body = read_whole(body, usize::MAX, &self.bodies).await?;
-        let kept_ms = kept_for_ms(&parts.headers).unwrap_or(self.conf.idle_ms);
-        if keep && kept_ms > 0 && !sender.is_closed() {
-            self.give_back(address, sender, kept_ms.min(self.conf.idle_ms));
+        let reusable_ms = keep_alive_ms(&parts.headers).unwrap_or(self.conf.idle_ms);
+        if keep && reusable_ms > 0 && !sender.is_closed() {
+            self.return_idle(address, sender, reusable_ms.min(self.conf.idle_ms));
         }
         Ok(WholeAnswer {
             status: parts.status,
@@ -120,7 +122,7 @@
             match sender.try_send_request(request).await {
                 Ok(response) => return Ok((sender, response)),
                 Err(mut error) => match error.take_message() {
-                    // The kept connection turned out to be closed, and nothing was sent.
+                    // The idle connection was already closed, and nothing was sent.
                     Some(unsent) => request = unsent,
                     None => return Err(SendError::Lost(error.into_error())),
                 },
@@ -155,41 +157,43 @@
         Ok(sender)
     }
 
-    /// A connection that is still sending its last request is passed over: what followed would stand
-    /// where the rest of that request is due.
+    /// Takes an idle connection. One that is still sending its last request is skipped, because the
+    /// server would read the next request as the rest of that one.
     fn take_idle(&self, address: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
         let now = self.clock.now();
         let mut idle = self.lock();
-        let kept = idle.get_mut(&address)?;
-        kept.retain(|each| !each.sender.is_closed() && now < each.until);
-        let ready = kept.iter().rposition(|each| each.sender.is_ready())?;
-        Some(kept.swap_remove(ready).sender)
+        let connections = idle.get_mut(&address)?;
+        connections.retain(|each| !each.sender.is_closed() && now < each.expires_at);
+        let ready = connections
+            .iter()
+            .rposition(|each| each.sender.is_ready())?;
+        Some(connections.swap_remove(ready).sender)
     }
 
-    fn give_back(&self, address: SocketAddr, sender: SendRequest<Full<Bytes>>, kept_ms: u64) {
+    fn return_idle(&self, address: SocketAddr, sender: SendRequest<Full<Bytes>>, reusable_ms: u64) {
         let now = self.clock.now();
-        let until = now + kept_ms;
+        let expires_at = now + reusable_ms;
         let mut idle = self.lock();
-        if idle.len() >= MOST_ADDRESSES && !idle.contains_key(&address) {
-            idle.retain(|_, kept| kept.iter().any(|each| now < each.until));
+        if idle.len() >= MAX_ADDRESSES && !idle.contains_key(&address) {
+            idle.retain(|_, connections| connections.iter().any(|each| now < each.expires_at));
         }
-        let kept = idle.entry(address).or_default();
-        if kept.len() >= MOST_IDLE {
-            kept.remove(0);
+        let connections = idle.entry(address).or_default();
+        if connections.len() >= MAX_IDLE_PER_ADDRESS {
+            connections.remove(0);
         }
-        kept.push(Idle { sender, until });
+        connections.push(IdleConnection { sender, expires_at });
     }
 
-    fn lock(&self) -> MutexGuard<'_, FastMap<SocketAddr, Vec<Idle>>> {
+    fn lock(&self) -> MutexGuard<'_, FastMap<SocketAddr, Vec<IdleConnection>>> {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Small messages go out at once, and a connection on which nothing is acknowledged ends.
+/// Sets TCP options: small messages are sent without delay, and an unresponsive peer is detected.
 ///
-/// Guards against connections that go silent for good, without a reset: a request on one would be
-/// waited for until its deadline. It holds because a connection on which nothing comes is probed each
-/// second, twice, and sent data that is not acknowledged in time ends it.
+/// A connection can stop delivering packets without a reset. A request on it would then wait until its
+/// deadline. To prevent this, an idle connection is probed every second and closed after two failed
+/// probes, and a connection is closed if sent data is not acknowledged within `silence_ms`.
 pub(super) fn set_options(stream: &TcpStream, silence_ms: u64) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
--- a/src/adapters/http_client.rs
+++ b/src/adapters/http_client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client for callers' traffic, between nodes and towards backend servers.
+//! The HTTP client for calls between nodes, to backend servers and to the platform.
 
 use std::net::IpAddr;
 use std::time::Duration;
@@ -9,21 +9,21 @@
 
 use crate::adapters::Body;
 
-/// A pooling HTTP/1.1 client. HTTP/1.1 on purpose: one call a connection, so that a connection
-/// gone silent holds up one call and not all of them (docs/DESIGN.md, "Silent connections").
+/// A pooling HTTP/1.1 client. HTTP/1.1 carries one call at a time on a connection, so a connection
+/// that stops answering delays one call and not all of them (docs/DESIGN.md, "Silent connections").
 pub type HttpClient = Client<HttpConnector, Body>;
 
 /// Builds a client.
 ///
-/// `idle_ms` is how long an unused connection is kept: a connection idle for longer is the most
-/// likely one to have been forgotten by something in between, and a new one costs about 1 ms.
-/// `connect_ms` bounds the wait for a new connection.
+/// `idle_ms` is how long an idle connection is kept. The longer a connection is idle, the more likely
+/// a middlebox has dropped its state, and a new connection costs only about 1 ms. `connect_ms` limits
+/// the wait for a new connection.
 pub fn http_client(idle_ms: u64, connect_ms: u64) -> HttpClient {
     client_from(None, idle_ms, connect_ms)
 }
 
-/// Builds a client whose connections come from `own_address`, so that on a VM with several
-/// addresses peers see the node under the one that its settings give.
+/// Builds a client whose connections use `own_address` as their source, so that on a VM with several
+/// addresses peers see the one in the node's settings.
 pub fn http_client_from(own_address: IpAddr, idle_ms: u64, connect_ms: u64) -> HttpClient {
     client_from(Some(own_address), idle_ms, connect_ms)
 }
@@ -36,8 +36,8 @@
     Client::builder(TokioExecutor::new())
         .pool_idle_timeout(Duration::from_millis(idle_ms))
         .pool_timer(hyper_util::rt::TokioTimer::new())
-        // Only for requests that the pool hands back unsent, because the kept connection turned
-        // out to be closed: nothing of them left this process, so no second run can follow.
+        // Retries only requests that the pool returns unsent because the idle connection was already
+        // closed. No part of them has left this process, so they cannot run twice.
         .retry_canceled_requests(true)
         .build(connector)
 }
--- a/src/adapters/http_listener.rs
+++ b/src/adapters/http_listener.rs
@@ -1,8 +1,8 @@
-//! A listener that serves HTTP/1.1 by `hyper` itself.
+//! A listener that serves HTTP/1.1 with `hyper` directly.
 //!
-//! With `gotham` and the pool of `hyper-util` a call took 460 us of processor time at entry and
-//! guard together (docs/MEASUREMENTS.md), more than a small machine has; so here its nearest kin is
-//! used (docs/PLATFORM.md has the figure of this way).
+//! With `gotham` and the pool of `hyper-util`, a call took 460 us of CPU time at entry and guard
+//! together (docs/MEASUREMENTS.md), which is too much for a small VM. `gotham` is built on `hyper`, so
+//! `hyper` is used here without it (docs/PLATFORM.md has the CPU time of this version).
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -31,29 +31,29 @@
 
 use crate::adapters::connection_pool::set_options;
 
-/// The pause after a failure to accept, which is mostly a lack of descriptors.
+/// The pause after a failed accept. The usual cause is a lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// How long a connection that was open when the listener stopped may take over its first request.
-const FIRST_REQUEST_WITHIN: Duration = Duration::from_millis(300);
-/// The smallest buffer that `hyper` takes, in bytes.
-const LEAST_BUFFER_BYTES: usize = 8 * 1024;
+/// How long a connection that was open when the listener stopped may take to send its first request.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
+/// The smallest buffer that `hyper` accepts, in bytes.
+const MIN_BUFFER_BYTES: usize = 8 * 1024;
 
-/// Bounds of a listener's connections.
+/// Limits of a listener's connections.
 #[derive(Clone, Copy, Debug)]
 pub struct ListenerConf {
-    /// How long a connection may bring no whole request head; it includes the time without a
-    /// request.
+    /// How long a connection may take to deliver a complete request head, including the idle time
+    /// before it.
     pub idle_ms: u64,
-    /// The longest request head.
+    /// The largest request head, in bytes. Values below 8 KiB count as 8 KiB.
     pub max_head_bytes: usize,
-    /// Nothing acknowledged for so long ends a connection.
+    /// A connection is closed if sent data is not acknowledged for this long.
     pub silence_ms: u64,
 }
 
-/// Serves until the task is dropped, which ends all its connections. Once `stopping` holds true, connections are closed after the
-/// answer that is under way, and new ones get one answer each.
+/// Serves until the future is dropped, which closes all its connections. Once `stopping` is true, each
+/// connection is closed after its current answer, and each new connection gets one answer.
 ///
-/// The bounds are asked for at each new connection, so that changed ones hold from then on. A
+/// `conf` is called for each new connection, so changed limits apply to connections accepted later. A
 /// handler is dropped when its caller closes the connection.
 pub async fn serve_http<F, R>(
     listener: TcpListener,
@@ -69,7 +69,8 @@
     loop {
         match listener.accept().await {
             Ok((stream, from)) => {
-                let serving = serve_one(stream, from, conf(), stopping.clone(), handler.clone());
+                let serving =
+                    handle_connection(stream, from, conf(), stopping.clone(), handler.clone());
                 connections.spawn(serving);
             }
             Err(error) => {
@@ -85,20 +86,20 @@
     }
 }
 
-/// Ends a connection with the answer that is under way, or the first one.
+/// Closes a connection after its current answer, or after the first one.
 ///
-/// Guards against a connection that a caller has just opened: closed at once, as one that is idle, it
-/// would take a request with it that has arrived and was not read yet.
+/// A connection that a caller has just opened looks idle. If it were closed at once, a request that
+/// has arrived and was not read yet would be lost.
 async fn close_after_answer<S>(
     mut connection: Pin<&mut Connection<TokioIo<TcpStream>, S>>,
-    has_begun: &AtomicBool,
+    has_request: &AtomicBool,
 ) -> hyper::Result<()>
 where
     S: HttpService<Incoming, ResBody = Full<Bytes>>,
     S::Error: Into<Box<dyn Error + Send + Sync>>,
 {
-    if !has_begun.load(Ordering::Relaxed)
-        && let Ok(ended) = tokio::time::timeout(FIRST_REQUEST_WITHIN, connection.as_mut()).await
+    if !has_request.load(Ordering::Relaxed)
+        && let Ok(ended) = tokio::time::timeout(FIRST_REQUEST_TIMEOUT, connection.as_mut()).await
     {
         return ended;
     }
@@ -106,14 +107,14 @@
     connection.await
 }
 
-/// Ends when the listener stops; never, when nobody can tell any more.
-async fn stopped(stopping: &mut watch::Receiver<bool>) {
+/// Completes when the listener stops. Never completes if the sender of `stopping` is dropped.
+async fn wait_until_stopping(stopping: &mut watch::Receiver<bool>) {
     if stopping.wait_for(|stopping| *stopping).await.is_err() {
         std::future::pending::<()>().await;
     }
 }
 
-async fn serve_one<F, R>(
+async fn handle_connection<F, R>(
     stream: TcpStream,
     from: SocketAddr,
     conf: ListenerConf,
@@ -127,10 +128,10 @@
         log::debug!("listener: cannot set options, from={from} error={error}");
     }
     let is_stopping = *stopping.borrow();
-    let has_begun = Arc::new(AtomicBool::new(false));
-    let begun = has_begun.clone();
+    let has_request = Arc::new(AtomicBool::new(false));
+    let request_seen = has_request.clone();
     let service = service_fn(move |request| {
-        begun.store(true, Ordering::Relaxed);
+        request_seen.store(true, Ordering::Relaxed);
         let answer = handler(request, from);
         async move { Ok::<_, std::convert::Infallible>(answer.await) }
     });
@@ -139,16 +140,16 @@
         .auto_date_header(false)
         .header_read_timeout(Duration::from_millis(conf.idle_ms))
         .keep_alive(!is_stopping)
-        .max_buf_size(conf.max_head_bytes.max(LEAST_BUFFER_BYTES))
+        .max_buf_size(conf.max_head_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
     let ended = tokio::select! {
         ended = connection.as_mut() => Some(ended),
-        () = stopped(&mut stopping), if !is_stopping => None,
+        () = wait_until_stopping(&mut stopping), if !is_stopping => None,
     };
     let ended = match ended {
         Some(ended) => ended,
-        None => close_after_answer(connection, &has_begun).await,
+        None => close_after_answer(connection, &has_request).await,
     };
     if let Err(error) = ended {
         log::debug!("listener: connection ended, from={from} error={error}");
--- a/src/adapters/http_server.rs
+++ b/src/adapters/http_server.rs
@@ -1,4 +1,4 @@
-//! One way to serve HTTP for every listener of every program, by gotham.
+//! An HTTP server built on `gotham`, and the body type of its requests and answers.
 
 use std::io;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 
-/// The body of requests and answers: a stream, so that large ones are never held whole.
+/// The body of requests and answers. It is a stream, so that large bodies need not fit in memory.
 pub type Body = UnsyncBoxBody<Bytes, io::Error>;
 
 /// A body without content.
@@ -46,7 +46,7 @@
     TcpListener::bind(address).await
 }
 
-/// Serves until the task is dropped. The handler gets the request and the caller's address.
+/// Serves until the future is dropped. The handler gets the request and the caller's address.
 pub async fn serve<F, R>(listener: TcpListener, handler: F)
 where
     F: Fn(Request<Body>, SocketAddr) -> R + Send + Sync + 'static,
@@ -64,7 +64,7 @@
     gotham::bind_server(listener, new_handler, without_delay).await
 }
 
-/// Small answers must not wait for an acknowledgement of the packet before.
+/// Disables Nagle's algorithm: small answers must not wait for the previous packet's acknowledgement.
 fn without_delay(socket: TcpStream) -> futures::future::Ready<Result<TcpStream, ()>> {
     ready(socket.set_nodelay(true).map(|()| socket).map_err(drop))
 }
--- a/src/adapters/kept_for.rs
+++ b/src/adapters/keep_alive.rs
@@ -1,17 +1,17 @@
-//! How long a server keeps a connection that is not used.
+//! How long a server keeps an idle connection, according to its answers.
 
 use http::HeaderMap;
 use http::header::CONNECTION;
 use http::header::HeaderName;
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
-/// How much sooner than its server a connection is given up, in milliseconds: a request that meets the close on
-/// its way may have run.
+/// How long before the server's timeout the pool stops using a connection, in milliseconds. If a
+/// request crosses the server's close on the network, its sender cannot know whether it ran.
 const MARGIN_MS: u64 = 300;
 
-/// For how long the server of this answer keeps the connection at most; `None` where it does not say.
-pub(super) fn kept_for_ms(headers: &HeaderMap) -> Option<u64> {
-    if is_closing(headers) {
+/// How long the connection may be reused after this answer; `None` if the server does not say.
+pub(super) fn keep_alive_ms(headers: &HeaderMap) -> Option<u64> {
+    if closes_connection(headers) {
         return Some(0);
     }
     let texts = headers.get_all(KEEP_ALIVE).iter();
@@ -27,7 +27,7 @@
     Some(timeout_s.saturating_mul(1_000).saturating_sub(MARGIN_MS))
 }
 
-fn is_closing(headers: &HeaderMap) -> bool {
+fn closes_connection(headers: &HeaderMap) -> bool {
     let values = headers.get_all(CONNECTION).iter();
     let options = values.flat_map(|value| value.as_bytes().split(|byte| *byte == b','));
     let mut options = options.map(<[u8]>::trim_ascii);
--- a/src/adapters/mod.rs
+++ b/src/adapters/mod.rs
@@ -1,11 +1,11 @@
-//! Where the product meets libraries: HTTP servers and clients.
+//! Adapters to the HTTP libraries: servers, clients and message bodies.
 
 mod body_budget;
 mod connection_pool;
 mod http_client;
 mod http_listener;
 mod http_server;
-mod kept_for;
+mod keep_alive;
 mod whole_body;
 
 pub use body_budget::BodyBudget;
--- a/src/adapters/whole_body.rs
+++ b/src/adapters/whole_body.rs
@@ -1,4 +1,4 @@
-//! Reading a body to its end.
+//! Reads a complete message body.
 
 use std::sync::Arc;
 
@@ -11,12 +11,12 @@
 use crate::adapters::BodyBudget;
 use crate::errors::SendError;
 
-/// How much is set aside at first for a body that comes in pieces. Announced lengths are not
-/// believed further than this: a few callers that announce much and send little would take the
-/// memory of the process.
-const FIRST_BYTES: usize = 64 * 1024;
+/// Initial buffer size for a body of several chunks, in bytes. An announced length is not trusted
+/// beyond this. Otherwise a few callers that announce much and send little could exhaust the memory of
+/// the process.
+const INITIAL_CAPACITY_BYTES: usize = 64 * 1024;
 
-/// Reads a body to its end. What it takes of `budget` is given back when the body is dropped.
+/// Reads a complete body. Its part of `budget` is released when the body is dropped.
 ///
 /// # Errors
 /// When it is cut short, longer than `max_bytes`, or the budget has no room for it.
@@ -29,29 +29,29 @@
     if announced_bytes > max_bytes as u64 {
         return Err(SendError::TooLong { max_bytes });
     }
-    let mut share = budget.share();
-    let mut pieces = Pieces::new(announced_bytes as usize);
+    let mut reservation = budget.reservation();
+    let mut chunks = BodyChunks::new(announced_bytes as usize);
     while let Some(frame) = body.frame().await {
-        let Ok(piece) = frame?.into_data() else {
+        let Ok(chunk) = frame?.into_data() else {
             continue;
         };
-        if pieces.bytes() + piece.len() > max_bytes {
+        if chunks.bytes() + chunk.len() > max_bytes {
             return Err(SendError::TooLong { max_bytes });
         }
-        share.grow(piece.len())?;
-        pieces.add(piece);
+        reservation.grow(chunk.len())?;
+        chunks.add(chunk);
     }
-    Ok(share.tie_to(pieces.whole()))
+    Ok(reservation.attach_to(chunks.whole()))
 }
 
-/// Pieces put together. Most bodies are of one piece, which is not copied.
-struct Pieces {
+/// Assembles the chunks of a body. Most bodies have a single chunk, which is not copied.
+struct BodyChunks {
     announced_bytes: usize,
     first: Bytes,
     whole: BytesMut,
 }
 
-impl Pieces {
+impl BodyChunks {
     fn new(announced_bytes: usize) -> Self {
         Self {
             announced_bytes,
@@ -64,24 +64,24 @@
         self.first.len() + self.whole.len()
     }
 
-    fn add(&mut self, piece: Bytes) {
+    fn add(&mut self, chunk: Bytes) {
         if self.bytes() == 0 {
-            self.first = piece;
+            self.first = chunk;
             return;
         }
         let first = std::mem::take(&mut self.first);
-        self.make_room(first.len() + piece.len());
+        self.make_room(first.len() + chunk.len());
         self.whole.extend_from_slice(&first);
-        self.whole.extend_from_slice(&piece);
+        self.whole.extend_from_slice(&chunk);
     }
 
-    /// Grows by doubling, but not past the announced length.
+    /// Grows the buffer by doubling, limited to the announced length or what is needed.
     fn make_room(&mut self, more_bytes: usize) {
         let needed = self.whole.len() + more_bytes;
         if needed <= self.whole.capacity() {
             return;
         }
-        let doubled = (2 * self.whole.capacity()).max(FIRST_BYTES);
+        let doubled = (2 * self.whole.capacity()).max(INITIAL_CAPACITY_BYTES);
         let wanted = doubled.min(self.announced_bytes).max(needed);
         self.whole.reserve(wanted - self.whole.len());
     }
--- a/src/conf/address_check.rs
+++ b/src/conf/address_check.rs
@@ -1,11 +1,11 @@
-//! Addresses that cannot work together.
+//! Checks of listener addresses.
 
 use std::net::SocketAddr;
 
 use crate::conf::Section;
 
-/// Reports listeners that would claim the same address. Port 0 takes any free port and so never
-/// clashes; an unspecified address (0.0.0.0) claims the port on every address.
+/// Reports listeners that would bind the same address. Port 0 takes any free port and so never
+/// clashes. An unspecified address (0.0.0.0) binds the port on every address.
 pub fn check_clashes(section: &Section, listeners: &[(&'static str, Option<SocketAddr>)]) {
     for (index, (field, address)) in listeners.iter().enumerate() {
         let Some(address) = address else { continue };
@@ -24,8 +24,8 @@
     a.port() != 0 && a.port() == b.port() && (any || a.ip() == b.ip())
 }
 
-/// Reports a local listener that others could reach: whoever reaches it acts as the backend
-/// server.
+/// Reports a local listener that other machines could reach. Anyone who can reach it could act as the
+/// backend server.
 pub fn check_loopback(section: &Section, field: &'static str, address: Option<SocketAddr>) {
     if let Some(address) = address.filter(|address| !address.ip().is_loopback()) {
         let expected = "a loopback address, such as 127.0.0.1:7002, as only the local backend \
--- a/src/conf/deployment.rs
+++ b/src/conf/deployment.rs
@@ -1,4 +1,4 @@
-//! A deployment at one look: its failure domains, services and their sizes.
+//! A deployment: its failure domains, services and their sizes.
 
 use std::net::IpAddr;
 use std::net::Ipv4Addr;
@@ -9,7 +9,7 @@
 
 /// Listeners of a node, in the order in which [`Deployment::loopback_settings`] asks for ports.
 const LISTENERS_PER_NODE: usize = 5;
-/// Nodes of each failure domain that new nodes ask first.
+/// Nodes of each failure domain that new nodes contact first.
 const SEEDS_PER_DOMAIN: usize = 2;
 
 /// The size of one service.
@@ -17,32 +17,32 @@
 pub struct ServiceSize {
     pub name: Name,
     pub targets: usize,
-    /// Calls that one backend server runs at once.
+    /// How many calls one backend server runs concurrently.
     pub slots: u32,
-    /// Connections that one backend server accepts.
+    /// How many connections one backend server accepts.
     pub connections: u32,
 }
 
-/// What a deployment file describes. Meshes for tests and demos are made from it.
+/// The contents of a deployment file, from which meshes for tests and demos are started.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Deployment {
     pub name: Name,
     pub region: Name,
     pub domains: Vec<Name>,
-    /// One way between two failure domains, in microseconds.
+    /// One-way latency between two failure domains, in microseconds.
     pub domain_latency_us: u64,
-    /// One way between callers and any node, in microseconds.
+    /// One-way latency between callers and any node, in microseconds.
     pub client_latency_us: u64,
-    /// What a new connection costs, in microseconds.
+    /// The time a new connection takes, in microseconds.
     pub connect_cost_us: u64,
     pub services: Vec<ServiceSize>,
     /// Paths of the preset files, relative to the deployment file.
     pub presets: Vec<String>,
-    /// The preset that comes into force first.
+    /// The preset that is in force first.
     pub first_preset: Name,
 }
 
-/// Where one backend server and its node run.
+/// The failure domain and size of one backend server and its node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Placement {
     pub node: Name,
@@ -71,7 +71,7 @@
     }
 
     /// Settings of every node on loopback, in the order of [`Self::placements`]. `free_port`
-    /// supplies the ports; `change` adjusts what is not at its default.
+    /// supplies the ports; `change` adjusts settings that differ from the defaults.
     pub fn loopback_settings(
         &self,
         platform_address: SocketAddr,
--- a/src/conf/deployment_document.rs
+++ b/src/conf/deployment_document.rs
@@ -1,4 +1,4 @@
-//! Deployment files as written in YAML, and the check of a deployment together with its presets.
+//! Reads deployment files in YAML, and checks a deployment together with its presets.
 
 use std::path::Path;
 
@@ -13,24 +13,24 @@
 use crate::errors::SettingsError;
 use crate::preset::Preset;
 
-const MOST_TARGETS: u64 = 10_000;
-const MOST_SLOTS: u64 = 100_000;
-const MOST_CONNECTIONS: u64 = 1_000_000;
-const LONGEST_LATENCY_US: u64 = 1_000_000;
+const MAX_TARGETS: u64 = 10_000;
+const MAX_SLOTS: u64 = 100_000;
+const MAX_CONNECTIONS: u64 = 1_000_000;
+const MAX_LATENCY_US: u64 = 1_000_000;
 const ANY: &str = "*";
 
-/// A deployment with the presets that its file names, each checked.
+/// A validated deployment with the presets that its file names.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DeploymentFiles {
     pub deployment: Deployment,
-    /// The presets and the documents that they were read from, as they are published.
+    /// The presets, each with the document that it was read from, as published.
     pub presets: Vec<(Preset, String)>,
 }
 
 /// Reads and checks a deployment file and the presets it names.
 ///
 /// # Errors
-/// A list of files with every problem of each.
+/// All problems, grouped by file.
 pub fn load_deployment(path: &Path) -> Result<DeploymentFiles, Vec<SettingsError>> {
     let file = path.display().to_string();
     let text = read_file(path).map_err(|error| vec![error])?;
@@ -44,7 +44,7 @@
             Err(error) => errors.push(error),
         }
     }
-    let problems = check_together(&deployment, &presets, errors.is_empty());
+    let problems = check_presets(&deployment, &presets, errors.is_empty());
     if !problems.is_empty() {
         errors.push(SettingsError { file, problems });
     }
@@ -63,9 +63,9 @@
     Ok((preset, text))
 }
 
-/// Reports rules for services that the deployment does not have, which would silently never
-/// match, presets of the same name, and a first preset that is not among them.
-fn check_together(
+/// Reports rules for services that the deployment does not have, since they would never match. Also
+/// reports presets of the same name, and a first preset that is not among them.
+fn check_presets(
     deployment: &Deployment,
     presets: &[(Preset, String)],
     complete: bool,
@@ -120,10 +120,10 @@
             "at least one failure domain is required",
         );
     }
-    check_once(section, "domains", &domains);
-    let domain_latency_us = section.number_or("domain_latency_us", 0..=LONGEST_LATENCY_US, 0);
-    let client_latency_us = section.number_or("client_latency_us", 0..=LONGEST_LATENCY_US, 0);
-    let connect_cost_us = section.number_or("connect_cost_us", 0..=LONGEST_LATENCY_US, 0);
+    check_unique(section, "domains", &domains);
+    let domain_latency_us = section.number_or("domain_latency_us", 0..=MAX_LATENCY_US, 0);
+    let client_latency_us = section.number_or("client_latency_us", 0..=MAX_LATENCY_US, 0);
+    let connect_cost_us = section.number_or("connect_cost_us", 0..=MAX_LATENCY_US, 0);
     let services = read_services(section);
     let presets = section.texts("presets");
     if presets.is_empty() {
@@ -160,9 +160,9 @@
 }
 
 fn read_service(name: Name, section: &mut Section) -> Option<ServiceSize> {
-    let targets = section.number("targets", 1..=MOST_TARGETS);
-    let slots = section.number("slots", 1..=MOST_SLOTS);
-    let connections = section.number("connections", 1..=MOST_CONNECTIONS);
+    let targets = section.number("targets", 1..=MAX_TARGETS);
+    let slots = section.number("slots", 1..=MAX_SLOTS);
+    let connections = section.number("connections", 1..=MAX_CONNECTIONS);
     if let (Some(slots), Some(connections)) = (slots, connections)
         && connections < slots
     {
@@ -177,7 +177,7 @@
     })
 }
 
-fn check_once(section: &Section, field: &str, names: &[Name]) {
+fn check_unique(section: &Section, field: &str, names: &[Name]) {
     for (index, name) in names.iter().enumerate() {
         if names[..index].contains(name) {
             section.problem(&format!("{field}[{index}]"), name, "each name once");
--- a/src/conf/document.rs
+++ b/src/conf/document.rs
@@ -1,4 +1,4 @@
-//! A YAML file as a whole: read, parsed and handed to a reader that collects every problem.
+//! Reads and parses a YAML file, and collects every problem in it.
 
 use std::cell::RefCell;
 use std::fs;
@@ -14,7 +14,7 @@
 /// Reads a file as text.
 ///
 /// # Errors
-/// When the file cannot be read; it is then the only problem.
+/// When the file cannot be read; this is then the only problem.
 pub fn read_file(path: &Path) -> Result<String, SettingsError> {
     fs::read_to_string(path).map_err(|error| SettingsError {
         file: path.display().to_string(),
@@ -26,11 +26,11 @@
     })
 }
 
-/// Parses `text` and lets `read` take the values out of it. The result counts only if no problem
-/// was noted: `read` returns `None` where something it needs is missing.
+/// Parses `text` and calls `read` to extract the values. `read` returns `None` if a required value is
+/// missing. Its result is returned only if no problem was recorded.
 ///
 /// # Errors
-/// Every problem of the document at once, so that one correction round is enough.
+/// All problems of the document, so that they can be corrected in one round.
 pub fn parse_document<T>(
     file: &str,
     text: &str,
--- a/src/conf/file_watch.rs
+++ b/src/conf/file_watch.rs
@@ -1,61 +1,61 @@
-//! A settings file that may change while the process runs, with or without a signal.
+//! Detects changes of a settings file while the process runs, with or without a signal.
 
 use std::io;
 use std::path::Path;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// How often the file is looked at when no signal says that it changed. It has a few kilobytes;
-/// nothing in it decides about single calls.
-const LOOK: Duration = Duration::from_secs(5);
+/// How often the file is read if no signal announces a change. The file has a few kilobytes, and no
+/// single call depends on its contents.
+const POLL_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The file as it was last seen.
+/// Watches a file by comparing its text with the one last read.
 #[derive(Clone, Debug)]
 pub struct FileWatch {
     path: PathBuf,
-    seen: String,
-    failure: Option<io::ErrorKind>,
+    last_text: String,
+    last_error: Option<io::ErrorKind>,
 }
 
 impl FileWatch {
-    /// Watches a file whose present text has been read already.
-    pub fn new(path: PathBuf, seen: String) -> Self {
+    /// Watches a file whose current text has already been read.
+    pub fn new(path: PathBuf, last_text: String) -> Self {
         Self {
             path,
-            seen,
-            failure: None,
+            last_text,
+            last_error: None,
         }
     }
 
-    /// Where the file is.
+    /// The path of the file.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Waits until the file is to be looked at again.
+    /// Waits until the file is to be read again.
     pub async fn due(&self) {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 
-    /// The text of the file if it is another one than before. Each text is answered once, so that
-    /// one that cannot be used is told of once.
+    /// The text of the file if it has changed. Each change is returned once, so that an invalid text
+    /// is reported once.
     ///
     /// # Errors
-    /// When the file cannot be read; the same failure is told once until it is over.
+    /// When the file cannot be read. Consecutive errors of the same kind are returned once.
     pub fn changed(&mut self) -> io::Result<Option<String>> {
         let text = match std::fs::read_to_string(&self.path) {
             Ok(text) => text,
-            Err(error) if self.failure == Some(error.kind()) => return Ok(None),
+            Err(error) if self.last_error == Some(error.kind()) => return Ok(None),
             Err(error) => {
-                self.failure = Some(error.kind());
+                self.last_error = Some(error.kind());
                 return Err(error);
             }
         };
-        self.failure = None;
-        if text == self.seen {
+        self.last_error = None;
+        if text == self.last_text {
             return Ok(None);
         }
-        self.seen.clone_from(&text);
+        self.last_text.clone_from(&text);
         Ok(Some(text))
     }
 }
--- a/src/conf/mod.rs
+++ b/src/conf/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of the programs: YAML turned into checked values, with every problem told at once.
+//! Settings of the programs: parses YAML into validated values and reports all problems at once.
 
 mod address_check;
 mod defaults;
--- a/src/conf/node_document.rs
+++ b/src/conf/node_document.rs
@@ -1,4 +1,4 @@
-//! Node settings as written in YAML. Every field is described in
+//! Reads node settings in YAML. Every field is described in
 //! [docs/OPERATIONS.md](../../docs/OPERATIONS.md), "Settings of a node".
 
 use std::path::Path;
@@ -15,19 +15,19 @@
 use crate::conf::read_file;
 use crate::errors::SettingsError;
 
-/// Reads and checks the settings of a node.
+/// Reads and validates the settings of a node.
 ///
 /// # Errors
-/// Every problem of the file at once.
+/// All problems of the file.
 pub fn load_node_settings(path: &Path) -> Result<NodeSettings, SettingsError> {
     let text = read_file(path)?;
     parse_node_settings(&path.display().to_string(), &text)
 }
 
-/// Checks the settings of a node; `file` is the name that problems are told under.
+/// Parses and validates the settings of a node. Problems are reported under the name `file`.
 ///
 /// # Errors
-/// Every problem of the text at once.
+/// All problems of the text.
 pub fn parse_node_settings(file: &str, text: &str) -> Result<NodeSettings, SettingsError> {
     parse_document(file, text, read_node)
 }
--- a/src/conf/node_settings.rs
+++ b/src/conf/node_settings.rs
@@ -1,4 +1,4 @@
-//! The checked settings of a node.
+//! The validated settings of a node.
 
 use std::net::SocketAddr;
 
@@ -7,60 +7,60 @@
 use crate::conf::defaults;
 use crate::core::Name;
 
-/// What a node has to know before it starts. It learns its addresses and its failure domain from
-/// here and from nowhere else.
+/// The settings that a node needs at its start. They are the only source of its addresses and its
+/// failure domain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeSettings {
     pub node: Name,
     pub region: Name,
     pub domain: Name,
-    /// Where callers send requests.
+    /// Listener for callers' requests.
     pub caller_address: SocketAddr,
-    /// Where the local backend server announces itself and sends its own calls; loopback only.
+    /// Listener on which the local backend server registers and sends its own calls; loopback only.
     pub local_address: SocketAddr,
-    /// Where other nodes forward calls.
+    /// Listener for calls that other nodes forward.
     pub peer_address: SocketAddr,
     /// UDP for gossip and TCP for control calls.
     pub control_address: SocketAddr,
-    /// Metrics, status and drain.
+    /// Listener for metrics, status and drain.
     pub operator_address: SocketAddr,
-    /// Control addresses of some nodes to begin with.
+    /// Control addresses of the nodes that are contacted first.
     pub seeds: Vec<SocketAddr>,
-    /// What other nodes are told instead of `peer_address`, where the two differ.
+    /// The peer address announced to other nodes; `peer_address` by default.
     pub peer_advertised_address: SocketAddr,
-    /// What other nodes are told instead of `control_address`, where the two differ.
+    /// The control address announced to other nodes; `control_address` by default.
     pub control_advertised_address: SocketAddr,
     /// The platform's table service and object store.
     pub platform_address: SocketAddr,
     pub traffic_threads: usize,
-    /// `false` is the baseline of measurements: forward everything, three retries a hop.
+    /// `false` is the baseline for measurements: every call is forwarded, with three retries a hop.
     pub control_enabled: bool,
-    /// The largest request or answer body that is held whole; larger ones are streamed.
+    /// The largest request or answer body that is buffered completely; larger ones are streamed.
     pub max_held_body_bytes: usize,
     pub max_header_bytes: usize,
-    /// How much is logged; the environment variable `RUST_LOG` overrides it.
+    /// The log level; the environment variable `RUST_LOG` overrides it.
     pub log_level: LevelFilter,
     /// How long a new connection to a peer or backend server may take.
     pub connect_timeout_ms: u64,
-    /// How long an unused connection is kept open.
+    /// How long an idle connection is kept open.
     pub idle_connection_ms: u64,
-    /// How long a connection with a call on it may make no progress before it is given up.
+    /// How long a connection with a call on it may make no progress before it is closed.
     pub silence_ms: u64,
-    /// How long a planned stop waits for calls in flight.
+    /// How long a graceful shutdown waits for calls in flight.
     pub drain_timeout_ms: u64,
     /// How long one request to the platform may take.
     pub platform_timeout_ms: u64,
-    /// How often a polling node reads the row of the configuration in force.
+    /// How often a node that polls reads the row of the configuration in force.
     pub config_poll_ms: u64,
-    /// How long an owner of slots relies on one sign that nobody takes them over.
+    /// How long an owner of slots relies on one confirmation that no other node takes them over.
     pub lease_ms: u64,
-    /// How many idempotency keys a guard remembers at most.
+    /// The maximum number of idempotency keys that a guard remembers.
     pub max_ledger_keys: usize,
 }
 
 impl NodeSettings {
-    /// Settings with every default. `addresses` are those of callers, local backend server, peers,
-    /// control and operators, in this order.
+    /// Settings with all defaults. `addresses` are the caller, local, peer, control and operator
+    /// addresses, in this order.
     pub fn with_defaults(
         node: Name,
         region: Name,
--- a/src/conf/node_writer.rs
+++ b/src/conf/node_writer.rs
@@ -1,11 +1,11 @@
-//! Writes node settings back as YAML, for meshes that start nodes as processes.
+//! Writes node settings as YAML, for meshes that start nodes as processes.
 
 use std::fmt::Write;
 
 use crate::conf::NodeSettings;
 
 impl NodeSettings {
-    /// The settings as a document that `load_node_settings` reads back to the same value.
+    /// The settings as a document from which `load_node_settings` reads the same value.
     pub fn to_yaml(&self) -> String {
         let seeds: Vec<String> = self.seeds.iter().map(ToString::to_string).collect();
         let seeds = format!("[{}]", seeds.join(", "));
--- a/src/conf/preset_document.rs
+++ b/src/conf/preset_document.rs
@@ -1,4 +1,4 @@
-//! Preset documents as written in YAML. The format is described in
+//! Reads preset documents in YAML. The format is described in
 //! [docs/OPERATIONS.md](../../docs/OPERATIONS.md), "Presets".
 
 use std::path::Path;
@@ -14,30 +14,30 @@
 use crate::preset::Preset;
 use crate::preset::Rule;
 
-/// More classes than this help no operator, and a class is one byte in a priority.
-const MOST_CLASSES: usize = 32;
-const LONGEST_WAIT_MS: u64 = 600_000;
-const LONGEST_DEADLINE_MS: u64 = 86_400_000;
-const MOST_RETRIES: u64 = 100;
-/// Ledgers keep keys for twice the resend window, so it is also a bound on memory.
-const LONGEST_RESEND_WINDOW_MS: u64 = 3_600_000;
-const SHORTEST_RESEND_WINDOW_MS: u64 = 1_000;
+/// More classes would not help operators, and a class takes one byte in a priority.
+const MAX_CLASSES: usize = 32;
+const MAX_WAIT_MS: u64 = 600_000;
+const MAX_DEADLINE_MS: u64 = 86_400_000;
+const MAX_RETRIES: u64 = 100;
+/// Ledgers keep keys for twice the resend window, so this limit also bounds their memory.
+const MAX_RESEND_WINDOW_MS: u64 = 3_600_000;
+const MIN_RESEND_WINDOW_MS: u64 = 1_000;
 const DEFAULT_RETRY_ALLOTMENT: u64 = 3;
 const DEFAULT_RESEND_WINDOW_MS: u64 = 60_000;
 
-/// Reads and checks a preset document.
+/// Reads and validates a preset document.
 ///
 /// # Errors
-/// Every problem of the file at once.
+/// All problems of the file.
 pub fn load_preset(path: &Path) -> Result<Preset, SettingsError> {
     let text = read_file(path)?;
     parse_preset(&path.display().to_string(), &text)
 }
 
-/// Checks a preset document; `file` is the name that problems are told under.
+/// Parses and validates a preset document. Problems are reported under the name `file`.
 ///
 /// # Errors
-/// Every problem of the text at once.
+/// All problems of the text.
 pub fn parse_preset(file: &str, text: &str) -> Result<Preset, SettingsError> {
     parse_document(file, text, read_preset)
 }
@@ -51,14 +51,14 @@
         default_class.and_then(|class| class_index(section, "default_class", &class, &names));
     let rules = read_rules(section, &names);
     let retry_allotment =
-        section.number_or("retry_allotment", 0..=MOST_RETRIES, DEFAULT_RETRY_ALLOTMENT);
+        section.number_or("retry_allotment", 0..=MAX_RETRIES, DEFAULT_RETRY_ALLOTMENT);
     let resend_window_ms = section.number_or(
         "resend_window_ms",
-        SHORTEST_RESEND_WINDOW_MS..=LONGEST_RESEND_WINDOW_MS,
+        MIN_RESEND_WINDOW_MS..=MAX_RESEND_WINDOW_MS,
         DEFAULT_RESEND_WINDOW_MS,
     );
     if let Some(rules) = &rules {
-        check_reach(section, &names, default_class, rules);
+        check_reachable(section, &names, default_class, rules);
     }
     Some(Preset {
         name: name?,
@@ -70,14 +70,14 @@
     })
 }
 
-/// Reads the classes in the order of importance, and reports an order that leaves one out or
-/// names one that is not there.
+/// Reads the classes in order of importance. Reports an order that omits a class or names an unknown
+/// one.
 fn read_classes(section: &mut Section) -> Vec<ClassPolicy> {
     let order = section.names("order");
     let mut policies: Vec<ClassPolicy> = Vec::new();
     for (name, mut class) in section.named_sections("classes") {
-        let wait_ms = class.number("wait_ms", 1..=LONGEST_WAIT_MS);
-        let deadline_ms = class.number("deadline_ms", 1..=LONGEST_DEADLINE_MS);
+        let wait_ms = class.number("wait_ms", 1..=MAX_WAIT_MS);
+        let deadline_ms = class.number("deadline_ms", 1..=MAX_DEADLINE_MS);
         check_wait(&class, wait_ms, deadline_ms);
         class.finish();
         policies.push(ClassPolicy {
@@ -87,8 +87,8 @@
         });
     }
     check_order(section, &order, &policies);
-    let place = |policy: &ClassPolicy| order.iter().position(|name| *name == policy.name);
-    policies.sort_by_key(|policy| place(policy).unwrap_or(usize::MAX));
+    let rank = |policy: &ClassPolicy| order.iter().position(|name| *name == policy.name);
+    policies.sort_by_key(|policy| rank(policy).unwrap_or(usize::MAX));
     policies
 }
 
@@ -105,8 +105,8 @@
     if policies.is_empty() {
         section.problem("classes", "missing", "at least one class is required");
     }
-    if policies.len() > MOST_CLASSES {
-        let expected = format!("at most {MOST_CLASSES} classes");
+    if policies.len() > MAX_CLASSES {
+        let expected = format!("at most {MAX_CLASSES} classes");
         section.problem("classes", &policies.len().to_string(), expected);
     }
     for policy in policies {
@@ -126,14 +126,14 @@
     }
 }
 
-/// Reports classes that no call can get into.
-fn check_reach(section: &Section, names: &[Name], default_class: Option<u8>, rules: &[Rule]) {
-    let reached = |index: usize| {
+/// Reports classes to which no call can be assigned.
+fn check_reachable(section: &Section, names: &[Name], default_class: Option<u8>, rules: &[Rule]) {
+    let is_reachable = |index: usize| {
         default_class.is_none_or(|class| usize::from(class) == index)
             || rules.iter().any(|rule| usize::from(rule.class) == index)
     };
     for (index, name) in names.iter().enumerate() {
-        if !reached(index) {
+        if !is_reachable(index) {
             let field = format!("classes.{name}");
             section.problem(
                 &field,
--- a/src/conf/preset_rules.rs
+++ b/src/conf/preset_rules.rs
@@ -4,11 +4,11 @@
 use crate::core::Name;
 use crate::preset::Rule;
 
-/// Rules are tried in order for each call, so there is an end to them.
-const MOST_RULES: usize = 1_000;
+/// Rules are tried in order for each call, so their number is limited.
+const MAX_RULES: usize = 1_000;
 const ANY: &str = "*";
 const METHODS: &[&str] = &["GET", "HEAD", "PUT", "DELETE", "OPTIONS", "POST", "PATCH"];
-/// Methods whose calls do harm when they run twice, unless a rule says otherwise.
+/// Methods whose calls are non-idempotent unless a rule says otherwise.
 const NON_IDEMPOTENT_METHODS: &[&str] = &["POST", "PATCH"];
 
 /// Reads all rules; `None` when one of them has a problem.
@@ -25,14 +25,14 @@
         }
         rule_section.finish();
     }
-    if rules.len() > MOST_RULES {
-        let expected = format!("at most {MOST_RULES} rules");
+    if rules.len() > MAX_RULES {
+        let expected = format!("at most {MAX_RULES} rules");
         section.problem("rules", &rules.len().to_string(), expected);
     }
     complete.then_some(rules)
 }
 
-/// The place of a class in the order, or a problem that lists the classes there are.
+/// The index of a class in the order. Reports a problem that lists the classes if there is none.
 pub fn class_index(
     section: &Section,
     field: &'static str,
@@ -95,8 +95,8 @@
     Some(Name::from(text))
 }
 
-/// What a rule does not say follows from its method. With any method nothing follows, and a
-/// guess could run a charge twice, so it has to be said.
+/// Reads whether calls of a rule are non-idempotent. If the rule does not say so, its method decides.
+/// With any method it has to be stated, because a wrong default could run a charge twice.
 fn read_non_idempotent(section: &mut Section, method: Option<&str>) -> Option<bool> {
     let given = section.has("non_idempotent");
     let stated = section.boolean("non_idempotent");
@@ -111,7 +111,7 @@
     method.map(|method| NON_IDEMPOTENT_METHODS.contains(&method))
 }
 
-/// Reports a rule that can never decide because an earlier one matches everything it does.
+/// Reports a rule that never applies because an earlier one matches all its calls.
 fn check_shadowed(section: &Section, rule: &Rule, earlier: &[Rule]) {
     let covers = |wide: &Name, narrow: &Name| &**wide == ANY || wide == narrow;
     let shadowing = earlier.iter().find(|other| {
--- a/src/conf/section.rs
+++ b/src/conf/section.rs
@@ -1,7 +1,7 @@
-//! A mapping of a YAML document, read field by field.
+//! Reads a mapping of a YAML document field by field.
 //!
-//! Deserializing straight into structs stops at the first error; operators want all of them. A
-//! section notes each problem, goes on, and at the end reports the keys nobody asked for.
+//! Deserializing directly into structs stops at the first error, but operators want to see all of them.
+//! A section records each problem and continues. At the end it reports the unknown keys.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -15,10 +15,10 @@
 use crate::core::Name;
 use crate::errors::Problem;
 
-/// The longest part of a value that a problem repeats.
+/// The number of characters of a value that are shown in a problem.
 const SHOWN_VALUE_CHARS: usize = 60;
 
-/// One mapping and the path that leads to it.
+/// A mapping and its path in the document.
 pub struct Section {
     path: String,
     entries: BTreeMap<String, Value>,
@@ -27,7 +27,7 @@
 }
 
 impl Section {
-    /// The section of a whole document.
+    /// The section for the whole document.
     pub fn root(value: Value, problems: Rc<RefCell<Vec<Problem>>>) -> Self {
         Self::new(String::new(), value, problems)
     }
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Notes a problem with a field of this section.
+    /// Records a problem with a field of this section.
     pub fn problem(&self, field: &str, value: &str, expected: impl Into<String>) {
         self.problems.borrow_mut().push(Problem {
             field: self.path_of(field),
@@ -80,21 +80,21 @@
         });
     }
 
-    /// Takes a field's value out; `null` counts as absent.
+    /// Removes and returns a field's value; `null` counts as absent.
     pub(super) fn take(&mut self, field: &'static str) -> Option<Value> {
         self.known.push(field);
         self.entries.remove(field).filter(|value| !value.is_null())
     }
 
-    /// Whether the field is given.
+    /// Whether the field is present.
     pub fn has(&self, field: &str) -> bool {
         self.entries
             .get(field)
             .is_some_and(|value| !value.is_null())
     }
 
-    /// Whether the field is given in another unit, which is reported as an unknown key: then it
-    /// is not reported as missing as well.
+    /// Whether the field is given in another unit. It is then reported as an unknown key, and should
+    /// not be reported as missing too.
     fn given_in_other_unit(&self, field: &'static str) -> bool {
         self.entries
             .iter()
@@ -118,7 +118,7 @@
         }
     }
 
-    /// A list of mappings, empty when it is not given. Each has to be finished by the caller.
+    /// A list of mappings, empty if absent. The caller has to call [`Self::finish`] on each.
     pub fn sections(&mut self, field: &'static str) -> Vec<Self> {
         let values = self.list(field);
         let path = self.path_of(field);
@@ -127,7 +127,8 @@
         values.into_iter().enumerate().map(section).collect()
     }
 
-    /// A mapping from names to mappings, empty when it is not given. Each has to be finished.
+    /// A mapping from names to mappings, empty if absent. The caller has to call [`Self::finish`] on
+    /// each.
     pub fn named_sections(&mut self, field: &'static str) -> Vec<(Name, Self)> {
         let Some(value) = self.take(field) else {
             return Vec::new();
@@ -144,7 +145,7 @@
         sections
     }
 
-    /// Reports every key that nobody asked for.
+    /// Reports every key that was not read.
     pub fn finish(self) {
         for (key, value) in &self.entries {
             if self.known.contains(&key.as_str()) {
@@ -161,7 +162,7 @@
     key.as_str().map_or_else(|| shown(key), ToOwned::to_owned)
 }
 
-/// A value as an operator recognises it, on one line.
+/// A value as one line of text, shortened for display.
 fn shown(value: &Value) -> String {
     let text = match value {
         Value::String(text) => format!("\"{text}\""),
--- a/src/conf/section_fields.rs
+++ b/src/conf/section_fields.rs
@@ -1,4 +1,4 @@
-//! The kinds of fields that a section reads.
+//! Readers for each type of field in a section.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -9,8 +9,8 @@
 use crate::conf::unit_hint::number_hint;
 use crate::core::Name;
 
-/// The longest name of a node, service, class or preset.
-const LONGEST_NAME_BYTES: usize = 64;
+/// The longest name of a node, service, class or preset, in bytes.
+const MAX_NAME_BYTES: usize = 64;
 pub(super) const NAME_EXPECTED: &str =
     "a name of at most 64 letters, digits, '-', '_' or '.' belongs here";
 const ADDRESS_EXPECTED: &str = "an IP address with port, such as 10.0.0.1:7000, belongs here";
@@ -60,7 +60,7 @@
         None
     }
 
-    /// `true` or `false`, if given.
+    /// An optional boolean.
     pub fn boolean(&mut self, field: &'static str) -> Option<bool> {
         let value = self.take(field)?;
         if value.as_bool().is_none() {
@@ -69,7 +69,7 @@
         value.as_bool()
     }
 
-    /// Text, if given.
+    /// An optional text.
     pub fn text(&mut self, field: &'static str) -> Option<String> {
         let value = self.take(field)?;
         if value.as_str().is_none() {
@@ -91,7 +91,7 @@
         self.checked_name(field, &text)
     }
 
-    /// A name out of a field's text, or a problem with it.
+    /// Parses a name from a field's text, or reports a problem.
     pub fn checked_name(&self, field: &str, text: &str) -> Option<Name> {
         if !is_name(text) {
             self.problem(field, text, NAME_EXPECTED);
@@ -100,7 +100,7 @@
         Some(Name::from(text))
     }
 
-    /// A text that was given but is no text has been reported by [`Self::text`].
+    /// Reports a missing name, unless [`Self::text`] has already reported a value that is not a text.
     fn missing_name(&self, field: &'static str) {
         let path = self.path_of(field);
         let reported = self.problems.borrow().iter().any(|p| p.field == path);
@@ -109,7 +109,7 @@
         }
     }
 
-    /// A list of names, empty when it is not given.
+    /// A list of names, empty if absent.
     pub fn names(&mut self, field: &'static str) -> Vec<Name> {
         let mut names = Vec::new();
         for (index, value) in self.list(field).into_iter().enumerate() {
@@ -125,7 +125,7 @@
         names
     }
 
-    /// A list of texts, empty when it is not given.
+    /// A list of texts, empty if absent.
     pub fn texts(&mut self, field: &'static str) -> Vec<String> {
         let mut texts = Vec::new();
         for (index, value) in self.list(field).into_iter().enumerate() {
@@ -140,7 +140,7 @@
         texts
     }
 
-    /// An address with port, if given.
+    /// An optional address with port.
     pub fn address(&mut self, field: &'static str) -> Option<SocketAddr> {
         let text = self.text(field)?;
         let address = text.parse().ok();
@@ -160,7 +160,7 @@
         self.address(field)
     }
 
-    /// A list of addresses, empty when it is not given.
+    /// A list of addresses, empty if absent.
     pub fn addresses(&mut self, field: &'static str) -> Vec<SocketAddr> {
         let mut addresses = Vec::new();
         for (index, value) in self.list(field).into_iter().enumerate() {
@@ -176,8 +176,8 @@
     }
 }
 
-/// Whether a text can be a name: it becomes part of keys, paths and labels.
+/// Whether a text is a valid name. Names become part of keys, paths and labels.
 pub(super) fn is_name(text: &str) -> bool {
     let ok = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    !text.is_empty() && text.len() <= LONGEST_NAME_BYTES && text.chars().all(ok)
+    !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.chars().all(ok)
 }
--- a/src/conf/unit_hint.rs
+++ b/src/conf/unit_hint.rs
@@ -1,8 +1,8 @@
-//! Recognises values given in another unit than the field's name says, and says what to write.
+//! Detects values in another unit than the field's name states, and suggests the correct one.
 
 use serde_yaml_ng::Value;
 
-/// Units as they end field names, with their size in the smallest unit of the same kind.
+/// Unit suffixes of field names, with the factor to milliseconds or bytes.
 const UNITS: &[(&str, Kind, f64)] = &[
     ("_us", Kind::Time, 0.001),
     ("_ms", Kind::Time, 1.0),
@@ -34,8 +34,8 @@
     (key, None)
 }
 
-/// The known field that an unknown one means when only the unit is wrong, with the value
-/// converted where that is possible.
+/// Suggests the known field that differs from an unknown one only in its unit, with the value
+/// converted if possible.
 pub fn unit_hint(unknown: &str, value: &Value, known: &[&'static str]) -> Option<String> {
     let (stem, unit) = split_unit(unknown);
     let field = known.iter().find(|field| {
@@ -55,8 +55,7 @@
     })
 }
 
-/// The number to write when a text with a unit in it, such as `200ms`, stands where a number
-/// belongs.
+/// The number to write instead of a text with a unit, such as `200ms`.
 pub fn number_hint(field: &str, value: &Value) -> Option<String> {
     let text = value.as_str()?.trim();
     if let Ok(number) = text.parse::<u64>() {
--- a/src/logging/event_rate.rs
+++ b/src/logging/event_rate.rs
@@ -1,60 +1,60 @@
-//! How often one event may be told.
+//! Rate limits on log lines, by event.
 
 use crate::core::FastMap;
 use crate::core::TimeMs;
 
-/// Lines of one event in a second, on average. A person reads a handful; the rest is in the counters.
-const PER_SECOND: f64 = 5.0;
-/// Lines of one event that may follow each other at once: what begins a trouble is told whole.
+/// Average rate of lines for one event. A person reads only a few; the counters cover the rest.
+const LINES_PER_SECOND: f64 = 5.0;
+/// Lines of one event that may be written in a burst, so that the start of a problem is logged in full.
 const BURST: f64 = 50.0;
-/// Events told apart; beyond it all are forgotten, and each may be told anew.
-const MOST_EVENTS: usize = 1_024;
+/// Events with a rate limit of their own. When a further one arrives, all limits are reset.
+const MAX_EVENTS: usize = 1_024;
 
 #[derive(Clone, Copy, Debug)]
-struct Allowance {
-    left: f64,
-    at: TimeMs,
+struct TokenBucket {
+    tokens: f64,
+    refilled_at: TimeMs,
 }
 
-/// A bound on lines by event.
+/// Limits the rate of log lines for each event.
 ///
-/// Guards against a log that costs more than the requests it tells of: in an overload thousands are
-/// refused a second, each for the same reason. Pure: the time goes in.
+/// During an overload, thousands of requests a second are refused for the same reason. Without a limit,
+/// logging them would cost more than handling them. The caller passes in the time.
 #[derive(Clone, Debug, Default)]
 pub struct EventRate {
-    events: FastMap<String, Allowance>,
-    left_out: u64,
+    events: FastMap<String, TokenBucket>,
+    suppressed: u64,
 }
 
 impl EventRate {
     /// Whether a line of this event may be written now.
     pub fn admits(&mut self, now: TimeMs, event: &str) -> bool {
-        if self.events.len() >= MOST_EVENTS && !self.events.contains_key(event) {
+        if self.events.len() >= MAX_EVENTS && !self.events.contains_key(event) {
             self.events.clear();
         }
         if !self.events.contains_key(event) {
-            let full = Allowance {
-                left: BURST,
-                at: now,
+            let full = TokenBucket {
+                tokens: BURST,
+                refilled_at: now,
             };
             self.events.insert(event.to_owned(), full);
         }
-        let Some(allowance) = self.events.get_mut(event) else {
+        let Some(bucket) = self.events.get_mut(event) else {
             return true;
         };
-        let gained = now.since(allowance.at) as f64 / 1_000.0 * PER_SECOND;
-        allowance.left = (allowance.left + gained).min(BURST);
-        allowance.at = now;
-        if allowance.left < 1.0 {
-            self.left_out += 1;
+        let gained = now.since(bucket.refilled_at) as f64 / 1_000.0 * LINES_PER_SECOND;
+        bucket.tokens = (bucket.tokens + gained).min(BURST);
+        bucket.refilled_at = now;
+        if bucket.tokens < 1.0 {
+            self.suppressed += 1;
             return false;
         }
-        allowance.left -= 1.0;
+        bucket.tokens -= 1.0;
         true
     }
 
-    /// How many lines were left out since this was last asked.
+    /// Returns the number of lines suppressed since the last call and resets it.
     pub fn take_suppressed(&mut self) -> u64 {
-        std::mem::take(&mut self.left_out)
+        std::mem::take(&mut self.suppressed)
     }
 }
--- a/src/logging/log_line.rs
+++ b/src/logging/log_line.rs
@@ -5,27 +5,26 @@
 use serde_json::Map;
 use serde_json::Value;
 
-/// A line as a JSON object: when, how grave, which part of the program, what happened, and what it was
-/// decided by.
+/// A line as a JSON object: time, level, part of the program, event, and the values behind it.
 ///
-/// Messages in the program are written `part: event, field=value field=value`; this is taken apart
-/// here, so that the log is structured and the program's text is still readable.
+/// Messages in the program are written `part: event, field=value field=value`. They are parsed here, so
+/// that the log is structured while the messages stay readable in the source.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct LogLine {
     /// The time of day in RFC 3339, with milliseconds.
     pub ts: String,
     pub level: String,
-    /// Which part of the program speaks, for example `entry` or `store`.
+    /// The part of the program that logged the line, for example `entry` or `store`.
     pub part: String,
-    /// What happened, in fixed words.
+    /// What happened, as a fixed text.
     pub event: String,
     #[serde(flatten)]
     pub fields: Map<String, Value>,
 }
 
 impl LogLine {
-    /// Takes a message apart. `module` stands for the part where a message names none.
+    /// Parses a message. If it names no part, the last segment of `module` is used.
     pub fn new(ts: String, level: &str, module: &str, message: &str) -> Self {
         let (part, rest) = match message.split_once(": ") {
             Some((part, rest)) if is_word(part) => (part, rest),
@@ -42,19 +41,19 @@
         }
     }
 
-    /// The line without its end.
+    /// The line as JSON, without a line break.
     pub fn encode(&self) -> String {
         serde_json::to_string(self).unwrap_or_else(|error| format!("{{\"error\":\"{error}\"}}"))
     }
 
-    /// Reads a line; `None` for one that is of another kind.
+    /// Parses a line; `None` if it is not a line of this log.
     pub fn parse(text: &str) -> Option<Self> {
-        // Whoever collects logs may put words of its own before each line.
+        // Log collectors may prepend a prefix to each line.
         let start = text.find('{')?;
         serde_json::from_str(&text[start..]).ok()
     }
 
-    /// The text of a field, whatever its type.
+    /// The value of a field as text, whatever its type.
     pub fn field(&self, name: &str) -> Option<String> {
         let value = self.fields.get(name)?;
         Some(
@@ -72,20 +71,20 @@
             .all(|byte| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'_')
 }
 
-/// The name and the rest when a text begins with `name=`.
+/// Splits a text that begins with `name=` into the name and the rest.
 fn field_at(text: &str) -> Option<(&str, &str)> {
     let (name, rest) = text.split_once('=')?;
     is_word(name).then_some((name, rest))
 }
 
-/// Where the first `name=` begins, or the end of the text.
+/// The offset of the first `name=`, or the length of the text.
 fn first_field(text: &str) -> usize {
     let starts = std::iter::once(0).chain(text.match_indices(' ').map(|(at, _)| at + 1));
     let mut fields = starts.filter(|at| field_at(&text[*at..]).is_some());
     fields.next().unwrap_or(text.len())
 }
 
-/// A value goes on until the next `name=`, so that it may hold blanks.
+/// Splits `name=value` pairs. A value extends to the next `name=`, so it may contain spaces.
 fn split_fields(text: &str) -> Map<String, Value> {
     let mut fields: Map<String, Value> = Map::new();
     let mut last: Option<(&str, String)> = None;
--- a/src/logging/log_writer.rs
+++ b/src/logging/log_writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes the log.
+//! Writes the log in a thread of its own.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -10,81 +10,80 @@
 use std::sync::mpsc::sync_channel;
 use std::time::Duration;
 
-/// Lines that wait to be written: a few hundred kilobytes, and some seconds of a busy node.
-const MOST_WAITING: usize = 2_048;
-/// After a line has been written further ones are collected for this long: a wake-up for each line costs
-/// more than the line.
-const COLLECT: Duration = Duration::from_millis(100);
-/// How long the end of the program waits for the last lines.
-const FLUSH_WITHIN: Duration = Duration::from_millis(300);
+/// The maximum number of queued lines: a few hundred kilobytes, or several seconds of a busy node.
+const MAX_QUEUED_LINES: usize = 2_048;
+/// How long the thread collects further lines after the first one of a batch. Waking the thread for
+/// each line costs more than writing it.
+const BATCH_INTERVAL: Duration = Duration::from_millis(100);
+/// How long a flush waits, as when the program ends.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
-enum Order {
+enum Command {
     Line(String),
     Flush(SyncSender<()>),
 }
 
-/// A bounded queue to one writing thread.
+/// A bounded queue to the writing thread.
 ///
-/// Guards against a reader of the log that stops reading: a write then blocks for good, and with it
-/// whoever writes. Here that is only the thread; the queue fills, and what does not fit any more is
-/// counted and left out.
+/// If the reader of the log stops reading, a write to it blocks indefinitely. Only the writing thread
+/// then blocks. The queue fills, and further lines are counted and dropped.
 #[derive(Clone)]
 pub struct LogWriter {
-    orders: SyncSender<Order>,
+    commands: SyncSender<Command>,
     dropped: Arc<AtomicU64>,
 }
 
 impl LogWriter {
-    /// Starts the thread. It ends with the last writer.
+    /// Starts the thread. It ends when the last clone of the writer is dropped.
     ///
     /// # Errors
     /// When no thread can be started.
     pub fn start(out: impl Write + Send + 'static) -> std::io::Result<Self> {
-        let (orders, waiting) = sync_channel(MOST_WAITING);
+        let (commands, receiver) = sync_channel(MAX_QUEUED_LINES);
         let builder = std::thread::Builder::new().name("log".to_owned());
-        builder.spawn(move || write_all(out, &waiting))?;
+        builder.spawn(move || write_all(out, &receiver))?;
         Ok(Self {
-            orders,
+            commands,
             dropped: Arc::default(),
         })
     }
 
-    /// Hands a line over, without ever waiting.
+    /// Queues a line without blocking. If the queue is full, the line is dropped and counted.
     pub fn write(&self, line: String) {
-        if self.orders.try_send(Order::Line(line)).is_err() {
+        if self.commands.try_send(Command::Line(line)).is_err() {
             self.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// How many lines were dropped since this was last asked.
+    /// Returns the number of lines dropped since the last call and resets it.
     pub fn take_dropped(&self) -> u64 {
         self.dropped.swap(0, Ordering::Relaxed)
     }
 
-    /// Waits a little until what was handed over is written.
+    /// Waits until all queued lines are written, for at most 300 ms.
     pub fn flush(&self) {
-        let (done, told) = sync_channel(1);
-        if self.orders.try_send(Order::Flush(done)).is_err() {
+        let (done, acknowledged) = sync_channel(1);
+        if self.commands.try_send(Command::Flush(done)).is_err() {
             return;
         }
-        match told.recv_timeout(FLUSH_WITHIN) {
-            // Nobody reads: there is nowhere to say so.
+        match acknowledged.recv_timeout(FLUSH_TIMEOUT) {
+            // The reader has stopped reading, so the timeout cannot be reported either.
             Ok(()) | Err(RecvTimeoutError::Timeout | RecvTimeoutError::Disconnected) => {}
         }
     }
 }
 
-fn write_all(mut out: impl Write, waiting: &Receiver<Order>) {
-    while let Ok(order) = waiting.recv() {
+fn write_all(mut out: impl Write, receiver: &Receiver<Command>) {
+    while let Ok(command) = receiver.recv() {
         let mut text = String::new();
-        let mut flushed = take(order, &mut text);
+        let mut flushed = append(command, &mut text);
         if flushed.is_none() {
-            std::thread::sleep(COLLECT);
+            std::thread::sleep(BATCH_INTERVAL);
         }
-        while let Ok(order) = waiting.try_recv() {
-            flushed = take(order, &mut text).or(flushed);
+        while let Ok(command) = receiver.try_recv() {
+            flushed = append(command, &mut text).or(flushed);
         }
-        // A log that cannot be written has no other place to complain.
+        // A failure to write the log cannot be reported anywhere else.
         let _ = out.write_all(text.as_bytes()).and_then(|()| out.flush());
         if let Some(done) = flushed {
             let _ = done.try_send(());
@@ -92,13 +91,13 @@
     }
 }
 
-fn take(order: Order, text: &mut String) -> Option<SyncSender<()>> {
-    match order {
-        Order::Line(line) => {
+fn append(command: Command, text: &mut String) -> Option<SyncSender<()>> {
+    match command {
+        Command::Line(line) => {
             text.push_str(&line);
             text.push('\n');
             None
         }
-        Order::Flush(done) => Some(done),
+        Command::Flush(done) => Some(done),
     }
 }
--- a/src/logging/logger.rs
+++ b/src/logging/logger.rs
@@ -1,4 +1,4 @@
-//! The `log` crate's records on their way to the writer.
+//! The logger behind the `log` crate: filters records, limits their rate and queues them.
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
@@ -18,39 +18,39 @@
 use crate::logging::LogWriter;
 use crate::logging::SAMPLED;
 
-/// Overrides which lines are written, for example `info,sassafrasgap::membership=debug`.
-const VARIABLE: &str = "RUST_LOG";
-/// How often it is told what was left out, in milliseconds.
-const TELL_LEFT_OUT_MS: u64 = 5_000;
+/// Environment variable that overrides the filter, for example `info,sassafrasgap::membership=debug`.
+const FILTER_VARIABLE: &str = "RUST_LOG";
+/// How often the number of missing lines is logged, in milliseconds.
+const REPORT_INTERVAL_MS: u64 = 5_000;
 
-struct Bounds {
+struct LimiterState {
     rate: EventRate,
-    told_at: TimeMs,
+    reported_at: TimeMs,
 }
 
 struct Logger {
     filter: Filter,
     clock: Clock,
     writer: LogWriter,
-    bounds: Mutex<Bounds>,
+    limiter: Mutex<LimiterState>,
 }
 
-/// Sends all that the program logs to standard output, as JSON lines. `default_filter` holds where the
-/// environment says nothing. Called once, at the start.
+/// Writes all log records to standard output as JSON lines. `default_filter` applies if `RUST_LOG` is not
+/// set. Called once, at the start of the program.
 ///
 /// # Errors
 /// When the writing thread cannot be started, or a logger is set already.
 pub fn start_logging(default_filter: &str) -> Result<(), LoggingError> {
-    let wanted = std::env::var(VARIABLE).unwrap_or_else(|_| default_filter.to_owned());
-    let filter = Builder::new().parse(&wanted).build();
+    let directives = std::env::var(FILTER_VARIABLE).unwrap_or_else(|_| default_filter.to_owned());
+    let filter = Builder::new().parse(&directives).build();
     log::set_max_level(filter.filter());
     let logger = Logger {
         filter,
         clock: Clock::new(),
         writer: LogWriter::start(std::io::stdout())?,
-        bounds: Mutex::new(Bounds {
+        limiter: Mutex::new(LimiterState {
             rate: EventRate::default(),
-            told_at: TimeMs(0),
+            reported_at: TimeMs(0),
         }),
     };
     log::set_boxed_logger(Box::new(logger))?;
@@ -58,24 +58,24 @@
 }
 
 impl Logger {
-    /// Whether the line may be written; now and then also how many were left out so far.
+    /// Whether the line may be written and, at every report interval, how many were suppressed.
     fn admit(&self, line: &LogLine, is_sampled: bool) -> (bool, Option<u64>) {
         let now = self.clock.now();
-        let mut bounds = self.bounds.lock().unwrap_or_else(PoisonError::into_inner);
-        let admitted = is_sampled || bounds.rate.admits(now, &line.event);
-        if now.since(bounds.told_at) < TELL_LEFT_OUT_MS {
+        let mut limiter = self.limiter.lock().unwrap_or_else(PoisonError::into_inner);
+        let admitted = is_sampled || limiter.rate.admits(now, &line.event);
+        if now.since(limiter.reported_at) < REPORT_INTERVAL_MS {
             return (admitted, None);
         }
-        bounds.told_at = now;
-        (admitted, Some(bounds.rate.take_suppressed()))
+        limiter.reported_at = now;
+        (admitted, Some(limiter.rate.take_suppressed()))
     }
 
-    fn tell_left_out(&self, left_out: u64) {
+    fn report_suppressed(&self, suppressed: u64) {
         let dropped = self.writer.take_dropped();
-        if left_out + dropped == 0 {
+        if suppressed + dropped == 0 {
             return;
         }
-        let message = format!("log: lines left out, too_many={left_out} not_read={dropped}");
+        let message = format!("log: lines left out, too_many={suppressed} not_read={dropped}");
         self.writer.write(line("warn", "log", &message).encode());
     }
 }
@@ -92,12 +92,12 @@
         }
         let level = record.level().as_str().to_ascii_lowercase();
         let line = line(&level, record.target(), &record.args().to_string());
-        let (admitted, left_out) = self.admit(&line, is_sampled);
+        let (admitted, suppressed) = self.admit(&line, is_sampled);
         if admitted {
             self.writer.write(line.encode());
         }
-        if let Some(left_out) = left_out {
-            self.tell_left_out(left_out);
+        if let Some(suppressed) = suppressed {
+            self.report_suppressed(suppressed);
         }
     }
 
--- a/src/logging/sampling.rs
+++ b/src/logging/sampling.rs
@@ -1,21 +1,21 @@
-//! Which requests are logged in full, the same ones at every node.
+//! Selects the requests that are logged in full, the same ones on every node.
 
 use std::hash::Hasher;
 
 use rustc_hash::FxHasher;
 
-/// One request in this is logged whatever becomes of it.
-const SAMPLED_PART: u64 = 64;
+/// One request in this many is logged, whatever its outcome.
+const SAMPLE_ONE_IN: u64 = 64;
 
-/// The log target of lines on sampled requests: they are kept whatever else is said at the moment, so
-/// that the way of such a request can be followed through all nodes.
+/// The log target of lines on sampled requests. They bypass the filter and the rate limit, so that such
+/// a request can be traced through all nodes.
 pub const SAMPLED: &str = "sampled";
 
-/// Whether a request's ordinary events are logged. It follows from the identifier alone, so that all
-/// nodes on its way decide alike.
+/// Whether a request's ordinary events are logged. The decision depends only on the identifier, so that
+/// all nodes on the request's path decide the same.
 pub fn is_sampled(request: &str) -> bool {
     let mut hasher = FxHasher::default();
     hasher.write(request.as_bytes());
-    // The upper bits of this hash are the well mixed ones.
-    (hasher.finish() >> 32).is_multiple_of(SAMPLED_PART)
+    // The upper bits of this hash are better mixed than the lower ones.
+    (hasher.finish() >> 32).is_multiple_of(SAMPLE_ONE_IN)
 }
--- a/src/metrics/by_reason.rs
+++ b/src/metrics/by_reason.rs
@@ -1,40 +1,42 @@
-//! A counter for each reason, looked up by index and not by label.
+//! Counters by reason, looked up by index instead of by label.
 
 use prometheus::IntCounter;
 use prometheus::IntCounterVec;
 use prometheus::Opts;
 use prometheus::Registry;
 
-/// One counter for each reason of a kind; every reason is listed from the start, at 0, so that
-/// a first refusal shows as a rise and not as a new series.
+/// One counter for each reason. All series exist from the start with the value 0, so that the first
+/// refusal shows as an increase and not as a new series.
 pub struct ByReason {
     counters: Vec<IntCounter>,
 }
 
 impl ByReason {
-    /// Registers a counter family with one series for each word, labelled `reason`.
+    /// Registers a counter family with one series for each of `reasons`, labelled `reason`.
     ///
     /// # Panics
-    /// When the name is taken or malformed, which is a mistake in the program.
-    pub fn register(registry: &Registry, name: &str, help: &str, words: &[&str]) -> Self {
+    /// When the name is malformed or already registered, which is a bug in the program.
+    pub fn register(registry: &Registry, name: &str, help: &str, reasons: &[&str]) -> Self {
         let family = IntCounterVec::new(Opts::new(name, help), &["reason"])
             .expect("the name of a counter is valid");
         registry
             .register(Box::new(family.clone()))
             .expect("the name of a counter is free");
-        let counters = words.iter().map(|word| family.with_label_values(&[word]));
+        let counters = reasons
+            .iter()
+            .map(|reason| family.with_label_values(&[reason]));
         Self {
             counters: counters.collect(),
         }
     }
 
-    /// Counts one more of the reason with this place in the list.
-    pub fn inc(&self, place: usize) {
-        self.counters[place].inc();
+    /// Increments the counter of the reason at `index`.
+    pub fn inc(&self, index: usize) {
+        self.counters[index].inc();
     }
 
-    /// The count so far of the reason with this place in the list.
-    pub fn get(&self, place: usize) -> u64 {
-        self.counters[place].get()
+    /// The count of the reason at `index`.
+    pub fn get(&self, index: usize) -> u64 {
+        self.counters[index].get()
     }
 }
--- a/src/metrics/by_route.rs
+++ b/src/metrics/by_route.rs
@@ -1,4 +1,4 @@
-//! A histogram for each route, bounded in number.
+//! Latency histograms by route, limited in number.
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
@@ -11,11 +11,11 @@
 use crate::core::FastMap;
 use crate::core::Name;
 
-/// Routes with a series of their own. A desired state may have hundreds, and each series has as many
-/// numbers as there are buckets; what is beyond is counted together.
-const MOST_ROUTES: usize = 64;
+/// Routes with a series of their own. A desired state may have hundreds of routes, and each series has
+/// one value for each bucket, so all further routes share one series.
+const MAX_ROUTES: usize = 64;
 /// The label of all further routes.
-const OTHERS: &str = "other";
+const OTHER_ROUTES: &str = "other";
 
 /// How long requests take, by route.
 pub struct ByRoute {
@@ -27,7 +27,7 @@
     /// Registers a histogram family labelled `route`.
     ///
     /// # Panics
-    /// When the name is taken or malformed, which is a mistake in the program.
+    /// When the name is malformed or already registered, which is a bug in the program.
     pub fn register(registry: &Registry, name: &str, help: &str, buckets_s: &[f64]) -> Self {
         let opts = HistogramOpts::new(name, help).buckets(buckets_s.to_vec());
         let family = HistogramVec::new(opts, &["route"]).expect("the name of a histogram is valid");
@@ -40,21 +40,21 @@
         }
     }
 
-    /// Notes how long a request on a route took.
+    /// Records how long a request on a route took.
     pub fn observe(&self, route: &Name, seconds: f64) {
         let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(histogram) = known.get(route) {
             histogram.observe(seconds);
             return;
         }
-        let label = if known.len() < MOST_ROUTES {
+        let label = if known.len() < MAX_ROUTES {
             route
         } else {
-            OTHERS
+            OTHER_ROUTES
         };
         let histogram = self.family.with_label_values(&[label]);
         histogram.observe(seconds);
-        if known.len() < MOST_ROUTES {
+        if known.len() < MAX_ROUTES {
             known.insert(route.clone(), histogram);
         }
     }
--- a/src/metrics/metrics.rs
+++ b/src/metrics/metrics.rs
@@ -28,15 +28,15 @@
     10.0, 30.0,
 ];
 
-/// Accounts shown by name at most.
-const MOST_ACCOUNTS: usize = 10;
+/// The maximum number of accounts with a label of their own.
+const MAX_ACCOUNTS: usize = 10;
 
 /// Everything that a node counts.
 pub struct Metrics {
     registry: Registry,
-    /// Refusals given to callers and to local backend servers, by this node as entry.
+    /// Refusals by this node as entry, to callers and to the local backend server.
     entry_refusals: ByReason,
-    /// Refusals given to other nodes, by this node as guard.
+    /// Refusals by this node as guard, to other nodes.
     guard_refusals: ByReason,
     retries: ByReason,
     pub entry_calls: IntCounter,
@@ -57,7 +57,7 @@
     pub guard_in_flight: IntGauge,
     pub guard_limit: IntGauge,
     guard_queue: IntGaugeVec,
-    /// Attempts that this node as entry awaits the end of.
+    /// Attempts that this node as entry has sent and that have not ended.
     pub entry_in_flight: IntGauge,
     pub config_version: IntGauge,
     pub slots_owned: IntGauge,
@@ -65,7 +65,7 @@
     pub ledger_keys: IntGauge,
     pub ledger_answer_bytes: IntGauge,
     pub entry_latency: Histogram,
-    /// The same by route, for requests that were answered by a backend server.
+    /// The latency by route, for requests that were answered by a backend server.
     pub route_latency: ByRoute,
     pub store_reached: IntGauge,
     pub store: StoreCounters,
@@ -83,7 +83,7 @@
     /// Registers every metric.
     ///
     /// # Panics
-    /// When two metrics bear one name, which is a mistake in the program.
+    /// When two metrics have the same name, which is a bug in the program.
     pub fn new() -> Self {
         let registry = Registry::new();
         let refusals: Vec<&str> = RefusalReason::ALL.iter().map(|r| r.as_str()).collect();
@@ -236,12 +236,12 @@
             pressures: gauge_by_service(
                 &registry,
                 "sassafrasgap_pressure_permille",
-                "How hard services are pressed for whose sake this entry refuses requests.",
+                "How hard services are overloaded for whose sake this entry refuses requests.",
             ),
             admitted: gauge_by_service(
                 &registry,
                 "sassafrasgap_admitted_percent",
-                "The part of callers' requests that is let in for a pressed service's sake.",
+                "The part of callers' requests that is let in for a overloaded service's sake.",
             ),
             account_asked: gauge_by(
                 &registry,
@@ -267,27 +267,27 @@
         }
     }
 
-    /// Counts a refusal given by this node as entry.
+    /// Counts a refusal by this node as entry.
     pub fn count_entry_refusal(&self, reason: RefusalReason) {
         self.entry_refusals.inc(reason as usize);
     }
 
-    /// Counts a refusal given by this node as guard.
+    /// Counts a refusal by this node as guard.
     pub fn count_guard_refusal(&self, reason: RefusalReason) {
         self.guard_refusals.inc(reason as usize);
     }
 
-    /// Counts a further attempt.
+    /// Counts a retry by the reason why the previous attempt failed.
     pub fn count_retry(&self, reason: RetryReason) {
         self.retries.inc(reason as usize);
     }
 
-    /// Counts a word that an answer of the local backend server says of itself.
+    /// Counts an answer in which the local backend server reports its own state as `word`.
     pub fn count_word(&self, word: &str) {
         self.backend_words.with_label_values(&[word]).inc();
     }
 
-    /// Sets how many calls of each class wait at the guard.
+    /// Sets how many calls of each class are queued at the guard.
     pub fn set_guard_queue(&self, queued: &BTreeMap<u8, i64>) {
         self.guard_queue.reset();
         for (class, queued) in queued {
@@ -296,11 +296,12 @@
         }
     }
 
-    /// Sets for which services' sake requests are refused. At most as many as there are services.
-    pub fn set_overloaded(&self, pressed: &[OverloadedService]) {
+    /// Sets the overloaded services because of which this entry refuses requests. There are at most as
+    /// many as there are services.
+    pub fn set_overloaded(&self, overloaded: &[OverloadedService]) {
         self.pressures.reset();
         self.admitted.reset();
-        for each in pressed {
+        for each in overloaded {
             let label = [&*each.service];
             let pressure = self.pressures.with_label_values(&label);
             pressure.set(i64::from(each.pressure_permille));
@@ -309,14 +310,15 @@
         }
     }
 
-    /// Sets what comes of each account, the busiest first. Labels are bounded: all others are one.
+    /// Sets the request rate and admitted share of each account. `accounts` is sorted by rate, highest
+    /// first. All accounts after the first 10 share one label.
     pub fn set_accounts<'a>(&self, accounts: impl Iterator<Item = (&'a str, AccountUse)>) {
         self.account_asked.reset();
         self.account_part.reset();
         let mut others_per_minute = 0.0;
         for (order, (name, account)) in accounts.enumerate() {
             let per_minute = account.per_s * 60.0;
-            if order >= MOST_ACCOUNTS {
+            if order >= MAX_ACCOUNTS {
                 others_per_minute += per_minute;
                 continue;
             }
@@ -329,27 +331,27 @@
         others.set(others_per_minute as i64);
     }
 
-    /// Refusals given so far as entry.
+    /// The number of refusals by this node as entry.
     pub fn entry_refusals(&self, reason: RefusalReason) -> u64 {
         self.entry_refusals.get(reason as usize)
     }
 
-    /// Refusals given so far as guard.
+    /// The number of refusals by this node as guard.
     pub fn guard_refusals(&self, reason: RefusalReason) -> u64 {
         self.guard_refusals.get(reason as usize)
     }
 
-    /// Further attempts so far.
+    /// The number of retries.
     pub fn retries(&self, reason: RetryReason) -> u64 {
         self.retries.get(reason as usize)
     }
 
-    /// Where other concerns register their metrics.
+    /// The registry, in which other modules register their metrics.
     pub fn registry(&self) -> &Registry {
         &self.registry
     }
 
-    /// The text that Prometheus scrapes.
+    /// All metrics in the Prometheus text format.
     pub fn render(&self) -> Vec<u8> {
         let mut text = Vec::new();
         TextEncoder::new()
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -1,4 +1,4 @@
-//! What the node counts, for Prometheus. Each metric has a row in
+//! The Prometheus metrics of a node. Each metric has a row in
 //! [docs/OPERATIONS.md](../../docs/OPERATIONS.md).
 
 mod by_reason;
--- a/src/preset/call_policy.rs
+++ b/src/preset/call_policy.rs
@@ -1,11 +1,11 @@
-//! What the preset in force says about one call.
+//! The policy that the preset in force assigns to one call.
 
 /// The result of classifying a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallPolicy {
     /// 0 is the most important class of the preset.
     pub class: u8,
-    /// A second run would do harm: the call runs at most once.
+    /// Running the call twice would do harm, so it runs at most once.
     pub non_idempotent: bool,
     /// The longest wait in one guard's queue.
     pub wait_ms: u32,
--- a/src/preset/mod.rs
+++ b/src/preset/mod.rs
@@ -1,4 +1,4 @@
-//! Presets: what operators say matters most and how long each kind of work may wait.
+//! Presets: the importance of each class of calls and how long its calls may wait, set by operators.
 
 mod call_policy;
 mod preset;
--- a/src/preset/preset.rs
+++ b/src/preset/preset.rs
@@ -1,4 +1,4 @@
-//! A checked preset and the classification of calls by it.
+//! A validated preset, and how it classifies calls.
 
 use std::sync::Arc;
 
@@ -13,21 +13,21 @@
     pub deadline_ms: u32,
 }
 
-/// Assigns calls to a class. The first rule that matches decides.
+/// Assigns matching calls to a class. The first matching rule applies.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rule {
     /// `*` matches every service.
     pub service: Name,
     /// `*` matches every method.
     pub method: Name,
-    /// Matches every path that begins with it.
+    /// Matches every path that begins with this prefix.
     pub path_prefix: Name,
     /// Index into [`Preset::classes`].
     pub class: u8,
     pub non_idempotent: bool,
 }
 
-/// One of the documents between which operators switch.
+/// A validated preset document. Operators switch between several of them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Preset {
     pub name: Name,
@@ -36,7 +36,7 @@
     pub rules: Vec<Rule>,
     /// The class of calls that no rule matches.
     pub default_class: u8,
-    /// Further attempts that one root request and all calls below it may make in sum.
+    /// How many retries one root request and all calls below it may make together.
     pub retry_allotment: u16,
     /// For how long callers may resend a key after they first sent it, in milliseconds.
     pub resend_window_ms: u64,
@@ -44,7 +44,7 @@
 
 impl Preset {
     /// Classifies a call. Methods that HTTP does not define as idempotent are non-idempotent
-    /// unless a rule says otherwise: to run one twice does more harm than to refuse it.
+    /// unless a rule says otherwise, because running one twice does more harm than refusing it.
     pub fn classify(&self, service: &str, method: &str, path: &str) -> CallPolicy {
         let matches = |rule: &&Rule| {
             (&*rule.service == "*" || &*rule.service == service)
@@ -70,7 +70,7 @@
 /// The preset in force and the version under which it came into force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InForce {
-    /// Rises with every switch and never falls.
+    /// Increases with every switch and never decreases.
     pub version: u64,
     pub preset: Arc<Preset>,
 }
--- a/src/table_service/answers.rs
+++ b/src/table_service/answers.rs
@@ -1,4 +1,4 @@
-//! Answers of the stand-in platform.
+//! HTTP answers of the stand-in platform.
 
 use http::Response;
 use http::StatusCode;
--- a/src/table_service/client.rs
+++ b/src/table_service/client.rs
@@ -30,11 +30,11 @@
 use crate::table_service::protocol::is_valid_key;
 
 /// How long an unused connection is kept, in milliseconds.
-const IDLE_MS: u64 = 10_000;
-/// The largest answer that is read, in bytes.
+const IDLE_CONNECTION_MS: u64 = 10_000;
+/// The largest answer body that is read, in bytes.
 const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
 
-/// A handle to the platform; clones share connections.
+/// A client of the platform. Clones share its connections.
 #[derive(Clone)]
 pub struct PlatformClient {
     address: SocketAddr,
@@ -43,26 +43,26 @@
     http: Arc<ArcSwap<HttpClient>>,
 }
 
-/// A status with its whole body.
+/// An answer whose body has been read completely.
 struct Answer {
     status: StatusCode,
     body: Bytes,
 }
 
-/// Why no whole answer came.
-enum Failure {
+/// Why no complete answer was received.
+enum SendFailure {
     /// No connection could be made, so nothing was sent.
     NotSent,
     /// The connection broke after the request may have been sent.
     Broken,
-    /// Nothing came in time.
+    /// No complete answer arrived within the timeout.
     TimedOut,
 }
 
 impl PlatformClient {
     /// A client that waits at most `timeout_ms` for each answer.
     pub fn new(address: SocketAddr, domain: Name, timeout_ms: u64) -> Self {
-        let http = http_client(IDLE_MS, timeout_ms);
+        let http = http_client(IDLE_CONNECTION_MS, timeout_ms);
         Self {
             address,
             domain,
@@ -89,22 +89,23 @@
         let answer = self.read(&path).await?;
         match answer.status {
             StatusCode::OK => Ok(parse::<Scan>(&answer.body)?.rows),
-            status => Err(refused(status)),
+            status => Err(error_for_status(status)),
         }
     }
 
-    /// Applies a transaction whole or not at all. It is sent once.
+    /// Applies a transaction atomically. The request is sent once, without retries.
     ///
     /// # Errors
-    /// `Conflict` with the row found; `OutcomeUnknown` when it may have taken effect, to be
-    /// cleared up with [`resolve`](crate::table_service::resolve); otherwise nothing was done.
+    /// `Conflict` with the row found. `OutcomeUnknown` when the transaction may have taken effect;
+    /// [`resolve`](crate::table_service::resolve) then finds out. After any other error nothing was
+    /// done.
     pub async fn transact(&self, transaction: &Transaction) -> Result<Committed, PlatformError> {
         let content = serde_json::to_vec(transaction).expect("plain structs always encode");
         let answer = self.write(Method::POST, "/table/transact", content).await?;
         match answer.status {
             StatusCode::OK => parse(&answer.body),
             StatusCode::CONFLICT => Err(conflict(&answer.body)),
-            status => Err(refused(status)),
+            status => Err(error_for_status(status)),
         }
     }
 
@@ -117,11 +118,10 @@
         found(self.read(&path).await?, Ok)
     }
 
-    /// Writes an object whole. Objects are written under names of their own, so that a repeated
-    /// write does no harm.
+    /// Writes a complete object. Each object has a unique name, so a retried write does no harm.
     ///
     /// # Errors
-    /// `OutcomeUnknown` when it may have been written; otherwise it was not.
+    /// `OutcomeUnknown` when the object may have been written. After any other error it was not.
     pub async fn put_object(
         &self,
         name: &str,
@@ -131,24 +131,24 @@
         let answer = self.write(Method::PUT, &path, content).await?;
         match answer.status {
             StatusCode::OK => Ok(()),
-            status => Err(refused(status)),
+            status => Err(error_for_status(status)),
         }
     }
 
-    /// Reads, and reads once more over a new connection when the first one went silent or broke:
-    /// something between the two ends may have lost track of it while new ones work.
+    /// Sends a read, and retries it once over a new connection if the first one timed out or broke.
+    /// A middlebox may have dropped its state of the old connection while new connections work.
     async fn read(&self, path: &str) -> Result<Answer, PlatformError> {
         match self.send(Method::GET, path, Bytes::new()).await {
             Ok(answer) => return Ok(answer),
-            Err(Failure::NotSent) => return Err(PlatformError::Unavailable),
-            Err(Failure::Broken | Failure::TimedOut) => {}
+            Err(SendFailure::NotSent) => return Err(PlatformError::Unavailable),
+            Err(SendFailure::Broken | SendFailure::TimedOut) => {}
         }
         debug!("platform client: read again over a new connection path={path}");
         let timeout_ms = self.timeout_ms;
         match self.send(Method::GET, path, Bytes::new()).await {
             Ok(answer) => Ok(answer),
-            Err(Failure::NotSent | Failure::Broken) => Err(PlatformError::Unavailable),
-            Err(Failure::TimedOut) => Err(PlatformError::ReadTimedOut { timeout_ms }),
+            Err(SendFailure::NotSent | SendFailure::Broken) => Err(PlatformError::Unavailable),
+            Err(SendFailure::TimedOut) => Err(PlatformError::ReadTimedOut { timeout_ms }),
         }
     }
 
@@ -159,17 +159,22 @@
         content: impl Into<Bytes>,
     ) -> Result<Answer, PlatformError> {
         match self.send(method, path, content.into()).await {
-            // A store that fails inside may have written before it failed.
+            // The store may have written before it failed with an internal error.
             Ok(answer) if answer.status == StatusCode::INTERNAL_SERVER_ERROR => {
                 Err(PlatformError::OutcomeUnknown)
             }
             Ok(answer) => Ok(answer),
-            Err(Failure::NotSent) => Err(PlatformError::Unavailable),
-            Err(Failure::Broken | Failure::TimedOut) => Err(PlatformError::OutcomeUnknown),
+            Err(SendFailure::NotSent) => Err(PlatformError::Unavailable),
+            Err(SendFailure::Broken | SendFailure::TimedOut) => Err(PlatformError::OutcomeUnknown),
         }
     }
 
-    async fn send(&self, method: Method, path: &str, content: Bytes) -> Result<Answer, Failure> {
+    async fn send(
+        &self,
+        method: Method,
+        path: &str,
+        content: Bytes,
+    ) -> Result<Answer, SendFailure> {
         let request = Request::builder()
             .method(method)
             .uri(format!("http://{}{path}", self.address))
@@ -180,39 +185,41 @@
         let timeout = Duration::from_millis(self.timeout_ms);
         let whole = async {
             let answer = used.request(request).await.map_err(|error| match error {
-                error if error.is_connect() => Failure::NotSent,
-                _ => Failure::Broken,
+                error if error.is_connect() => SendFailure::NotSent,
+                _ => SendFailure::Broken,
             })?;
             read_whole(answer).await
         };
         let result = tokio::time::timeout(timeout, whole).await;
-        let result = result.unwrap_or(Err(Failure::TimedOut));
-        if matches!(result, Err(Failure::TimedOut | Failure::Broken)) {
-            self.forget_connections(&used);
+        let result = result.unwrap_or(Err(SendFailure::TimedOut));
+        if matches!(result, Err(SendFailure::TimedOut | SendFailure::Broken)) {
+            self.replace_connections(&used);
         }
         result
     }
 
-    /// Silent connections rarely come alone, and a retry that picked another one from the same
-    /// pool would wait in vain again: all of them are given up together.
-    fn forget_connections(&self, used: &Arc<HttpClient>) {
+    /// Discards all pooled connections by replacing the client.
+    ///
+    /// When one connection stops answering, others in the pool usually have too. A retry over one of
+    /// them would time out again.
+    fn replace_connections(&self, used: &Arc<HttpClient>) {
         debug!(
-            "platform client: connections given up address={}",
+            "platform client: connection pool replaced address={}",
             self.address
         );
-        let fresh = Arc::new(http_client(IDLE_MS, self.timeout_ms));
+        let fresh = Arc::new(http_client(IDLE_CONNECTION_MS, self.timeout_ms));
         self.http.compare_and_swap(used, fresh);
     }
 }
 
-async fn read_whole<B>(answer: Response<B>) -> Result<Answer, Failure>
+async fn read_whole<B>(answer: Response<B>) -> Result<Answer, SendFailure>
 where
     B: http_body::Body<Data = Bytes>,
     B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
 {
     let status = answer.status();
     let body = Limited::new(answer.into_body(), MAX_ANSWER_BYTES);
-    let body = body.collect().await.map_err(|_| Failure::Broken)?;
+    let body = body.collect().await.map_err(|_| SendFailure::Broken)?;
     Ok(Answer {
         status,
         body: body.to_bytes(),
@@ -234,7 +241,7 @@
     match answer.status {
         StatusCode::OK => read(answer.body).map(Some),
         StatusCode::NOT_FOUND => Ok(None),
-        status => Err(refused(status)),
+        status => Err(error_for_status(status)),
     }
 }
 
@@ -253,7 +260,7 @@
     }
 }
 
-fn refused(status: StatusCode) -> PlatformError {
+fn error_for_status(status: StatusCode) -> PlatformError {
     match status {
         StatusCode::TOO_MANY_REQUESTS => PlatformError::RateLimited,
         StatusCode::SERVICE_UNAVAILABLE => PlatformError::Unavailable,
--- a/src/table_service/client_resolve.rs
+++ b/src/table_service/client_resolve.rs
@@ -1,4 +1,4 @@
-//! What became of a write whose answer was lost.
+//! Finds out whether a write took effect after its answer was lost.
 
 use log::debug;
 
@@ -8,23 +8,24 @@
 use crate::table_service::protocol::Row;
 use crate::table_service::protocol::Transaction;
 
-/// How often a write of unknown outcome is sent in all.
-const MAX_SENDS: u32 = 3;
+/// How often a write of unknown outcome is sent in total.
+const MAX_ATTEMPTS: u32 = 3;
 
-/// What is known of a conditional write after its row has been read back.
+/// What reading back its row shows about a conditional write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Resolution {
     /// The row carries the change id.
     Applied(Row),
-    /// The row has moved on without the change id, so the write can no longer take effect. That it
-    /// never did is certain only where rows keep the ids of their last few changes.
+    /// The row is at another version and lacks the change id, so the write can no longer take
+    /// effect. It may have taken effect earlier, unless rows keep the ids of their last few
+    /// changes.
     NotApplied(Option<Row>),
-    /// The row is as it was, so the write may still be on its way, or the platform does not answer.
+    /// The row is unchanged, so the write may still be in flight, or the platform does not answer.
     Unknown,
 }
 
-/// Reads back the row `key`, which a write of unknown outcome put on condition that it was at
-/// `checked_version`, with a value that contains `change_id`.
+/// Reads back the row `key` after a write of unknown outcome. The write was conditional on
+/// `checked_version`, and its value contains `change_id`.
 pub async fn resolve(
     client: &PlatformClient,
     key: &str,
@@ -37,16 +38,16 @@
     classify(row, checked_version, change_id)
 }
 
-/// Applies a transaction that puts `key`, on condition of its version, with a value that contains
-/// `change_id`. An unknown outcome is cleared up by reading back.
+/// Applies a transaction that puts `key` conditional on its version, with a value that contains
+/// `change_id`. If the outcome is unknown, the row is read back.
 ///
-/// When the row is still as it was, the transaction is sent again: the condition on the version
-/// keeps it from taking effect twice, and a late first copy then shows as a conflict with a row
-/// that carries the change id.
+/// If the row is unchanged, the transaction is sent again. The version check keeps it from taking
+/// effect twice. If the first copy arrives late and wins, the second one fails with a conflict that
+/// shows a row with the change id.
 ///
 /// # Errors
-/// `Conflict` when another change came first, and whatever leaves nothing done. An outcome that
-/// stays unknown is `Ok(Resolution::Unknown)`.
+/// `Conflict` when another change was applied first, and every other error after which nothing was
+/// done. If the outcome stays unknown, the result is `Ok(Resolution::Unknown)`.
 pub async fn transact_resolved(
     client: &PlatformClient,
     transaction: &Transaction,
@@ -55,7 +56,7 @@
 ) -> Result<Resolution, PlatformError> {
     let checked_version = transaction.checked_version(key).flatten();
     let mut was_unknown = false;
-    for _ in 0..MAX_SENDS {
+    for _ in 0..MAX_ATTEMPTS {
         match client.transact(transaction).await {
             Ok(committed) => return Ok(applied(transaction, &committed, key)),
             Err(PlatformError::OutcomeUnknown) => was_unknown = true,
@@ -76,7 +77,7 @@
     Ok(Resolution::Unknown)
 }
 
-/// The row `key` as a conflict shows it, which a late first copy of the write may have put.
+/// The row `key` as reported by a conflict. A late first copy of the write may have written it.
 fn conflicting_row(error: &PlatformError, key: &str) -> Option<Row> {
     match error {
         PlatformError::Conflict {
@@ -91,7 +92,7 @@
     }
 }
 
-/// The row as the transaction itself left it.
+/// The row as written by the transaction.
 fn applied(transaction: &Transaction, committed: &Committed, key: &str) -> Resolution {
     let version = committed.versions.iter().find(|each| &*each.key == key);
     let put = transaction.puts.iter().find(|put| &*put.key == key);
--- a/src/table_service/fault.rs
+++ b/src/table_service/fault.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with the platform for a while.
+//! Scripted faults of the stand-in platform.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,7 +7,7 @@
 use crate::core::TimeMs;
 use crate::errors::FaultScriptError;
 
-/// Which requests a fault touches.
+/// Which requests a fault affects.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
@@ -18,46 +18,47 @@
     Writes,
 }
 
-/// How the answer of a transaction that took effect is lost.
+/// How the answer to a transaction that took effect is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AnswerLoss {
     /// The connection is broken.
     Broken,
-    /// The connection stays open and nothing comes.
+    /// The connection stays open and no data is sent.
     Silent,
 }
 
-/// One step of a script: one or more things that are wrong at the same time.
+/// One step of a script: one or more failures that hold at the same time.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Fault {
-    /// When it begins, counted from the start of the platform or from the moment it was posted.
+    /// Start time in milliseconds, relative to the start of the platform or to the time at which the
+    /// fault was posted.
     pub at_ms: u64,
-    /// How long it lasts; until all faults are ended when left out.
+    /// Duration in milliseconds. If absent, the fault lasts until all faults are cleared.
     pub for_ms: Option<u64>,
     /// Connections are accepted and every request is answered with 503.
     pub down: bool,
-    /// Connections are accepted and nothing is ever answered.
+    /// Connections are accepted and no request is ever answered.
     pub hang: bool,
-    /// Every request waits for so long before anything is done.
+    /// Delay before each request is processed, in milliseconds.
     pub slow_delay_ms: u64,
-    /// Transactions take effect but their answers are lost.
+    /// Transactions take effect, but their answers are lost.
     pub applied_answer_lost: Option<AnswerLoss>,
-    /// The share of requests that are answered with 500 before anything is done, 0 to 1.
+    /// The share of requests, 0 to 1, that are answered with 500 without being processed.
     pub error_share: f64,
-    /// Failure domains whose requests vanish, as in a network partition.
+    /// Failure domains whose requests are never answered, as in a network partition.
     pub cut_off_domains: Vec<Name>,
-    /// Failure domains for which the rest of this fault holds; empty for all.
+    /// Failure domains to which the other fields of this fault apply; empty for all.
     pub domains: Vec<Name>,
-    /// Requests for which the rest of this fault holds.
+    /// Requests to which the other fields of this fault apply.
     pub operations: Operations,
 }
 
 impl Fault {
-    /// Checks the values.
+    /// Checks that the values are valid.
     ///
     /// # Errors
     /// When the share of errors is outside 0 to 1.
@@ -69,29 +70,29 @@
         Err(FaultScriptError::Share { share })
     }
 
-    /// Whether it holds at `now`.
+    /// Whether the fault is active at `now`.
     pub fn is_active(&self, now: TimeMs) -> bool {
         self.at_ms <= now.0 && !self.is_over(now)
     }
 
-    /// Whether it held and never will again.
+    /// Whether the fault has ended by `now`.
     pub fn is_over(&self, now: TimeMs) -> bool {
         let ends_at = self.for_ms.map(|for_ms| self.at_ms.saturating_add(for_ms));
         ends_at.is_some_and(|ends_at| ends_at <= now.0)
     }
 
-    /// Whether it touches a request of this kind from this failure domain.
-    pub fn touches(&self, domain: &str, is_write: bool) -> bool {
-        let domain_fits = self.domains.is_empty() || contains(&self.domains, domain);
-        let operation_fits = match self.operations {
+    /// Whether the fault affects a request of this kind from this failure domain.
+    pub fn applies_to(&self, domain: &str, is_write: bool) -> bool {
+        let domain_matches = self.domains.is_empty() || contains(&self.domains, domain);
+        let operation_matches = match self.operations {
             Operations::All => true,
             Operations::Reads => !is_write,
             Operations::Writes => is_write,
         };
-        domain_fits && operation_fits
+        domain_matches && operation_matches
     }
 
-    /// Whether requests of the failure domain vanish.
+    /// Whether requests of the failure domain are never answered.
     pub fn cuts_off(&self, domain: &str) -> bool {
         contains(&self.cut_off_domains, domain)
     }
--- a/src/table_service/fault_script.rs
+++ b/src/table_service/fault_script.rs
@@ -1,4 +1,4 @@
-//! Faults in time: written beforehand as a YAML script or added while the platform runs.
+//! The schedule of faults, read from a YAML script or extended while the platform runs.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -8,10 +8,10 @@
 use crate::table_service::fault::AnswerLoss;
 use crate::table_service::fault::Fault;
 
-/// How many faults may be planned or active at a time.
+/// How many faults may be scheduled or active at a time.
 const MAX_STEPS: usize = 256;
 
-/// All faults planned or active.
+/// All scheduled and active faults.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -19,10 +19,10 @@
     pub steps: Vec<Fault>,
 }
 
-/// What all active faults together do to one request.
+/// The combined effect of all active faults on one request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Effects {
-    /// Nothing is done and nothing is answered.
+    /// The request is neither processed nor answered.
     pub silent: bool,
     pub down: bool,
     pub delay_ms: u64,
@@ -31,7 +31,7 @@
 }
 
 impl FaultScript {
-    /// Reads a script.
+    /// Parses a script.
     ///
     /// # Errors
     /// When it is not valid YAML, has unknown fields or a share outside 0 to 1.
@@ -43,10 +43,10 @@
         Ok(script)
     }
 
-    /// Adds a fault whose `at_ms` counts from `now`; steps that are over make room.
+    /// Adds a fault whose `at_ms` is relative to `now`. Steps that have ended are removed first.
     ///
     /// # Errors
-    /// When the step is invalid or there are too many already.
+    /// When the step is invalid or the script is full.
     pub fn add(&mut self, now: TimeMs, mut step: Fault) -> Result<(), FaultScriptError> {
         step.verify()?;
         self.steps.retain(|each| !each.is_over(now));
@@ -58,7 +58,7 @@
         Ok(())
     }
 
-    /// What the faults active at `now` do to a request.
+    /// The combined effect of the faults active at `now` on a request.
     pub fn effects(&self, now: TimeMs, domain: &str, is_write: bool) -> Effects {
         let active = self.steps.iter().filter(|step| step.is_active(now));
         active.fold(Effects::default(), |effects, step| {
@@ -70,7 +70,7 @@
 impl Effects {
     fn with(self, fault: &Fault, domain: &str, is_write: bool) -> Self {
         let cut_off = fault.cuts_off(domain);
-        if !fault.touches(domain, is_write) {
+        if !fault.applies_to(domain, is_write) {
             return Self {
                 silent: self.silent || cut_off,
                 ..self
--- a/src/table_service/mod.rs
+++ b/src/table_service/mod.rs
@@ -1,5 +1,5 @@
-//! The platform's transactional table service and object store: the client by which the product
-//! uses them, and a stand-in with scripted faults for tests and demos
+//! The platform's transactional table service and object store: the client that the product uses,
+//! and a stand-in server with scripted faults for tests and demos
 //! ([docs/TABLE_SERVICE.md](../../docs/PLATFORM.md)).
 
 mod answers;
--- a/src/table_service/objects.rs
+++ b/src/table_service/objects.rs
@@ -5,7 +5,7 @@
 use crate::core::FastMap;
 use crate::core::Name;
 
-/// How many bytes all objects together may have; the stand-in serves tests and demos.
+/// The limit for all objects together, in bytes. The stand-in serves only tests and demos.
 const MAX_TOTAL_BYTES: usize = 256 * 1024 * 1024;
 
 /// All objects by name.
@@ -16,12 +16,12 @@
 }
 
 impl Objects {
-    /// One object.
+    /// The content of an object.
     pub fn get(&self, name: &str) -> Option<Bytes> {
         self.objects.get(name).cloned()
     }
 
-    /// Writes an object whole; `false` when there is no room for it.
+    /// Stores or replaces an object. Returns `false` if the size limit would be exceeded.
     pub fn put(&mut self, name: &str, content: Bytes) -> bool {
         let replaced_bytes = self.objects.get(name).map_or(0, Bytes::len);
         let total_bytes = self.total_bytes - replaced_bytes + content.len();
--- a/src/table_service/protocol.rs
+++ b/src/table_service/protocol.rs
@@ -1,4 +1,4 @@
-//! The messages of the table service and of the object store, as JSON
+//! The JSON messages of the table service and the object store
 //! ([docs/TABLE_SERVICE.md](../../docs/PLATFORM.md)).
 
 use serde::Deserialize;
@@ -12,24 +12,24 @@
 pub const MAX_VALUE_BYTES: usize = 400 * 1024;
 /// The largest object, in bytes.
 pub const MAX_OBJECT_BYTES: usize = 16 * 1024 * 1024;
-/// How many checks, puts and deletes one transaction may hold.
+/// How many checks, puts and deletes one transaction may contain.
 pub const MAX_TRANSACTION_ITEMS: usize = 100;
-/// How many rows of a scan cost one read.
+/// How many rows of a scan are charged as one read.
 pub const SCAN_ROWS_PER_READ: usize = 16;
-/// The header by which a client states its failure domain, so that faults can be scripted for it.
+/// The header in which a client states its failure domain, so that faults can be scripted by domain.
 pub const DOMAIN_HEADER: &str = "sassafrasgap-domain";
 
-/// A row as a get answers it.
+/// A row as returned by a get.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Row {
-    /// Rises with every change of any row, so that a row deleted and written again never repeats
-    /// an earlier version.
+    /// Taken from a counter that increases with every write to any row. A row that is deleted and
+    /// written again therefore never reuses an earlier version.
     pub version: u64,
     pub value: String,
 }
 
-/// A row of a scan.
+/// A row as returned by a scan.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct KeyedRow {
@@ -45,7 +45,7 @@
     pub rows: Vec<KeyedRow>,
 }
 
-/// A condition of a transaction: the row has this version, or does not exist.
+/// A precondition of a transaction: the row has this version, or does not exist for `None`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Check {
@@ -53,7 +53,7 @@
     pub version: Option<u64>,
 }
 
-/// A row to be written.
+/// A row to write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Put {
@@ -61,7 +61,7 @@
     pub value: String,
 }
 
-/// Conditions and changes that take effect together or not at all.
+/// Preconditions and changes that are applied atomically.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -75,7 +75,7 @@
 }
 
 impl Transaction {
-    /// Writes one row on condition that it has `version`, or does not exist for `None`.
+    /// Writes one row if it has `version`, or does not exist for `None`.
     pub fn put_if(key: impl Into<Name>, version: Option<u64>, value: impl Into<String>) -> Self {
         Self::default().and_put_if(key, version, value)
     }
@@ -97,12 +97,12 @@
         self
     }
 
-    /// How many writes it costs.
+    /// How many writes the rate limit charges for the transaction.
     pub fn writes(&self) -> usize {
         (self.puts.len() + self.deletes.len()).max(1)
     }
 
-    /// The version that the transaction demands of a row: `None` when it does not check the row,
+    /// The version that the transaction requires of a row: `None` when it does not check the row,
     /// `Some(None)` when the row must not exist.
     pub fn checked_version(&self, key: &str) -> Option<Option<u64>> {
         let check = self.checks.iter().find(|check| &*check.key == key)?;
@@ -110,7 +110,7 @@
     }
 }
 
-/// The version that a put got.
+/// The version assigned to a written row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct KeyVersion {
@@ -125,7 +125,7 @@
     pub versions: Vec<KeyVersion>,
 }
 
-/// The row that a check found otherwise.
+/// The row whose version did not match a check.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Conflict {
@@ -135,14 +135,14 @@
     pub value: Option<String>,
 }
 
-/// The body of a 409.
+/// The body of a 409 answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ConflictAnswer {
     pub conflict: Conflict,
 }
 
-/// Whether a key or object name can stand in a path and a query without being encoded.
+/// Whether a key or object name can be used in a path and a query without encoding.
 pub fn is_valid_key(key: &str) -> bool {
     let legal = |byte: u8| byte.is_ascii_alphanumeric() || b"-._~/:@=,".contains(&byte);
     !key.is_empty() && key.len() <= MAX_KEY_BYTES && key.bytes().all(legal)
--- a/src/table_service/rate_limit.rs
+++ b/src/table_service/rate_limit.rs
@@ -1,8 +1,8 @@
-//! The rate limits of the platform.
+//! The rate limiter of the stand-in platform.
 
 use crate::core::TimeMs;
 
-/// A token bucket that holds at most one second's worth.
+/// A token bucket with a capacity of one second's tokens.
 #[derive(Clone, Debug)]
 pub struct RateLimit {
     per_s: f64,
@@ -20,8 +20,8 @@
         }
     }
 
-    /// Takes `cost` tokens, or none when there are too few. What costs more than a full bucket
-    /// passes when the bucket is full, and leaves a debt.
+    /// Takes `cost` tokens, or none if there are too few. A request that costs more than the capacity
+    /// is admitted when the bucket is full, and leaves a negative balance.
     pub fn take(&mut self, now: TimeMs, cost: usize) -> bool {
         let gained = now.since(self.filled_at) as f64 * self.per_s / 1000.0;
         self.tokens = (self.tokens + gained).min(self.per_s);
--- a/src/table_service/server.rs
+++ b/src/table_service/server.rs
@@ -1,4 +1,4 @@
-//! The stand-in for the platform: its table, its objects, its limits and its scripted faults.
+//! The HTTP server of the stand-in platform, with rate limits and scripted faults.
 
 use std::io;
 use std::sync::Arc;
@@ -41,15 +41,16 @@
 const OBJECT_PATH: &str = "/object/";
 const STATS_PATH: &str = "/stats";
 const FAULT_PATH: &str = "/fault";
-/// The largest body that is read: that of a full transaction with room for JSON.
+/// The largest body that is read, in bytes: a full transaction, doubled to leave room for JSON.
 const MAX_BODY_BYTES: usize = 2 * MAX_VALUE_BYTES * MAX_TRANSACTION_ITEMS;
 const PREFIX_QUERY: &str = "prefix=";
 
-/// The whole state behind one lock: the stand-in is not meant to be fast.
+/// The server's state. One lock guards all of it, as the stand-in need not be fast.
 struct State {
     store: Store,
     faults: FaultScript,
-    /// Adds up the error shares, so that exactly the scripted share fails without chance.
+    /// Accumulates the error share of each request, so that exactly the scripted share fails,
+    /// deterministically.
     errors_due: f64,
 }
 
@@ -60,7 +61,7 @@
 }
 
 impl PlatformServer {
-    /// An empty platform whose script begins now.
+    /// An empty platform. Times in the fault script are relative to this call.
     pub fn new(settings: ServerSettings, faults: FaultScript) -> Self {
         let state = State {
             store: Store::new(settings),
@@ -73,10 +74,10 @@
         }
     }
 
-    /// Answers one request, or never when a fault says so.
+    /// Answers one request, or never completes if a fault suppresses the answer.
     ///
-    /// The work goes on when the client gives up meanwhile: a slow write that takes effect after
-    /// its client has timed out is one of the faults that clients must stand.
+    /// Processing continues if the client disconnects. Clients have to tolerate a slow write that
+    /// takes effect after they have timed out.
     pub async fn handle(self: &Arc<Self>, request: Request<Body>) -> Response<Body> {
         let request = match read_whole(request).await {
             Ok(request) => request,
@@ -124,7 +125,7 @@
         self.lock().faults.add(now, fault)
     }
 
-    /// `None` stands for no answer at all.
+    /// Applies the active faults to a request. `None` means that no answer is sent.
     async fn answer_under_faults(
         &self,
         request: &Request<Bytes>,
@@ -151,7 +152,7 @@
         match effects.answer_loss {
             Some(loss) if is_write && answer.status().is_success() => {
                 self.count_fault(path, "answer_lost");
-                lose(loss)
+                lost_answer(loss)
             }
             _ => Some(answer),
         }
@@ -187,7 +188,7 @@
         let method = request.method().clone();
         let now = self.clock.now();
         if path == TABLE_PATH && method == Method::GET {
-            let prefix = request.uri().query().and_then(prefix_of);
+            let prefix = request.uri().query().and_then(parse_prefix);
             return match prefix {
                 Some(prefix) => self.lock().store.scan(now, prefix),
                 None => plain(StatusCode::BAD_REQUEST),
@@ -227,8 +228,8 @@
     }
 }
 
-/// Loses the answer to a change that took effect.
-fn lose(loss: AnswerLoss) -> Option<Response<Body>> {
+/// What is sent instead of the answer to a change that took effect.
+fn lost_answer(loss: AnswerLoss) -> Option<Response<Body>> {
     match loss {
         AnswerLoss::Silent => None,
         AnswerLoss::Broken => {
@@ -239,7 +240,7 @@
     }
 }
 
-fn prefix_of(query: &str) -> Option<&str> {
+fn parse_prefix(query: &str) -> Option<&str> {
     query
         .split('&')
         .find_map(|part| part.strip_prefix(PREFIX_QUERY))
--- a/src/table_service/server_settings.rs
+++ b/src/table_service/server_settings.rs
@@ -1,6 +1,6 @@
-//! What the stand-in platform allows.
+//! Settings of the stand-in platform.
 
-/// The rate limits; those of the brief unless set otherwise.
+/// The rate limits. The defaults are the limits of the real platform as given in the brief.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerSettings {
     pub writes_per_s: u32,
--- a/src/table_service/store.rs
+++ b/src/table_service/store.rs
@@ -1,4 +1,4 @@
-//! The table, the objects, the limits and the counters of the stand-in platform.
+//! The table, objects, rate limits and counters of the stand-in platform.
 
 use bytes::Bytes;
 use http::Response;
@@ -25,7 +25,8 @@
 use crate::table_service::table::Rejection;
 use crate::table_service::table::Table;
 
-/// What the platform keeps and counts. It answers each request at once; faults are not its matter.
+/// The stored data and its counters. Requests are answered immediately; the server applies the
+/// faults.
 pub struct Store {
     table: Table,
     objects: Objects,
@@ -46,7 +47,7 @@
         }
     }
 
-    /// One row.
+    /// Reads one row.
     pub fn get(&mut self, now: TimeMs, key: &str) -> Response<Body> {
         if !self.admit_read(now, key, 1) {
             return plain(StatusCode::TOO_MANY_REQUESTS);
@@ -54,11 +55,11 @@
         let Some(row) = self.table.get(key).cloned() else {
             return plain(StatusCode::NOT_FOUND);
         };
-        self.count_out(key, row.value.len());
+        self.count_bytes_out(key, row.value.len());
         json(StatusCode::OK, &row)
     }
 
-    /// All rows with a prefix.
+    /// Reads all rows whose keys begin with the prefix.
     pub fn scan(&mut self, now: TimeMs, prefix: &str) -> Response<Body> {
         let rows = self.table.scan(prefix);
         let cost = rows.len().div_ceil(SCAN_ROWS_PER_READ).max(1);
@@ -66,13 +67,13 @@
             return plain(StatusCode::TOO_MANY_REQUESTS);
         }
         let bytes = rows.iter().map(|row| row.value.len()).sum();
-        self.count_out(prefix, bytes);
+        self.count_bytes_out(prefix, bytes);
         json(StatusCode::OK, &Scan { rows })
     }
 
-    /// A transaction, applied whole or not at all.
+    /// Applies a transaction atomically.
     pub fn transact(&mut self, now: TimeMs, transaction: &Transaction) -> Response<Body> {
-        if !is_acceptable(transaction) {
+        if !is_valid(transaction) {
             return plain(StatusCode::BAD_REQUEST);
         }
         let key = first_key(transaction);
@@ -90,7 +91,7 @@
         }
     }
 
-    /// One object.
+    /// Reads one object.
     pub fn get_object(&mut self, now: TimeMs, name: &str) -> Response<Body> {
         if !self.admit_read(now, name, 1) {
             return plain(StatusCode::TOO_MANY_REQUESTS);
@@ -98,11 +99,11 @@
         let Some(content) = self.objects.get(name) else {
             return plain(StatusCode::NOT_FOUND);
         };
-        self.count_out(name, content.len());
+        self.count_bytes_out(name, content.len());
         Response::new(full_body(content))
     }
 
-    /// Writes an object whole.
+    /// Writes a complete object.
     pub fn put_object(&mut self, now: TimeMs, name: &str, content: Bytes) -> Response<Body> {
         if content.len() > MAX_OBJECT_BYTES {
             return plain(StatusCode::PAYLOAD_TOO_LARGE);
@@ -143,13 +144,13 @@
         self.stats.count(key, |counters| counters.refused += 1);
     }
 
-    fn count_out(&mut self, key: &str, bytes: usize) {
+    fn count_bytes_out(&mut self, key: &str, bytes: usize) {
         self.stats
             .count(key, |counters| counters.bytes_out += bytes as u64);
     }
 }
 
-fn is_acceptable(transaction: &Transaction) -> bool {
+fn is_valid(transaction: &Transaction) -> bool {
     let items = transaction.checks.len() + transaction.puts.len() + transaction.deletes.len();
     let mut keys = transaction
         .checks
@@ -164,7 +165,7 @@
     (1..=MAX_TRANSACTION_ITEMS).contains(&items) && keys.all(|key| is_valid_key(key)) && values_fit
 }
 
-/// The key under whose prefix a transaction is counted.
+/// The key whose prefix determines where a transaction is counted.
 fn first_key(transaction: &Transaction) -> &str {
     let put = transaction.puts.first().map(|put| &*put.key);
     let deleted = transaction.deletes.first().map(|key| &**key);
--- a/src/table_service/table.rs
+++ b/src/table_service/table.rs
@@ -13,7 +13,7 @@
 use crate::table_service::protocol::Row;
 use crate::table_service::protocol::Transaction;
 
-/// How many rows it holds at most; the stand-in serves tests and demos, not production.
+/// The maximum number of rows. The stand-in serves tests and demos, not production.
 const MAX_ROWS: usize = 1_000_000;
 
 /// Why a transaction did not take effect.
@@ -46,10 +46,10 @@
             .collect()
     }
 
-    /// Applies all changes when all checks hold, or nothing.
+    /// Applies all changes if all checks hold, and none otherwise.
     ///
     /// # Errors
-    /// The first check that failed, or that there is no room for further rows.
+    /// The first check that failed, or `Full` if the row limit would be exceeded.
     pub fn transact(&mut self, transaction: &Transaction) -> Result<Committed, Rejection> {
         for check in &transaction.checks {
             self.verify(check)?;
