--- a/src/adapters/body_budget.rs
+++ b/src/adapters/body_budget.rs
@@ -10,8 +10,8 @@
 
 /// Counts the bytes of all bodies in memory and limits their sum.
 ///
-/// Many callers that send large bodies slowly, or read large answers slowly, can each stay within the
-/// limit for one body and together exhaust the memory of the process, which then is killed. To
+/// Many callers that send large bodies slowly, or read large answers slowly, can each stay within
+/// the limit for one body and together exhaust the memory of the process, which then is killed. To
 /// prevent this, every byte is counted before it is kept, until the body is dropped.
 #[derive(Debug)]
 pub struct BodyBudget {
--- a/src/adapters/connection_pool.rs
+++ b/src/adapters/connection_pool.rs
@@ -83,15 +83,15 @@
         }
     }
 
-    /// Sends a request and reads the complete answer. If the future is dropped earlier, the connection
-    /// is closed, so that the server learns that the request was cancelled.
+    /// Sends a request and reads the complete answer. If the future is dropped earlier, the
+    /// connection is closed, so that the server learns that the request was cancelled.
     ///
     /// `is_reusable` examines the head of the answer and decides whether the connection may be used
     /// again.
     ///
     /// # Errors
-    /// When no connection can be made, when it ends before the answer does, and when the body budget
-    /// is exhausted.
+    /// When no connection can be made, when it ends before the answer does, and when the body
+    /// budget is exhausted.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -191,9 +191,9 @@
 
 /// Sets TCP options: small messages are sent without delay, and an unresponsive peer is detected.
 ///
-/// A connection can stop delivering packets without a reset. A request on it would then wait until its
-/// deadline. To prevent this, an idle connection is probed every second and closed after two failed
-/// probes, and a connection is closed if sent data is not acknowledged within `silence_ms`.
+/// A connection can stop delivering packets without a reset. A request on it would then wait until
+/// its deadline. To prevent this, an idle connection is probed every second and closed after two
+/// failed probes, and a connection is closed if sent data is not acknowledged within `silence_ms`.
 pub(super) fn set_options(stream: &TcpStream, silence_ms: u64) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
--- a/src/adapters/http_client.rs
+++ b/src/adapters/http_client.rs
@@ -15,15 +15,15 @@
 
 /// Builds a client.
 ///
-/// `idle_ms` is how long an idle connection is kept. The longer a connection is idle, the more likely
-/// a middlebox has dropped its state, and a new connection costs only about 1 ms. `connect_ms` limits
-/// the wait for a new connection.
+/// `idle_ms` is how long an idle connection is kept. The longer a connection is idle, the more
+/// likely a middlebox has dropped its state, and a new connection costs only about 1 ms.
+/// `connect_ms` limits the wait for a new connection.
 pub fn http_client(idle_ms: u64, connect_ms: u64) -> HttpClient {
     client_from(None, idle_ms, connect_ms)
 }
 
-/// Builds a client whose connections use `own_address` as their source, so that on a VM with several
-/// addresses peers see the one in the node's settings.
+/// Builds a client whose connections use `own_address` as their source, so that on a VM with
+/// several addresses peers see the one in the node's settings.
 pub fn http_client_from(own_address: IpAddr, idle_ms: u64, connect_ms: u64) -> HttpClient {
     client_from(Some(own_address), idle_ms, connect_ms)
 }
@@ -36,8 +36,8 @@
     Client::builder(TokioExecutor::new())
         .pool_idle_timeout(Duration::from_millis(idle_ms))
         .pool_timer(hyper_util::rt::TokioTimer::new())
-        // Retries only requests that the pool returns unsent because the idle connection was already
-        // closed. No part of them has left this process, so they cannot run twice.
+        // Retries only requests that the pool returns unsent because the idle connection was
+        // already closed. No part of them has left this process, so they cannot run twice.
         .retry_canceled_requests(true)
         .build(connector)
 }
--- a/src/adapters/http_listener.rs
+++ b/src/adapters/http_listener.rs
@@ -1,8 +1,8 @@
 //! A listener that serves HTTP/1.1 with `hyper` directly.
 //!
 //! With `gotham` and the pool of `hyper-util`, a call took 460 us of CPU time at entry and guard
-//! together (docs/MEASUREMENTS.md), which is too much for a small VM. `gotham` is built on `hyper`, so
-//! `hyper` is used here without it (docs/PLATFORM.md has the CPU time of this version).
+//! together (docs/MEASUREMENTS.md), which is too much for a small VM. `gotham` is built on `hyper`,
+//! so `hyper` is used here without it (docs/PLATFORM.md has the CPU time of this version).
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -33,7 +33,8 @@
 
 /// The pause after a failed accept. The usual cause is a lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// How long a connection that was open when the listener stopped may take to send its first request.
+/// How long a connection that was open when the listener stopped may take to send its first
+/// request.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 /// The smallest buffer that `hyper` accepts, in bytes.
 const MIN_BUFFER_BYTES: usize = 8 * 1024;
@@ -50,11 +51,11 @@
     pub silence_ms: u64,
 }
 
-/// Serves until the future is dropped, which closes all its connections. Once `stopping` is true, each
-/// connection is closed after its current answer, and each new connection gets one answer.
+/// Serves until the future is dropped, which closes all its connections. Once `stopping` is true,
+/// each connection is closed after its current answer, and each new connection gets one answer.
 ///
-/// `conf` is called for each new connection, so changed limits apply to connections accepted later. A
-/// handler is dropped when its caller closes the connection.
+/// `conf` is called for each new connection, so changed limits apply to connections accepted later.
+/// A handler is dropped when its caller closes the connection.
 pub async fn serve_http<F, R>(
     listener: TcpListener,
     conf: impl Fn() -> ListenerConf,
--- a/src/adapters/http_server.rs
+++ b/src/adapters/http_server.rs
@@ -64,7 +64,8 @@
     gotham::bind_server(listener, new_handler, without_delay).await
 }
 
-/// Disables Nagle's algorithm: small answers must not wait for the previous packet's acknowledgement.
+/// Disables Nagle's algorithm: small answers must not wait for the previous packet's
+/// acknowledgement.
 fn without_delay(socket: TcpStream) -> futures::future::Ready<Result<TcpStream, ()>> {
     ready(socket.set_nodelay(true).map(|()| socket).map_err(drop))
 }
--- a/src/adapters/whole_body.rs
+++ b/src/adapters/whole_body.rs
@@ -12,8 +12,8 @@
 use crate::errors::SendError;
 
 /// Initial buffer size for a body of several chunks, in bytes. An announced length is not trusted
-/// beyond this. Otherwise a few callers that announce much and send little could exhaust the memory of
-/// the process.
+/// beyond this. Otherwise a few callers that announce much and send little could exhaust the memory
+/// of the process.
 const INITIAL_CAPACITY_BYTES: usize = 64 * 1024;
 
 /// Reads a complete body. Its part of `budget` is released when the body is dropped.
--- a/src/conf/address_check.rs
+++ b/src/conf/address_check.rs
@@ -24,8 +24,8 @@
     a.port() != 0 && a.port() == b.port() && (any || a.ip() == b.ip())
 }
 
-/// Reports a local listener that other machines could reach. Anyone who can reach it could act as the
-/// backend server.
+/// Reports a local listener that other machines could reach. Anyone who can reach it could act as
+/// the backend server.
 pub fn check_loopback(section: &Section, field: &'static str, address: Option<SocketAddr>) {
     if let Some(address) = address.filter(|address| !address.ip().is_loopback()) {
         let expected = "a loopback address, such as 127.0.0.1:7002, as only the local backend \
--- a/src/conf/document.rs
+++ b/src/conf/document.rs
@@ -26,8 +26,8 @@
     })
 }
 
-/// Parses `text` and calls `read` to extract the values. `read` returns `None` if a required value is
-/// missing. Its result is returned only if no problem was recorded.
+/// Parses `text` and calls `read` to extract the values. `read` returns `None` if a required value
+/// is missing. Its result is returned only if no problem was recorded.
 ///
 /// # Errors
 /// All problems of the document, so that they can be corrected in one round.
--- a/src/conf/file_watch.rs
+++ b/src/conf/file_watch.rs
@@ -37,8 +37,8 @@
         tokio::time::sleep(POLL_INTERVAL).await;
     }
 
-    /// The text of the file if it has changed. Each change is returned once, so that an invalid text
-    /// is reported once.
+    /// The text of the file if it has changed. Each change is returned once, so that an invalid
+    /// text is reported once.
     ///
     /// # Errors
     /// When the file cannot be read. Consecutive errors of the same kind are returned once.
--- a/src/conf/preset_document.rs
+++ b/src/conf/preset_document.rs
@@ -70,8 +70,8 @@
     })
 }
 
-/// Reads the classes in order of importance. Reports an order that omits a class or names an unknown
-/// one.
+/// Reads the classes in order of importance. Reports an order that omits a class or names an
+/// unknown one.
 fn read_classes(section: &mut Section) -> Vec<ClassPolicy> {
     let order = section.names("order");
     let mut policies: Vec<ClassPolicy> = Vec::new();
--- a/src/conf/preset_rules.rs
+++ b/src/conf/preset_rules.rs
@@ -95,8 +95,8 @@
     Some(Name::from(text))
 }
 
-/// Reads whether calls of a rule are non-idempotent. If the rule does not say so, its method decides.
-/// With any method it has to be stated, because a wrong default could run a charge twice.
+/// Reads whether calls of a rule are non-idempotent. If the rule does not say so, its method
+/// decides. With any method it has to be stated, because a wrong default could run a charge twice.
 fn read_non_idempotent(section: &mut Section, method: Option<&str>) -> Option<bool> {
     let given = section.has("non_idempotent");
     let stated = section.boolean("non_idempotent");
--- a/src/conf/section.rs
+++ b/src/conf/section.rs
@@ -1,7 +1,7 @@
 //! Reads a mapping of a YAML document field by field.
 //!
-//! Deserializing directly into structs stops at the first error, but operators want to see all of them.
-//! A section records each problem and continues. At the end it reports the unknown keys.
+//! Deserializing directly into structs stops at the first error, but operators want to see all of
+//! them. A section records each problem and continues. At the end it reports the unknown keys.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -93,8 +93,8 @@
             .is_some_and(|value| !value.is_null())
     }
 
-    /// Whether the field is given in another unit. It is then reported as an unknown key, and should
-    /// not be reported as missing too.
+    /// Whether the field is given in another unit. It is then reported as an unknown key, and
+    /// should not be reported as missing too.
     fn given_in_other_unit(&self, field: &'static str) -> bool {
         self.entries
             .iter()
@@ -127,8 +127,8 @@
         values.into_iter().enumerate().map(section).collect()
     }
 
-    /// A mapping from names to mappings, empty if absent. The caller has to call [`Self::finish`] on
-    /// each.
+    /// A mapping from names to mappings, empty if absent. The caller has to call [`Self::finish`]
+    /// on each.
     pub fn named_sections(&mut self, field: &'static str) -> Vec<(Name, Self)> {
         let Some(value) = self.take(field) else {
             return Vec::new();
--- a/src/conf/section_fields.rs
+++ b/src/conf/section_fields.rs
@@ -100,7 +100,8 @@
         Some(Name::from(text))
     }
 
-    /// Reports a missing name, unless [`Self::text`] has already reported a value that is not a text.
+    /// Reports a missing name, unless [`Self::text`] has already reported a value that is not a
+    /// text.
     fn missing_name(&self, field: &'static str) {
         let path = self.path_of(field);
         let reported = self.problems.borrow().iter().any(|p| p.field == path);
--- a/src/errors/configuration.rs
+++ b/src/errors/configuration.rs
@@ -1,4 +1,4 @@
-//! Presets in the store, and commands of operators.
+//! Errors of the configuration and of operators' commands.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 use crate::errors::PlatformError;
 use crate::errors::SettingsError;
 
-/// A change or a read of the configuration that did not succeed.
+/// Why the configuration could not be read or changed.
 #[derive(Debug)]
 #[derive(Error)]
 pub enum ConfigError {
@@ -47,7 +47,7 @@
     DocumentMissing { key: Name },
 }
 
-/// A command of an operator that did not succeed.
+/// Why an operator's command failed.
 #[derive(Debug)]
 #[derive(Error)]
 pub enum CtlError {
--- a/src/errors/control.rs
+++ b/src/errors/control.rs
@@ -1,23 +1,23 @@
-//! Gossip, control calls and claims.
+//! Errors of gossip, control calls and claims.
 
 use std::io;
 use std::net::SocketAddr;
 
 use thiserror::Error;
 
-/// A gossip datagram that cannot be used; it is counted and dropped.
+/// Why a gossip datagram was rejected. Such datagrams are counted and dropped.
 #[derive(Debug)]
 #[derive(Error)]
 pub enum GossipError {
     #[error("the datagram is empty")]
     Empty,
-    #[error("the datagram is of version {theirs}, this node speaks {ours}")]
+    #[error("the datagram has version {theirs}, this node supports {ours}")]
     Version { theirs: u8, ours: u8 },
     #[error("the datagram cannot be decoded: {0}")]
     Decode(#[from] postcard::Error),
 }
 
-/// A control call that brought no answer.
+/// Why a control call failed.
 #[derive(Debug)]
 #[derive(Error)]
 pub enum PeerCallError {
@@ -31,7 +31,7 @@
     Stopped,
 }
 
-/// The control thread cannot start.
+/// Why the control thread cannot start.
 #[derive(Debug)]
 #[derive(Error)]
 pub enum ControlError {
@@ -44,7 +44,7 @@
     Start(#[from] io::Error),
 }
 
-/// A slot map or a transfer of a ledger that cannot be understood.
+/// Why a slot map or a ledger transfer is invalid.
 #[derive(Debug)]
 #[derive(Error)]
 pub enum ClaimsError {
--- a/src/errors/joined.rs
+++ b/src/errors/joined.rs
@@ -1,4 +1,4 @@
-//! Several problems in one text.
+//! Joins several problems into one text.
 
 pub(super) fn joined<T: ToString>(problems: &[T]) -> String {
     let texts: Vec<String> = problems.iter().map(T::to_string).collect();
--- a/src/errors/load.rs
+++ b/src/errors/load.rs
@@ -1,4 +1,4 @@
-//! Load runs and experiments.
+//! Errors of load runs and experiments.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 use crate::errors::SettingsError;
 use crate::errors::joined::joined;
 
-/// A value of a load plan that makes no sense.
+/// An invalid value in a load plan.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Error)]
 pub enum PlanProblem {
@@ -27,7 +27,7 @@
     Path { field: String, value: Name },
 }
 
-/// What can go wrong in a load run.
+/// Why a load run failed.
 #[derive(Debug)]
 #[derive(Error)]
 pub enum LoadError {
@@ -66,7 +66,7 @@
     Runtime { source: io::Error },
     #[error("cannot listen: {source}")]
     Listen { source: io::Error },
-    #[error("a caller panicked; the run is worthless")]
+    #[error("a caller task panicked; the results of the run are invalid")]
     CallerPanicked,
     #[error("backend server {backend} does not answer GET /runs")]
     RunsUnreachable { backend: SocketAddr },
@@ -81,13 +81,15 @@
     Plot { path: PathBuf, reason: String },
 }
 
-/// What can go wrong in an experiment.
+/// Why an experiment failed.
 #[derive(Debug)]
 #[derive(Error)]
 pub enum ExperimentError {
-    #[error("{text:?} is no change of a setting; give key=value, such as control_enabled=false")]
+    #[error(
+        "{text:?} is not a valid change of a setting; give key=value, such as control_enabled=false"
+    )]
     Change { text: String },
-    #[error("the run log of {target} lost lines; nothing can be said of its runs")]
+    #[error("the run log of {target} lost lines, so its runs cannot be evaluated")]
     RunLogLost { target: Name },
     #[error(transparent)]
     Load(#[from] LoadError),
@@ -112,7 +114,7 @@
         Self::Write { path, source }
     }
 
-    /// Whether the caller of the program is to correct something; nothing was sent then.
+    /// Whether the program's arguments or input files are invalid. No request was sent then.
     pub fn is_usage(&self) -> bool {
         matches!(
             self,
--- a/src/errors/mesh.rs
+++ b/src/errors/mesh.rs
@@ -1,4 +1,4 @@
-//! Deployments of processes on one machine, and the capacity experiment.
+//! Errors of meshes of local processes and of the capacity experiment.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,11 +9,11 @@
 use crate::core::Name;
 use crate::errors::ConfigError;
 
-/// A mesh of processes that cannot be started or does not do as it is told.
+/// Why a mesh of processes cannot be started or controlled.
 #[derive(Debug)]
 #[derive(Error)]
 pub enum MeshError {
-    #[error("cannot find the program that runs: {0}")]
+    #[error("cannot determine the path of this program: {0}")]
     CurrentExe(io::Error),
     #[error("{} is missing; build it with `cargo build --release`", path.display())]
     NoProgram { path: PathBuf },
@@ -28,9 +28,9 @@
     },
     #[error("cannot start {name}: {source}")]
     Start { name: Name, source: io::Error },
-    #[error("{name} does not run")]
+    #[error("{name} is not running")]
     NotRunning { name: Name },
-    #[error("{name} still runs after {wait_ms} ms")]
+    #[error("{name} is still running after {wait_ms} ms")]
     StillRuns { name: Name, wait_ms: u64 },
     #[error("cannot signal {name}: {source}")]
     Signal {
@@ -47,20 +47,20 @@
     Publish(#[from] ConfigError),
     #[error("no answer from {uri}: {why}")]
     Call { uri: String, why: String },
-    #[error("{uri} answered something else: {source}")]
+    #[error("unexpected answer from {uri}: {source}")]
     Json {
         uri: String,
         source: serde_json::Error,
     },
 }
 
-/// An experiment that could not be carried out.
+/// Why the capacity experiment failed.
 #[derive(Debug)]
 #[derive(Error)]
 pub enum CapacityError {
     #[error("process {pid} is gone")]
     ProcessGone { pid: u32 },
-    #[error("{nodes} nodes did not get there within {limit_ms} ms: {what}")]
+    #[error("{nodes} nodes did not reach the expected state within {limit_ms} ms: {what}")]
     NotReached {
         what: &'static str,
         nodes: usize,
--- a/src/errors/mod.rs
+++ b/src/errors/mod.rs
@@ -1,4 +1,5 @@
-//! Every failure of the product, by type, a file for each concern. No bare strings travel as errors.
+//! The error types of the product, with one file for each area. Errors are types, never plain
+//! strings.
 
 mod configuration;
 mod control;
--- a/src/errors/node.rs
+++ b/src/errors/node.rs
@@ -1,4 +1,4 @@
-//! Nodes and backend servers.
+//! Errors of nodes and backend servers.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,13 +9,13 @@
 use crate::errors::ControlError;
 use crate::errors::WireError;
 
-/// A stand-in backend server that cannot start.
+/// Why a stand-in backend server cannot start.
 #[derive(Debug)]
 #[derive(Error)]
 pub enum BackendError {
     #[error("cannot read the settings {}: {source}", path.display())]
     ReadSettings { path: PathBuf, source: io::Error },
-    #[error("the settings {} are not right: {source}", path.display())]
+    #[error("invalid settings {}: {source}", path.display())]
     ParseSettings {
         path: PathBuf,
         source: serde_yaml_ng::Error,
@@ -28,7 +28,7 @@
     Signals(io::Error),
 }
 
-/// A body that is not what was announced.
+/// Why a streamed body was aborted.
 #[derive(Debug)]
 #[derive(Error)]
 pub enum BodyError {
@@ -36,11 +36,11 @@
     CutShort,
     #[error("the body is longer than announced")]
     TooLong,
-    #[error("nothing came of the body for too long")]
+    #[error("no data of the body arrived in time")]
     Stalled,
 }
 
-/// A node that cannot start.
+/// Why a node cannot start.
 #[derive(Debug)]
 #[derive(Error)]
 pub enum NodeError {
@@ -56,7 +56,7 @@
     Metrics(#[from] prometheus::Error),
 }
 
-/// An answer of a peer that must not be passed on.
+/// Why a peer's answer must not be forwarded.
 #[derive(Debug)]
 #[derive(Error)]
 pub enum AnswerError {
--- a/src/errors/settings.rs
+++ b/src/errors/settings.rs
@@ -1,19 +1,19 @@
-//! Settings files, with every problem told at once.
+//! Errors in settings files, with all problems reported at once.
 
 use std::fmt;
 
 use serde::Serialize;
 use thiserror::Error;
 
-/// One thing that is wrong in a settings, preset or deployment file.
+/// One problem in a settings, preset or deployment file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct Problem {
-    /// Path of the field, such as `rules[2].class`; empty for the document as a whole.
+    /// Path of the field, such as `rules[2].class`; empty for the whole document.
     pub field: String,
     /// The value as written, shortened.
     pub value: String,
-    /// What would be right.
+    /// The expected value.
     pub expected: String,
 }
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// A file that cannot be used, with everything that is wrong in it.
+/// An invalid file, with all its problems.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Error, Serialize)]
 #[error("{}", list_problems(file, problems))]
--- a/src/errors/table_service.rs
+++ b/src/errors/table_service.rs
@@ -1,10 +1,10 @@
-//! The table service of the platform's stand-in.
+//! Errors of the platform client and of fault scripts.
 
 use thiserror::Error;
 
 use crate::core::Name;
 
-/// A request to the platform that did not do what was asked.
+/// Why a request to the platform failed.
 #[derive(Debug)]
 #[derive(Error)]
 pub enum PlatformError {
@@ -31,7 +31,7 @@
     InvalidKey { key: String },
 }
 
-/// A script of faults that cannot be followed.
+/// Why a fault script is invalid.
 #[derive(Debug)]
 #[derive(Error)]
 pub enum FaultScriptError {
--- a/src/errors/traffic.rs
+++ b/src/errors/traffic.rs
@@ -1,4 +1,4 @@
-//! The way of a request on a deployment whose operator keeps the desired state in a store.
+//! Errors of request handling in deployments whose desired state is in a store.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,42 +8,42 @@
 use crate::errors::ControlError;
 use crate::errors::joined::joined;
 
-/// What can go wrong at a store of rows.
+/// Why a call to the store failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Error)]
 pub enum StoreError {
     /// Nothing was sent: no connection could be made.
     #[error("the store cannot be reached: {0}")]
     Unreachable(String),
-    /// The call was sent and not answered, so a write may have been done or may be done later.
+    /// The call was sent and not answered. A write may have been done, or may still be done later.
     #[error("the store did not answer: {0}")]
     NoAnswer(String),
     /// Nothing was done: the store is not available.
     #[error("the store is not available")]
     Unavailable,
-    /// Nothing was done: more calls came than the store takes.
+    /// Nothing was done: the store's rate limit was exceeded.
     #[error("the store takes no more calls for now")]
     TooManyCalls,
-    /// The history that was asked for is gone: the table has to be read anew.
+    /// The requested history is no longer available: the table has to be read again.
     #[error("the store has dropped the history asked for")]
     HistoryGone,
     /// Nothing was done: the row is at another version.
     #[error("the row is at version {version}")]
     Conflict { version: u64 },
-    /// The answer, or what it rests on, is of before the store was restored from an older copy: what was
-    /// done may be undone.
+    /// The answer, or the state it is based on, predates a restore of the store from an older copy.
+    /// What was done may have been undone.
     #[error("the answer is of era {era} of the store, which is at {newest}")]
     EarlierEra { era: u64, newest: u64 },
-    /// The store does not take this call as it is.
+    /// The store rejected the call as invalid.
     #[error("the store refused the call with status {status}")]
     Refused { status: u16 },
-    /// The answer cannot be understood.
+    /// The answer cannot be parsed.
     #[error("the store's answer cannot be read: {0}")]
     Malformed(String),
 }
 
 impl StoreError {
-    /// Whether nothing was done and nothing will be.
+    /// Whether the call certainly had no effect and will have none later.
     pub fn is_not_done(&self) -> bool {
         !matches!(
             self,
@@ -52,32 +52,32 @@
     }
 }
 
-/// A request that was not answered by the one it was sent to.
+/// Why a request got no answer, or why a body could not be read.
 #[derive(Debug)]
 #[derive(Error)]
 pub enum SendError {
-    /// Nothing of the request left this process.
+    /// No part of the request left this process.
     #[error("no connection: {0}")]
     Connect(io::Error),
     /// The request may have arrived.
     #[error("lost after it was sent: {0}")]
     Lost(#[from] hyper::Error),
-    /// The body of the answer is longer than may be held.
+    /// The body is longer than the limit for one body.
     #[error("the answer is longer than {max_bytes} bytes")]
     TooLong { max_bytes: usize },
-    /// All bodies together may not take more memory.
+    /// The memory budget for all bodies together is exhausted.
     #[error("bodies take all of the {max_bytes} bytes that they may")]
     NoMemory { max_bytes: usize },
 }
 
 impl SendError {
-    /// Whether the other side certainly never saw the request.
+    /// Whether the server certainly never received the request.
     pub fn is_unsent(&self) -> bool {
         matches!(self, Self::Connect(_))
     }
 }
 
-/// A report of a backend server that cannot be taken in.
+/// Why a backend server's report was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Error)]
 pub enum ReportError {
@@ -89,7 +89,7 @@
     UnknownService(String),
 }
 
-/// A desired state that cannot be taken in.
+/// Why a desired state was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Error)]
 pub enum DesiredStateError {
@@ -99,7 +99,7 @@
     Invalid { problems: Vec<String> },
 }
 
-/// What can go wrong when a node starts to serve.
+/// Why a node cannot start to serve.
 #[derive(Debug)]
 #[derive(Error)]
 pub enum TrafficError {
@@ -115,7 +115,7 @@
     Metrics(#[from] prometheus::Error),
 }
 
-/// Why the log cannot be written.
+/// Why logging cannot be started.
 #[derive(Debug)]
 #[derive(Error)]
 pub enum LoggingError {
--- a/src/errors/wire.rs
+++ b/src/errors/wire.rs
@@ -1,8 +1,8 @@
-//! Messages between nodes.
+//! Errors in messages between nodes.
 
 use thiserror::Error;
 
-/// A message between nodes that cannot be understood.
+/// Why a message from another node is invalid.
 #[derive(Debug)]
 #[derive(Error)]
 pub enum WireError {
--- a/src/logging/event_rate.rs
+++ b/src/logging/event_rate.rs
@@ -5,7 +5,8 @@
 
 /// Average rate of lines for one event. A person reads only a few; the counters cover the rest.
 const LINES_PER_SECOND: f64 = 5.0;
-/// Lines of one event that may be written in a burst, so that the start of a problem is logged in full.
+/// Lines of one event that may be written in a burst, so that the start of a problem is logged in
+/// full.
 const BURST: f64 = 50.0;
 /// Events with a rate limit of their own. When a further one arrives, all limits are reset.
 const MAX_EVENTS: usize = 1_024;
@@ -18,8 +19,8 @@
 
 /// Limits the rate of log lines for each event.
 ///
-/// During an overload, thousands of requests a second are refused for the same reason. Without a limit,
-/// logging them would cost more than handling them. The caller passes in the time.
+/// During an overload, thousands of requests a second are refused for the same reason. Without a
+/// limit, logging them would cost more than handling them. The caller passes in the time.
 #[derive(Clone, Debug, Default)]
 pub struct EventRate {
     events: FastMap<String, TokenBucket>,
--- a/src/logging/log_line.rs
+++ b/src/logging/log_line.rs
@@ -7,8 +7,8 @@
 
 /// A line as a JSON object: time, level, part of the program, event, and the values behind it.
 ///
-/// Messages in the program are written `part: event, field=value field=value`. They are parsed here, so
-/// that the log is structured while the messages stay readable in the source.
+/// Messages in the program are written `part: event, field=value field=value`. They are parsed
+/// here, so that the log is structured while the messages stay readable in the source.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct LogLine {
--- a/src/logging/log_writer.rs
+++ b/src/logging/log_writer.rs
@@ -25,8 +25,8 @@
 
 /// A bounded queue to the writing thread.
 ///
-/// If the reader of the log stops reading, a write to it blocks indefinitely. Only the writing thread
-/// then blocks. The queue fills, and further lines are counted and dropped.
+/// If the reader of the log stops reading, a write to it blocks indefinitely. Only the writing
+/// thread then blocks. The queue fills, and further lines are counted and dropped.
 #[derive(Clone)]
 pub struct LogWriter {
     commands: SyncSender<Command>,
--- a/src/logging/logger.rs
+++ b/src/logging/logger.rs
@@ -18,7 +18,8 @@
 use crate::logging::LogWriter;
 use crate::logging::SAMPLED;
 
-/// Environment variable that overrides the filter, for example `info,sassafrasgap::membership=debug`.
+/// Environment variable that overrides the filter, for example
+/// `info,sassafrasgap::membership=debug`.
 const FILTER_VARIABLE: &str = "RUST_LOG";
 /// How often the number of missing lines is logged, in milliseconds.
 const REPORT_INTERVAL_MS: u64 = 5_000;
@@ -35,8 +36,8 @@
     limiter: Mutex<LimiterState>,
 }
 
-/// Writes all log records to standard output as JSON lines. `default_filter` applies if `RUST_LOG` is not
-/// set. Called once, at the start of the program.
+/// Writes all log records to standard output as JSON lines. `default_filter` applies if `RUST_LOG`
+/// is not set. Called once, at the start of the program.
 ///
 /// # Errors
 /// When the writing thread cannot be started, or a logger is set already.
--- a/src/logging/mod.rs
+++ b/src/logging/mod.rs
@@ -1,5 +1,5 @@
-//! The structured log of the long-running programs: one JSON object a line on standard output, written
-//! by a separate thread, so that no request waits for it. Events and fields are listed in
+//! The structured log of the long-running programs: one JSON object a line on standard output,
+//! written by a separate thread, so that no request waits for it. Events and fields are listed in
 //! [docs/OPERATIONS.md](../../docs/OPERATIONS.md).
 
 mod event_rate;
--- a/src/metrics/by_route.rs
+++ b/src/metrics/by_route.rs
@@ -11,8 +11,8 @@
 use crate::core::FastMap;
 use crate::core::Name;
 
-/// Routes with a series of their own. A desired state may have hundreds of routes, and each series has
-/// one value for each bucket, so all further routes share one series.
+/// Routes with a series of their own. A desired state may have hundreds of routes, and each series
+/// has one value for each bucket, so all further routes share one series.
 const MAX_ROUTES: usize = 64;
 /// The label of all further routes.
 const OTHER_ROUTES: &str = "other";
--- a/src/metrics/metrics.rs
+++ b/src/metrics/metrics.rs
@@ -236,12 +236,12 @@
             pressures: gauge_by_service(
                 &registry,
                 "sassafrasgap_pressure_permille",
-                "How hard services are overloaded for whose sake this entry refuses requests.",
+                "How hard services are pressed for whose sake this entry refuses requests.",
             ),
             admitted: gauge_by_service(
                 &registry,
                 "sassafrasgap_admitted_percent",
-                "The part of callers' requests that is let in for a overloaded service's sake.",
+                "The part of callers' requests that is let in for a pressed service's sake.",
             ),
             account_asked: gauge_by(
                 &registry,
@@ -296,8 +296,8 @@
         }
     }
 
-    /// Sets the overloaded services because of which this entry refuses requests. There are at most as
-    /// many as there are services.
+    /// Sets the overloaded services because of which this entry refuses requests. There are at most
+    /// as many as there are services.
     pub fn set_overloaded(&self, overloaded: &[OverloadedService]) {
         self.pressures.reset();
         self.admitted.reset();
@@ -310,8 +310,8 @@
         }
     }
 
-    /// Sets the request rate and admitted share of each account. `accounts` is sorted by rate, highest
-    /// first. All accounts after the first 10 share one label.
+    /// Sets the request rate and admitted share of each account. `accounts` is sorted by rate,
+    /// highest first. All accounts after the first 10 share one label.
     pub fn set_accounts<'a>(&self, accounts: impl Iterator<Item = (&'a str, AccountUse)>) {
         self.account_asked.reset();
         self.account_part.reset();
--- a/src/preset/mod.rs
+++ b/src/preset/mod.rs
@@ -1,4 +1,5 @@
-//! Presets: the importance of each class of calls and how long its calls may wait, set by operators.
+//! Presets: the importance of each class of calls and how long its calls may wait, set by
+//! operators.
 
 mod call_policy;
 mod preset;
--- a/src/table_service/client.rs
+++ b/src/table_service/client.rs
@@ -200,8 +200,8 @@
 
     /// Discards all pooled connections by replacing the client.
     ///
-    /// When one connection stops answering, others in the pool usually have too. A retry over one of
-    /// them would time out again.
+    /// When one connection stops answering, others in the pool usually have too. A retry over one
+    /// of them would time out again.
     fn replace_connections(&self, used: &Arc<HttpClient>) {
         debug!(
             "platform client: connection pool replaced address={}",
--- a/src/table_service/fault.rs
+++ b/src/table_service/fault.rs
@@ -34,8 +34,8 @@
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Fault {
-    /// Start time in milliseconds, relative to the start of the platform or to the time at which the
-    /// fault was posted.
+    /// Start time in milliseconds, relative to the start of the platform or to the time at which
+    /// the fault was posted.
     pub at_ms: u64,
     /// Duration in milliseconds. If absent, the fault lasts until all faults are cleared.
     pub for_ms: Option<u64>,
--- a/src/table_service/protocol.rs
+++ b/src/table_service/protocol.rs
@@ -16,7 +16,8 @@
 pub const MAX_TRANSACTION_ITEMS: usize = 100;
 /// How many rows of a scan are charged as one read.
 pub const SCAN_ROWS_PER_READ: usize = 16;
-/// The header in which a client states its failure domain, so that faults can be scripted by domain.
+/// The header in which a client states its failure domain, so that faults can be scripted by
+/// domain.
 pub const DOMAIN_HEADER: &str = "sassafrasgap-domain";
 
 /// A row as returned by a get.
--- a/src/table_service/rate_limit.rs
+++ b/src/table_service/rate_limit.rs
@@ -20,8 +20,8 @@
         }
     }
 
-    /// Takes `cost` tokens, or none if there are too few. A request that costs more than the capacity
-    /// is admitted when the bucket is full, and leaves a negative balance.
+    /// Takes `cost` tokens, or none if there are too few. A request that costs more than the
+    /// capacity is admitted when the bucket is full, and leaves a negative balance.
     pub fn take(&mut self, now: TimeMs, cost: usize) -> bool {
         let gained = now.since(self.filled_at) as f64 * self.per_s / 1000.0;
         self.tokens = (self.tokens + gained).min(self.per_s);
--- a/tests/adapters_connection_pool.rs
+++ b/tests/adapters_connection_pool.rs
@@ -1,4 +1,4 @@
-//! Which connections to a server are used again.
+//! When the pool reuses a connection to a server.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 
-/// A server whose answers have these header lines, and the count of connections made to it.
+/// Starts a server whose answers have these header lines, and counts the connections made to it.
 async fn server(lines: &'static str) -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -57,19 +57,19 @@
     pool.send(address, request, |_| true).await.unwrap();
 }
 
-/// Guards against a request that is sent on a connection which its server is about to close: it may have run,
-/// and one that must not run twice is lost.
+/// Failure: a request is sent on a connection that its server is about to close. It may have run,
+/// so a request that must not run twice cannot be retried and is lost.
 #[rstest]
-#[case::no_word("", 0, 1)]
+#[case::no_header("", 0, 1)]
 #[case::within("Keep-Alive: timeout=5\r\n", 0, 1)]
 #[case::over("Keep-Alive: timeout=1, max=100\r\n", 1_100, 2)]
-#[case::close_to_it("Keep-Alive: max=100, timeout=1\r\n", 900, 2)]
-#[case::not_at_all("Keep-Alive: timeout=0\r\n", 0, 2)]
+#[case::within_margin("Keep-Alive: max=100, timeout=1\r\n", 900, 2)]
+#[case::zero("Keep-Alive: timeout=0\r\n", 0, 2)]
 #[case::unreadable("Keep-Alive: timeout=soon\r\n", 0, 1)]
 #[case::closes("Connection: close\r\n", 0, 2)]
 #[case::closes_among_others("Connection: x-hop, Close\r\n", 0, 2)]
 #[tokio::test]
-async fn a_connection_is_used_again_as_long_as_its_server_keeps_it(
+async fn a_connection_is_reused_while_its_server_keeps_it(
     #[case] lines: &'static str,
     #[case] pause_ms: u64,
     #[case] expected: usize,
--- a/tests/conf_examples.rs
+++ b/tests/conf_examples.rs
@@ -1,4 +1,4 @@
-//! Both deployments of the examples check clean and have the sizes of the brief.
+//! Both example deployments are valid and have the sizes given in the brief.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -108,7 +108,7 @@
 #[case::no_targets("targets: 2", "targets: 0", "services.web.targets")]
 #[case::few_connections("connections: 20", "connections: 2", "services.web.connections")]
 #[case::latency_unit("domain_latency_us: 7", "domain_latency_ms: 1", "domain_latency_ms")]
-fn a_spoiled_deployment_is_refused(#[case] from: &str, #[case] to: &str, #[case] field: &str) {
+fn an_invalid_deployment_is_refused(#[case] from: &str, #[case] to: &str, #[case] field: &str) {
     let good = "deployment: d\nregion: r\ndomains: [a]\ndomain_latency_us: 7\nservices:\n  web: \
                 {targets: 2, slots: 10, connections: 20}\npresets: [p.yaml]\nfirst_preset: p\n";
     parse_deployment("d.yaml", good).expect("good deployment");
--- a/tests/conf_file_watch.rs
+++ b/tests/conf_file_watch.rs
@@ -5,9 +5,9 @@
 use rstest::rstest;
 use sassafrasgap::conf::FileWatch;
 
-/// Every new text is told once; the text that is known already is not.
+/// Each changed text is returned once. The text that was already read is not returned.
 #[rstest]
-fn each_text_is_told_once() {
+fn each_text_is_returned_once() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("settings");
     fs::write(&path, "one").unwrap();
@@ -18,10 +18,10 @@
     assert_eq!(watch.changed().unwrap(), None);
 }
 
-/// The file is away for a while, as it may be while it is replaced. That is told once, and what
-/// stands there afterwards is taken.
+/// The file is missing for a while, as it may be while it is replaced. The error is returned once,
+/// and the new text is returned afterwards.
 #[rstest]
-fn a_missing_file_is_told_once() {
+fn a_missing_file_is_reported_once() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("settings");
     let mut watch = FileWatch::new(path.clone(), "one".to_owned());
--- a/tests/conf_node_settings.rs
+++ b/tests/conf_node_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a node: defaults, and every problem told at once.
+//! Node settings: defaults, and all problems reported at once.
 
 use rstest::rstest;
 use sassafrasgap::conf::parse_node_settings;
@@ -51,7 +51,7 @@
     "peer_advertised_address",
     "cannot connect"
 )]
-fn a_spoiled_field_is_named_with_what_would_be_right(
+fn an_invalid_field_is_named_with_the_expected_value(
     #[case] line: &str,
     #[case] field: &str,
     #[case] expected: &str,
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn all_problems_are_told_at_once() {
+fn all_problems_are_reported_at_once() {
     let text = "node: 7\nlocal_address: 10.0.0.1:1\nsilence_s: 1\n";
     let error = parse_node_settings("node.yaml", text).unwrap_err();
     let fields: Vec<&str> = error.problems.iter().map(|p| p.field.as_str()).collect();
@@ -103,7 +103,7 @@
 #[case::list("- a")]
 #[case::not_yaml("a: [")]
 #[case::key_twice("node: a\nnode: b\n")]
-fn what_is_no_mapping_is_an_error(#[case] text: &str) {
+fn a_document_that_is_not_a_mapping_is_an_error(#[case] text: &str) {
     let error = parse_node_settings("node.yaml", text).unwrap_err();
     assert!(!error.problems.is_empty());
     assert!(error.to_string().starts_with("node.yaml: "));
--- a/tests/conf_presets.rs
+++ b/tests/conf_presets.rs
@@ -1,4 +1,4 @@
-//! Preset documents: the order of classes, rules and their problems.
+//! Preset documents: the order of classes, rules, and reported problems.
 
 use rstest::rstest;
 use sassafrasgap::conf::parse_preset;
@@ -77,7 +77,7 @@
     "rules[1].path_prefix",
     "earlier rule"
 )]
-fn a_spoiled_preset_is_refused(
+fn an_invalid_preset_is_refused(
     #[case] from: &str,
     #[case] to: &str,
     #[case] field: &str,
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_class_that_nothing_leads_to_is_reported() {
+fn an_unreachable_class_is_reported() {
     let text = GOOD
         .replace("order: [jobs, browse]", "order: [jobs, bills, browse]")
         .replace("  jobs:", "  bills: {wait_ms: 1, deadline_ms: 9}\n  jobs:");
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn problems_of_several_parts_come_together() {
+fn problems_of_several_parts_are_reported_together() {
     let text = GOOD
         .replace("[jobs, browse]", "[jobs]")
         .replace("class: jobs}", "class: nothing}")
--- a/tests/logging.rs
+++ b/tests/logging.rs
@@ -1,4 +1,4 @@
-//! The structured log: lines, their bounds, and a reader that stops reading.
+//! The structured log: lines, rate limits, and a reader that stops reading.
 
 use std::io;
 use std::io::Write;
@@ -24,7 +24,7 @@
     )
 }
 
-/// Messages are taken apart by how they are written everywhere in the program.
+/// Messages of the form used throughout the program are parsed into part, event and fields.
 #[rstest]
 #[case("entry: refused, request=a1 took_ms=12", "entry", "refused", &[("request", "a1"), ("took_ms", "12")])]
 #[case("store: lost, error=no answer: not within 5 ms", "store", "lost", &[("error", "no answer: not within 5 ms")])]
@@ -32,7 +32,7 @@
 #[case("node: stops", "node", "stops", &[])]
 #[case("something else, said freely", "traffic", "something else, said freely", &[])]
 #[case("Mixed Case: x, a=1", "traffic", "Mixed Case: x", &[("a", "1")])]
-fn messages_are_taken_apart(
+fn messages_are_parsed(
     #[case] message: &str,
     #[case] part: &str,
     #[case] event: &str,
@@ -49,7 +49,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever a message holds, its line is one line and reads back as it was.
+    /// Whatever a message contains, it is encoded as one line and parsed back unchanged.
     #[test]
     fn every_line_reads_back(message in "\\PC{0,80}", prefix in "[a-z0-9. -]{0,20}") {
         let written = line(&message).encode();
@@ -59,34 +59,34 @@
     }
 }
 
-/// What is not a line of ours, or is cut short, is told apart.
+/// Lines of other programs and truncated lines are not parsed.
 #[rstest]
 #[case("")]
 #[case("listening on port 80")]
 #[case("{\"ts\":\"2026\"")]
 #[case("{\"ts\":\"2026\",\"level\":\"info\"}")]
-fn other_lines_are_passed_over(#[case] text: &str) {
+fn other_lines_are_skipped(#[case] text: &str) {
     assert_eq!(LogLine::parse(text), None);
 }
 
-/// An overload refuses thousands of requests a second for one reason. The beginning is told whole, then
-/// a few a second; other events are told all the while; what was left out is counted.
+/// An overload refuses thousands of requests a second for one reason. A burst of these lines is
+/// logged, then a few a second. Other events are still logged, and suppressed lines are counted.
 #[rstest]
 fn one_event_does_not_fill_the_log() {
     let mut rate = EventRate::default();
-    let mut told = 0;
+    let mut admitted = 0;
     for call in 0..10_000_u64 {
-        told += u64::from(rate.admits(TimeMs(call), "refused"));
+        admitted += u64::from(rate.admits(TimeMs(call), "refused"));
         if call % 1_000 == 0 {
             assert!(rate.admits(TimeMs(call), "in force"));
         }
     }
-    assert!((90..=110).contains(&told), "{told}");
-    assert_eq!(rate.take_suppressed(), 10_000 - told);
+    assert!((90..=110).contains(&admitted), "{admitted}");
+    assert_eq!(rate.take_suppressed(), 10_000 - admitted);
     assert_eq!(rate.take_suppressed(), 0);
 }
 
-/// The same requests are sampled wherever they are looked at, about one in 64.
+/// About one request in 64 is sampled.
 #[rstest]
 fn about_one_request_in_64_is_sampled() {
     let sampled = (0..64_000_u32).filter(|id| is_sampled(&format!("{id:016x}")));
@@ -94,7 +94,7 @@
     assert!((800..=1_200).contains(&sampled), "{sampled}");
 }
 
-/// A pipe whose reader has stopped: a write never ends.
+/// A pipe whose reader has stopped: a write blocks for an hour.
 struct StoppedPipe;
 
 impl Write for StoppedPipe {
@@ -108,10 +108,10 @@
     }
 }
 
-/// Whoever collects the log stops reading. Writers go on as if nothing were; what does not fit is
-/// dropped and counted, and the end of the program does not wait for it.
+/// The log collector stops reading. Writers must not block: lines that do not fit in the queue are
+/// dropped and counted, and the end of the program does not wait for them.
 #[rstest]
-fn a_stopped_reader_stops_nobody() {
+fn a_stopped_reader_does_not_block_writers() {
     let writer = LogWriter::start(StoppedPipe).unwrap();
     let started = Instant::now();
     for number in 0..50_000 {
@@ -137,9 +137,9 @@
     }
 }
 
-/// What was handed over before a flush is written when it returns, in order.
+/// Lines queued before a flush are written in order when it returns.
 #[rstest]
-fn a_flush_writes_what_waits() {
+fn a_flush_writes_queued_lines() {
     let kept = Kept::default();
     let writer = LogWriter::start(kept.clone()).unwrap();
     for number in 0..100 {
--- a/tests/platform_faults.rs
+++ b/tests/platform_faults.rs
@@ -1,4 +1,4 @@
-//! Each scripted fault alone and two together, as a client sees them.
+//! Each scripted fault alone, and two together, as seen by a client.
 
 mod support;
 
@@ -23,7 +23,7 @@
 }
 
 #[tokio::test]
-async fn down_is_said_at_once_and_does_nothing() {
+async fn down_is_reported_at_once_and_nothing_is_done() {
     let platform = TestPlatform::start().await;
     let client = platform.client("a");
     platform.add_fault(json!({"down": true})).await;
@@ -63,15 +63,15 @@
     );
 }
 
-/// A user sees: every read of one node fails although the platform is healthy. A firewall lost its
-/// table: connections that were open go silent for good while new ones work. The node kept trying
-/// over the connections it had.
+/// Failure: every read of one node fails although the platform is healthy. A firewall lost its
+/// table, so open connections stop answering while new ones work, and the node kept using the open
+/// ones.
 #[tokio::test]
 async fn a_silent_connection_is_replaced_for_the_second_read() {
     let platform = TestPlatform::start().await;
     let client = platform.client("a");
     client.get(KEY).await.unwrap();
-    // Only the first of the two tries falls into the fault.
+    // The fault affects only the first of the two attempts.
     platform
         .add_fault(json!({"hang": true, "for_ms": 200}))
         .await;
@@ -79,7 +79,7 @@
 }
 
 #[tokio::test]
-async fn slow_answers_still_come() {
+async fn slow_answers_still_arrive() {
     let platform = TestPlatform::start().await;
     let client = platform.client("a");
     platform.add_fault(json!({"slow_delay_ms": 30})).await;
@@ -87,9 +87,9 @@
     assert!(client.get(KEY).await.unwrap().is_some());
 }
 
-/// A user sees: a switch of presets is reported as failed, and takes effect a moment later. The
-/// store was slower than the client's patience, and the write was carried out after the client had
-/// read back that nothing had changed.
+/// Failure: a switch of presets is reported as failed, and takes effect a moment later. The store
+/// was slower than the client's timeout, and did the write after the client had read back an
+/// unchanged row.
 #[tokio::test]
 async fn a_write_that_is_slower_than_its_client_is_found_applied() {
     let platform = TestPlatform::start().await;
@@ -126,8 +126,8 @@
     assert!(matches!(error, PlatformError::OutcomeUnknown), "{error}");
 }
 
-/// A user sees: an operator's switch is reported as failed and is in force all the same; made
-/// again, it conflicts with itself. The write took effect and only its answer was lost.
+/// Failure: an operator's switch is reported as failed although it is in force, and a retry
+/// conflicts with it. The write took effect and only its answer was lost.
 #[rstest]
 #[case::broken("broken")]
 #[case::silent("silent")]
@@ -155,8 +155,8 @@
     assert_eq!(platform.stats().await.total.writes, 2);
 }
 
-/// A user sees: two operators switch at the same moment while the store loses answers, and both
-/// are told that they won. The loser took its lost answer for a success.
+/// Failure: two operators switch at the same time while the store loses answers, and both switches
+/// are reported as successful. The loser treated its lost answer as a success.
 #[tokio::test]
 async fn of_two_writers_one_wins_although_answers_are_lost() {
     let platform = TestPlatform::start().await;
@@ -176,7 +176,7 @@
 }
 
 #[tokio::test]
-async fn a_cut_off_domain_hears_nothing_while_the_others_go_on() {
+async fn a_cut_off_domain_gets_no_answers_while_others_do() {
     let platform = TestPlatform::start().await;
     platform.add_fault(json!({"cut_off_domains": ["b"]})).await;
     assert_eq!(platform.client("a").get(KEY).await.unwrap(), None);
@@ -201,7 +201,7 @@
     assert!(matches!(error, PlatformError::OutcomeUnknown), "{error}");
     let outcome = resolve(&client, KEY, None, "change-1").await;
     assert_eq!(outcome, Resolution::Unknown);
-    // The row cannot be read back, but the conflict of a second sending shows it.
+    // The row cannot be read back, but the conflict of the second attempt contains it.
     let outcome = transact_resolved(&client, &write(), KEY, "change-1").await;
     assert!(matches!(outcome, Ok(Resolution::Applied(_))), "{outcome:?}");
     assert_eq!(platform.stats().await.total.conflicts, 1);
@@ -233,7 +233,7 @@
 #[case::other_domain(300, "a", true, Effects::default())]
 #[case::cut_off(5000, "c", false, Effects { silent: true, ..Effects::default() })]
 #[case::over(400, "b", true, Effects::default())]
-fn a_script_is_followed_in_time(
+fn a_script_applies_faults_on_schedule(
     #[case] now_ms: u64,
     #[case] domain: &str,
     #[case] is_write: bool,
@@ -247,6 +247,6 @@
 #[case::unknown_field("steps: [{dwon: true}]")]
 #[case::share("steps: [{error_share: 1.5}]")]
 #[case::no_steps("{}")]
-fn a_spoiled_script_is_refused(#[case] text: &str) {
+fn an_invalid_script_is_refused(#[case] text: &str) {
     assert!(FaultScript::from_yaml(text).is_err());
 }
--- a/tests/platform_transactions.rs
+++ b/tests/platform_transactions.rs
@@ -1,4 +1,4 @@
-//! The stand-in platform and its client over real connections: transactions, conflicts, limits.
+//! The stand-in platform and its client over TCP connections: transactions, conflicts and limits.
 
 mod support;
 
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_row_written_anew_never_repeats_a_version() {
+fn a_row_written_again_never_reuses_a_version() {
     let mut table = Table::default();
     let first = table
         .transact(&Transaction::put_if("k", None, "1"))
@@ -133,7 +133,7 @@
 #[case("a?b")]
 #[case("ä")]
 #[tokio::test]
-async fn refuses_keys_that_cannot_stand_in_a_path(#[case] key: &str) {
+async fn refuses_keys_that_are_not_valid_in_a_path(#[case] key: &str) {
     let platform = TestPlatform::start().await;
     let error = platform.client("a").get(key).await.unwrap_err();
     assert!(matches!(error, PlatformError::InvalidKey { .. }));
