--- a/src/conf/deployment_document.rs
+++ b/src/conf/deployment_document.rs
@@ -101,10 +101,10 @@
     problems
 }
 
-/// Checks a deployment document; `file` is the name that problems are told under.
+/// Parses and validates a deployment document. Problems are reported under the name `file`.
 ///
 /// # Errors
-/// Every problem of the text at once.
+/// All problems of the text.
 pub fn parse_deployment(file: &str, text: &str) -> Result<Deployment, SettingsError> {
     parse_document(file, text, read_deployment)
 }
