--- a/src/logging/log_line.rs
+++ b/src/logging/log_line.rs
@@ -27,7 +27,7 @@
     /// Parses a message. If it names no part, the last segment of `module` is used.
     pub fn new(ts: String, level: &str, module: &str, message: &str) -> Self {
         let (part, rest) = match message.split_once(": ") {
-            Some((part, rest)) if is_word(part) => (part, rest),
+            Some((part, rest)) if is_identifier(part) => (part, rest),
             _ => (module.rsplit("::").next().unwrap_or(module), message),
         };
         let (event, fields) = rest.split_at(first_field(rest));
@@ -64,7 +64,7 @@
     }
 }
 
-fn is_word(text: &str) -> bool {
+fn is_identifier(text: &str) -> bool {
     !text.is_empty()
         && text
             .bytes()
@@ -74,7 +74,7 @@
 /// Splits a text that begins with `name=` into the name and the rest.
 fn field_at(text: &str) -> Option<(&str, &str)> {
     let (name, rest) = text.split_once('=')?;
-    is_word(name).then_some((name, rest))
+    is_identifier(name).then_some((name, rest))
 }
 
 /// The offset of the first `name=`, or the length of the text.
--- a/src/metrics/metrics.rs
+++ b/src/metrics/metrics.rs
@@ -28,7 +28,7 @@
     10.0, 30.0,
 ];
 
-/// The maximum number of accounts with a label of their own.
+/// How many accounts have a label of their own.
 const MAX_ACCOUNTS: usize = 10;
 
 /// Everything that a node counts.
@@ -73,8 +73,8 @@
     pub failing_permille: IntGauge,
     pressures: IntGaugeVec,
     admitted: IntGaugeVec,
-    account_asked: IntGaugeVec,
-    account_part: IntGaugeVec,
+    account_requests: IntGaugeVec,
+    account_admitted: IntGaugeVec,
     pub guard_wait: Histogram,
     pub backend_latency: Histogram,
 }
@@ -88,7 +88,7 @@
         let registry = Registry::new();
         let refusals: Vec<&str> = RefusalReason::ALL.iter().map(|r| r.as_str()).collect();
         let retries: Vec<&str> = RetryReason::ALL.iter().map(|r| r.as_str()).collect();
-        let by_reason = |name, help, words| ByReason::register(&registry, name, help, words);
+        let by_reason = |name, help, reasons| ByReason::register(&registry, name, help, reasons);
         let counter = |name, help| counter(&registry, name, help);
         let gauge = |name, help| gauge(&registry, name, help);
         let histogram = |name, help| histogram(&registry, name, help);
@@ -243,13 +243,13 @@
                 "sassafrasgap_admitted_percent",
                 "The part of callers' requests that is let in for a pressed service's sake.",
             ),
-            account_asked: gauge_by(
+            account_requests: gauge_by(
                 &registry,
                 "sassafrasgap_account_asked_per_minute",
                 "Requests of the busiest accounts that come here, and of all others together.",
                 "account",
             ),
-            account_part: gauge_by(
+            account_admitted: gauge_by(
                 &registry,
                 "sassafrasgap_account_part_permille",
                 "The part of an account's requests that its allowance lets in.",
@@ -310,24 +310,25 @@
         }
     }
 
-    /// Sets the request rate and admitted share of each account. `accounts` is sorted by rate,
-    /// highest first. All accounts after the first 10 share one label.
+    /// Sets the request rate and the admitted fraction of each account. `accounts` is sorted by
+    /// rate, highest first. All accounts after the first 10 share one label, so that the number of
+    /// series is limited.
     pub fn set_accounts<'a>(&self, accounts: impl Iterator<Item = (&'a str, AccountUse)>) {
-        self.account_asked.reset();
-        self.account_part.reset();
+        self.account_requests.reset();
+        self.account_admitted.reset();
         let mut others_per_minute = 0.0;
-        for (order, (name, account)) in accounts.enumerate() {
+        for (rank, (name, account)) in accounts.enumerate() {
             let per_minute = account.per_s * 60.0;
-            if order >= MAX_ACCOUNTS {
+            if rank >= MAX_ACCOUNTS {
                 others_per_minute += per_minute;
                 continue;
             }
-            let asked = self.account_asked.with_label_values(&[name]);
-            asked.set(per_minute as i64);
-            let part = self.account_part.with_label_values(&[name]);
-            part.set(i64::from(account.admitted_permille));
+            let requests = self.account_requests.with_label_values(&[name]);
+            requests.set(per_minute as i64);
+            let admitted = self.account_admitted.with_label_values(&[name]);
+            admitted.set(i64::from(account.admitted_permille));
         }
-        let others = self.account_asked.with_label_values(&["(others)"]);
+        let others = self.account_requests.with_label_values(&["(others)"]);
         others.set(others_per_minute as i64);
     }
 
--- a/src/table_service/rate_limit.rs
+++ b/src/table_service/rate_limit.rs
@@ -7,7 +7,7 @@
 pub struct RateLimit {
     per_s: f64,
     tokens: f64,
-    filled_at: TimeMs,
+    refilled_at: TimeMs,
 }
 
 impl RateLimit {
@@ -16,16 +16,16 @@
         Self {
             per_s: f64::from(per_s),
             tokens: f64::from(per_s),
-            filled_at: TimeMs(0),
+            refilled_at: TimeMs(0),
         }
     }
 
     /// Takes `cost` tokens, or none if there are too few. A request that costs more than the
     /// capacity is admitted when the bucket is full, and leaves a negative balance.
     pub fn take(&mut self, now: TimeMs, cost: usize) -> bool {
-        let gained = now.since(self.filled_at) as f64 * self.per_s / 1000.0;
+        let gained = now.since(self.refilled_at) as f64 * self.per_s / 1000.0;
         self.tokens = (self.tokens + gained).min(self.per_s);
-        self.filled_at = now;
+        self.refilled_at = now;
         let cost = cost as f64;
         if self.tokens < cost.min(self.per_s) {
             return false;
