--- a/tests/adapters_connection_pool.rs
+++ b/tests/adapters_connection_pool.rs
@@ -51,7 +51,7 @@
     ConnectionPool::new(conf, Clock::new(), BodyBudget::new(1 << 20))
 }
 
-async fn ask(pool: &ConnectionPool, address: SocketAddr) {
+async fn send_request(pool: &ConnectionPool, address: SocketAddr) {
     let request = Request::get("/").header("host", "x");
     let request = request.body(Full::new(Bytes::new())).unwrap();
     pool.send(address, request, |_| true).await.unwrap();
@@ -76,8 +76,8 @@
 ) {
     let (address, connections) = server(lines).await;
     let pool = pool();
-    ask(&pool, address).await;
+    send_request(&pool, address).await;
     tokio::time::sleep(Duration::from_millis(pause_ms)).await;
-    ask(&pool, address).await;
+    send_request(&pool, address).await;
     assert_eq!(connections.load(Ordering::Relaxed), expected);
 }
--- a/tests/conf_examples.rs
+++ b/tests/conf_examples.rs
@@ -77,7 +77,7 @@
 #[rstest]
 #[case("association/node-workspace-1.yaml")]
 #[case("cantinas/node-compras-1.yaml")]
-fn example_nodes_check_clean(#[case] file: &str) {
+fn example_node_settings_are_valid(#[case] file: &str) {
     load_node_settings(&example(file)).expect("good settings");
 }
 
--- a/tests/conf_node_settings.rs
+++ b/tests/conf_node_settings.rs
@@ -66,7 +66,7 @@
 #[rstest]
 #[case::same("127.0.0.1:7005", "127.0.0.1:7001", "operator_address")]
 #[case::any_address("127.0.0.1:7005", "0.0.0.0:7001", "operator_address")]
-#[case::the_platforms("127.0.0.1:7005", "127.0.0.1:7900", "platform_address")]
+#[case::platform_address("127.0.0.1:7005", "127.0.0.1:7900", "platform_address")]
 #[case::not_loopback("127.0.0.1:7002", "10.0.0.1:7002", "local_address")]
 #[case::bad_seed("127.0.0.1:7104", "somewhere", "seeds[1]")]
 #[case::bad_name("workspace-1", "work/space", "node")]
--- a/tests/logging.rs
+++ b/tests/logging.rs
@@ -86,7 +86,6 @@
     assert_eq!(rate.take_suppressed(), 0);
 }
 
-/// About one request in 64 is sampled.
 #[rstest]
 fn about_one_request_in_64_is_sampled() {
     let sampled = (0..64_000_u32).filter(|id| is_sampled(&format!("{id:016x}")));
@@ -124,9 +123,9 @@
 }
 
 #[derive(Clone, Default)]
-struct Kept(Arc<Mutex<Vec<u8>>>);
+struct SharedBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Kept {
+impl Write for SharedBuffer {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
@@ -140,18 +139,18 @@
 /// Lines queued before a flush are written in order when it returns.
 #[rstest]
 fn a_flush_writes_queued_lines() {
-    let kept = Kept::default();
-    let writer = LogWriter::start(kept.clone()).unwrap();
+    let buffer = SharedBuffer::default();
+    let writer = LogWriter::start(buffer.clone()).unwrap();
     for number in 0..100 {
         writer.write(format!("line {number}"));
     }
     let waited = Instant::now();
-    while kept.0.lock().unwrap().is_empty() || waited.elapsed() < Duration::from_millis(1) {
+    while buffer.0.lock().unwrap().is_empty() || waited.elapsed() < Duration::from_millis(1) {
         writer.flush();
         assert!(waited.elapsed() < Duration::from_secs(30));
     }
     writer.flush();
-    let text = String::from_utf8(kept.0.lock().unwrap().clone()).unwrap();
+    let text = String::from_utf8(buffer.0.lock().unwrap().clone()).unwrap();
     let expected: Vec<String> = (0..100).map(|number| format!("line {number}")).collect();
     assert_eq!(text.lines().collect::<Vec<_>>(), expected);
 }
--- a/tests/platform_faults.rs
+++ b/tests/platform_faults.rs
@@ -87,9 +87,9 @@
     assert!(client.get(KEY).await.unwrap().is_some());
 }
 
-/// Failure: a switch of presets is reported as failed, and takes effect a moment later. The store
-/// was slower than the client's timeout, and did the write after the client had read back an
-/// unchanged row.
+/// Failure: a switch of presets is reported as failed, and takes effect a moment later. The
+/// platform was slower than the client's timeout, and did the write after the client had read back
+/// an unchanged row.
 #[tokio::test]
 async fn a_write_that_is_slower_than_its_client_is_found_applied() {
     let platform = TestPlatform::start().await;
@@ -155,8 +155,8 @@
     assert_eq!(platform.stats().await.total.writes, 2);
 }
 
-/// Failure: two operators switch at the same time while the store loses answers, and both switches
-/// are reported as successful. The loser treated its lost answer as a success.
+/// Failure: two operators switch at the same time while the platform loses answers, and both
+/// switches are reported as successful. The loser treated its lost answer as a success.
 #[tokio::test]
 async fn of_two_writers_one_wins_although_answers_are_lost() {
     let platform = TestPlatform::start().await;
