--- a/src/adapters/connection_pool.rs
+++ b/src/adapters/connection_pool.rs
@@ -35,7 +35,8 @@
 
 /// Idle connections kept for one address. More are needed at once only in a surge.
 const MAX_IDLE_PER_ADDRESS: usize = 64;
-/// Number of addresses above which those without a usable idle connection are removed.
+/// The number of addresses from which those without a usable idle connection are removed before a
+/// new address is added.
 const MAX_ADDRESSES: usize = 2_048;
 
 /// Timeouts of connections.
--- a/src/adapters/http_listener.rs
+++ b/src/adapters/http_listener.rs
@@ -90,7 +90,8 @@
 /// Closes a connection after its current answer, or after the first one.
 ///
 /// A connection that a caller has just opened looks idle. If it were closed at once, a request that
-/// has arrived and was not read yet would be lost.
+/// has arrived and was not read yet would be lost. Such a connection therefore gets
+/// [`FIRST_REQUEST_TIMEOUT`] for its first request.
 async fn close_after_answer<S>(
     mut connection: Pin<&mut Connection<TokioIo<TcpStream>, S>>,
     has_request: &AtomicBool,
--- a/src/adapters/whole_body.rs
+++ b/src/adapters/whole_body.rs
@@ -75,7 +75,8 @@
         self.whole.extend_from_slice(&chunk);
     }
 
-    /// Grows the buffer by doubling, limited to the announced length or what is needed.
+    /// Grows the buffer by doubling. The new capacity is at most the announced length, unless more
+    /// is needed.
     fn make_room(&mut self, more_bytes: usize) {
         let needed = self.whole.len() + more_bytes;
         if needed <= self.whole.capacity() {
--- a/src/conf/deployment.rs
+++ b/src/conf/deployment.rs
@@ -7,9 +7,9 @@
 use crate::conf::NodeSettings;
 use crate::core::Name;
 
-/// Listeners of a node, in the order in which [`Deployment::loopback_settings`] asks for ports.
+/// The number of listeners of a node. [`Deployment::loopback_settings`] assigns a port to each.
 const LISTENERS_PER_NODE: usize = 5;
-/// Nodes of each failure domain that new nodes contact first.
+/// The number of nodes in each failure domain that new nodes contact first.
 const SEEDS_PER_DOMAIN: usize = 2;
 
 /// The size of one service.
--- a/src/conf/preset_document.rs
+++ b/src/conf/preset_document.rs
@@ -14,7 +14,7 @@
 use crate::preset::Preset;
 use crate::preset::Rule;
 
-/// More classes would not help operators, and a class takes one byte in a priority.
+/// Operators have no use for more classes. A class also has to fit into one byte of a priority.
 const MAX_CLASSES: usize = 32;
 const MAX_WAIT_MS: u64 = 600_000;
 const MAX_DEADLINE_MS: u64 = 86_400_000;
--- a/src/conf/preset_rules.rs
+++ b/src/conf/preset_rules.rs
@@ -8,7 +8,7 @@
 const MAX_RULES: usize = 1_000;
 const ANY: &str = "*";
 const METHODS: &[&str] = &["GET", "HEAD", "PUT", "DELETE", "OPTIONS", "POST", "PATCH"];
-/// Methods whose calls are non-idempotent unless a rule says otherwise.
+/// Methods whose calls do harm if they run twice, unless a rule states otherwise.
 const NON_IDEMPOTENT_METHODS: &[&str] = &["POST", "PATCH"];
 
 /// Reads all rules; `None` when one of them has a problem.
@@ -32,7 +32,8 @@
     complete.then_some(rules)
 }
 
-/// The index of a class in the order. Reports a problem that lists the classes if there is none.
+/// The index of a class in the order. If the class is unknown, a problem that lists all classes is
+/// reported.
 pub fn class_index(
     section: &Section,
     field: &'static str,
@@ -95,8 +96,9 @@
     Some(Name::from(text))
 }
 
-/// Reads whether calls of a rule are non-idempotent. If the rule does not say so, its method
-/// decides. With any method it has to be stated, because a wrong default could run a charge twice.
+/// Reads whether calls of a rule are non-idempotent. If the rule does not state it, this follows
+/// from its method. A rule for any method has to state it, because a wrong default could run a
+/// charge twice.
 fn read_non_idempotent(section: &mut Section, method: Option<&str>) -> Option<bool> {
     let given = section.has("non_idempotent");
     let stated = section.boolean("non_idempotent");
--- a/src/conf/section_fields.rs
+++ b/src/conf/section_fields.rs
@@ -30,7 +30,7 @@
         }
     }
 
-    /// A whole number within a range, with a default.
+    /// An optional whole number within a range, with a default.
     pub fn number_or(
         &mut self,
         field: &'static str,
--- a/src/errors/traffic.rs
+++ b/src/errors/traffic.rs
@@ -1,4 +1,5 @@
-//! Errors of request handling in deployments whose desired state is in a store.
+//! Errors of nodes whose operator keeps the desired state in a store: of the store, of requests, of
+//! reports and of the start.
 
 use std::io;
 use std::net::SocketAddr;
--- a/src/logging/event_rate.rs
+++ b/src/logging/event_rate.rs
@@ -8,7 +8,8 @@
 /// Lines of one event that may be written in a burst, so that the start of a problem is logged in
 /// full.
 const BURST: f64 = 50.0;
-/// Events with a rate limit of their own. When a further one arrives, all limits are reset.
+/// How many events have a rate limit of their own. A further event resets all limits, so that
+/// memory stays bounded.
 const MAX_EVENTS: usize = 1_024;
 
 #[derive(Clone, Copy, Debug)]
--- a/src/preset/mod.rs
+++ b/src/preset/mod.rs
@@ -1,5 +1,5 @@
-//! Presets: the importance of each class of calls and how long its calls may wait, set by
-//! operators.
+//! Presets, with which operators set the importance of each class of calls and how long its calls
+//! may wait.
 
 mod call_policy;
 mod preset;
--- a/src/preset/preset.rs
+++ b/src/preset/preset.rs
@@ -5,7 +5,7 @@
 use crate::core::Name;
 use crate::preset::CallPolicy;
 
-/// One class of work, in the preset's order of importance.
+/// The limits for one class of calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClassPolicy {
     pub name: Name,
--- a/src/table_service/client.rs
+++ b/src/table_service/client.rs
@@ -29,7 +29,7 @@
 use crate::table_service::protocol::Transaction;
 use crate::table_service::protocol::is_valid_key;
 
-/// How long an unused connection is kept, in milliseconds.
+/// How long an idle connection is kept, in milliseconds.
 const IDLE_CONNECTION_MS: u64 = 10_000;
 /// The largest answer body that is read, in bytes.
 const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
@@ -159,7 +159,7 @@
         content: impl Into<Bytes>,
     ) -> Result<Answer, PlatformError> {
         match self.send(method, path, content.into()).await {
-            // The store may have written before it failed with an internal error.
+            // The platform may have written before it failed with an internal error.
             Ok(answer) if answer.status == StatusCode::INTERNAL_SERVER_ERROR => {
                 Err(PlatformError::OutcomeUnknown)
             }
--- a/src/table_service/fault.rs
+++ b/src/table_service/fault.rs
@@ -18,7 +18,7 @@
     Writes,
 }
 
-/// How the answer to a transaction that took effect is lost.
+/// How the answer to a write that took effect is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
@@ -41,15 +41,16 @@
     pub for_ms: Option<u64>,
     /// Connections are accepted and every request is answered with 503.
     pub down: bool,
-    /// Connections are accepted and no request is ever answered.
+    /// Connections are accepted, but requests are neither processed nor answered.
     pub hang: bool,
     /// Delay before each request is processed, in milliseconds.
     pub slow_delay_ms: u64,
-    /// Transactions take effect, but their answers are lost.
+    /// Transactions and object writes take effect, but their answers are lost.
     pub applied_answer_lost: Option<AnswerLoss>,
     /// The share of requests, 0 to 1, that are answered with 500 without being processed.
     pub error_share: f64,
-    /// Failure domains whose requests are never answered, as in a network partition.
+    /// Failure domains whose requests are neither processed nor answered, as in a network
+    /// partition.
     pub cut_off_domains: Vec<Name>,
     /// Failure domains to which the other fields of this fault apply; empty for all.
     pub domains: Vec<Name>,
@@ -92,7 +93,7 @@
         domain_matches && operation_matches
     }
 
-    /// Whether requests of the failure domain are never answered.
+    /// Whether requests of the failure domain are neither processed nor answered.
     pub fn cuts_off(&self, domain: &str) -> bool {
         contains(&self.cut_off_domains, domain)
     }
--- a/src/table_service/server.rs
+++ b/src/table_service/server.rs
@@ -49,8 +49,8 @@
 struct State {
     store: Store,
     faults: FaultScript,
-    /// Accumulates the error share of each request, so that exactly the scripted share fails,
-    /// deterministically.
+    /// The sum of the error shares of all requests, less 1 for each one that failed. With it
+    /// exactly the scripted share fails, without randomness.
     errors_due: f64,
 }
 
--- a/src/table_service/server_settings.rs
+++ b/src/table_service/server_settings.rs
@@ -1,6 +1,6 @@
 //! Settings of the stand-in platform.
 
-/// The rate limits. The defaults are the limits of the real platform as given in the brief.
+/// The rate limits, in operations per second. The defaults are the limits given in the brief.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerSettings {
     pub writes_per_s: u32,
