--- a/src/metrics/metrics.rs
+++ b/src/metrics/metrics.rs
@@ -325,8 +325,8 @@
             }
             let requests = self.account_requests.with_label_values(&[name]);
             requests.set(per_minute as i64);
-            let admitted = self.account_admitted.with_label_values(&[name]);
-            admitted.set(i64::from(account.admitted_permille));
+            let fraction = self.account_admitted.with_label_values(&[name]);
+            fraction.set(i64::from(account.admitted_permille));
         }
         let others = self.account_requests.with_label_values(&["(others)"]);
         others.set(others_per_minute as i64);
