--- a/src/traffic/listeners.rs
+++ b/src/traffic/listeners.rs
@@ -82,7 +82,7 @@
         let limits = desired.limits();
         ListenerConf {
             idle_ms: limits.idle_timeout_ms.max(limits.header_timeout_ms),
-            most_head_bytes: limits.max_header_bytes,
+            max_head_bytes: limits.max_header_bytes,
             silence_ms: SILENCE_MS,
         }
     };
@@ -95,7 +95,7 @@
 pub(super) async fn serve_peers(traffic: Arc<Traffic>, listener: TcpListener) {
     let conf = || ListenerConf {
         idle_ms: PEER_IDLE_MS,
-        most_head_bytes: PEER_HEAD_BYTES,
+        max_head_bytes: PEER_HEAD_BYTES,
         silence_ms: SILENCE_MS,
     };
     let closed = traffic.guard_closed.subscribe();
@@ -111,7 +111,7 @@
 ) {
     let conf = || ListenerConf {
         idle_ms: PEER_IDLE_MS,
-        most_head_bytes: 0,
+        max_head_bytes: 0,
         silence_ms: SILENCE_MS,
     };
     // These listeners stay open during a stop, so readiness checks are still answered.
