--- a/src/node/targets.rs
+++ b/src/node/targets.rs
@@ -166,7 +166,7 @@
     }
 
     /// Takes in the end of an attempt. `ran` is the route of a call that ran well.
-    pub(crate) fn ended(&self, node: &Name, end: AttemptNews, ran: Option<&Name>, now: TimeMs) {
+    pub(crate) fn ended(&self, node: &Name, end: AttemptOutcome, ran: Option<&Name>, now: TimeMs) {
         let mut known = self.lock();
         let known = &mut *known;
         if let Some(route) = ran {
@@ -263,7 +263,7 @@
 
 /// What an attempt showed of its target.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct AttemptNews {
+pub(crate) struct AttemptOutcome {
     pub(crate) report: Option<LoadReport>,
     /// Which share of calls fails at the target, in thousandths.
     pub(crate) failing_permille: u32,
@@ -279,7 +279,7 @@
     node: Arc<Node>,
     target: Name,
     since: TimeMs,
-    news: AttemptNews,
+    news: AttemptOutcome,
 }
 
 impl InFlightAt {
@@ -289,7 +289,7 @@
             since: node.inputs.clock.now(),
             node,
             target,
-            news: AttemptNews::default(),
+            news: AttemptOutcome::default(),
         }
     }
 
--- a/src/traffic/in_flight.rs
+++ b/src/traffic/in_flight.rs
@@ -5,7 +5,7 @@
 use crate::core::Name;
 use crate::core::RefusalReason;
 use crate::core::TimeMs;
-use crate::node::targets::AttemptNews;
+use crate::node::targets::AttemptOutcome;
 use crate::traffic::attempt::AttemptEnd;
 use crate::traffic::traffic::Traffic;
 
@@ -14,7 +14,7 @@
     traffic: Arc<Traffic>,
     target: Name,
     since: TimeMs,
-    news: AttemptNews,
+    news: AttemptOutcome,
     /// The route of the call, once it ran well.
     ran: Option<Name>,
 }
@@ -27,7 +27,7 @@
             since: traffic.clock.now(),
             traffic,
             target,
-            news: AttemptNews::default(),
+            news: AttemptOutcome::default(),
             ran: None,
         }
     }
