--- a/src/node/gate.rs
+++ b/src/node/gate.rs
@@ -140,7 +140,7 @@
     }
 
     /// Calls turned away for the rate of the backend server so far.
-    pub(crate) fn turned_away(&self) -> u64 {
+    pub(crate) fn rate_limited_calls(&self) -> u64 {
         self.lock().admission.rate_limited_calls()
     }
 
--- a/src/traffic/backend_answer.rs
+++ b/src/traffic/backend_answer.rs
@@ -112,7 +112,7 @@
 
 /// One line for each beginning, change and end of a limit, with how many calls it has turned away so far.
 fn tell_change(traffic: &Traffic, incarnation: &Name, change: RateChange) {
-    let turned_away = || traffic.gate.turned_away();
+    let turned_away = || traffic.gate.rate_limited_calls();
     match change {
         RateChange::Unchanged => {}
         RateChange::Begins { per_s } => {
