--- a/src/node/targets.rs
+++ b/src/node/targets.rs
@@ -117,7 +117,7 @@
     /// Takes in how hard calls press on one target of a service, and answers how hard they press on
     /// the service, by all targets heard of lately; see [`TargetPressure::of_service`]. Where the target
     /// `is_limited` by a rate, the largest that was not heard of counts as having room.
-    pub(crate) fn note_pressure(
+    pub(crate) fn record_pressure(
         &self,
         view: &View,
         service: &str,
--- a/src/traffic/forward.rs
+++ b/src/traffic/forward.rs
@@ -205,7 +205,7 @@
             slots: target.slots,
         };
         let rate = news.word.as_ref().and_then(|word| word.rate_milli);
-        pressure.permille = traffic.targets.note_pressure(
+        pressure.permille = traffic.targets.record_pressure(
             &view,
             &call.service,
             &target.node,
