--- a/src/node/targets.rs
+++ b/src/node/targets.rs
@@ -99,7 +99,7 @@
     }
 
     /// Waits until the failure domain turns out to be out of reach.
-    pub(crate) async fn out_of_reach(&self, domain: &Name) {
+    pub(crate) async fn wait_until_unreachable(&self, domain: &Name) {
         let mut closings = self.closings.subscribe();
         while closings.changed().await.is_ok() {
             if self.lock().reach.is_unreachable(domain) {
--- a/src/traffic/forward.rs
+++ b/src/traffic/forward.rs
@@ -184,7 +184,7 @@
     }
     tokio::select! {
         end = sending => end,
-        () = traffic.targets.out_of_reach(&target.domain) => hop::lost_in_silence(),
+        () = traffic.targets.wait_until_unreachable(&target.domain) => hop::lost_in_silence(),
     }
 }
 
