--- a/src/node/backend_call.rs
+++ b/src/node/backend_call.rs
@@ -138,7 +138,7 @@
         let service_us = now_us.saturating_sub(self.permit.since_us);
         let seconds = service_us as f64 / 1e6;
         self.node.metrics.backend_latency.observe(seconds);
-        self.permit.note(Completion {
+        self.permit.set_completion(Completion {
             service_us,
             child_us: self.live.child_us(now_us),
             outcome,
--- a/src/node/permit.rs
+++ b/src/node/permit.rs
@@ -30,7 +30,7 @@
     }
 
     /// Notes how the call ended; without a word it counts as cancelled.
-    pub(crate) fn note(&mut self, completion: Completion) {
+    pub(crate) fn set_completion(&mut self, completion: Completion) {
         self.completion = completion;
     }
 }
--- a/src/traffic/backend.rs
+++ b/src/traffic/backend.rs
@@ -85,7 +85,7 @@
     let service_us = traffic.clock.now_us().saturating_sub(permit.since_us);
     let seconds = service_us as f64 / 1e6;
     traffic.metrics.backend_latency.observe(seconds);
-    permit.note(Completion {
+    permit.set_completion(Completion {
         service_us,
         child_us: 0,
         outcome,
