--- a/tests/admission_chain.rs
+++ b/tests/admission_chain.rs
@@ -7,17 +7,17 @@
 use fake_chain::Control;
 use fake_chain::Order;
 use fake_chain::Report;
-use fake_chain::Story;
+use fake_chain::Scenario;
 
 /// A surge of five seconds: long enough to settle, and short enough for every test run.
-const SHORT: Story = Story {
+const SHORT: Scenario = Scenario {
     surge_to_ms: 10_000,
     end_ms: 15_000,
-    ..Story::ORDINARY
+    ..Scenario::ORDINARY
 };
 
 /// The topology of `sassafrasgap-load experiment overload`.
-const MESH: Story = Story {
+const MESH: Scenario = Scenario {
     targets: 2,
     slots: 200,
     deep_slots: 8,
@@ -26,28 +26,28 @@
     spread_percent: 100,
     slow_percent: 200,
     classes: [10, 5, 35, 50],
-    ..Story::ORDINARY
+    ..Scenario::ORDINARY
 };
 
-fn print_row(name: &str, story: &Story, report: &Report) {
+fn print_row(name: &str, scenario: &Scenario, report: &Report) {
     let lost: Vec<String> = (0..4)
-        .map(|class| format!("{:.1}", report.lost_percent(class, story)))
+        .map(|class| format!("{:.1}", report.lost_percent(class, scenario)))
         .collect();
     println!(
         "{name:<12} depth={} surge={}% goodput={:.0}/s ({:.0}%) wasted={:.1}%/{:.1}% lost%={} p99={}ms rec={}ms relapses={} | before {:.0}/s p99={}ms failed={:.2}%",
-        story.depth,
-        story.surge_percent,
-        report.surge_goodput(story),
-        report.surge_goodput(story) * 100.0 / story.slow_capacity(),
+        scenario.depth,
+        scenario.surge_percent,
+        report.surge_goodput(scenario),
+        report.surge_goodput(scenario) * 100.0 / scenario.slow_capacity(),
         report.wasted_percent(),
-        report.wasted_runs_percent(story),
+        report.wasted_runs_percent(scenario),
         lost.join("/"),
-        report.latency_us(99, story.surge_from_ms + 1000, story.surge_to_ms) / 1000,
-        report.recovery_ms(story),
-        report.relapses(story),
-        report.goodput(story.settled_ms, story.surge_from_ms),
-        report.latency_us(99, story.settled_ms, story.surge_from_ms) / 1000,
-        report.ordinary_failures_percent(story),
+        report.latency_us(99, scenario.surge_from_ms + 1000, scenario.surge_to_ms) / 1000,
+        report.recovery_ms(scenario),
+        report.relapses(scenario),
+        report.goodput(scenario.settled_ms, scenario.surge_from_ms),
+        report.latency_us(99, scenario.settled_ms, scenario.surge_from_ms) / 1000,
+        report.ordinary_failures_percent(scenario),
     );
 }
 
@@ -59,28 +59,28 @@
 #[case(4)]
 #[case(8)]
 fn a_surge_on_a_slow_deep_service_costs_only_the_least_important_class(#[case] depth: usize) {
-    let story = Story { depth, ..SHORT };
-    let report = fake_chain::run(&story);
-    print_row("Levels", &story, &report);
-    assert!(report.surge_goodput(&story) >= 0.9 * story.slow_capacity());
+    let scenario = Scenario { depth, ..SHORT };
+    let report = fake_chain::run(&scenario);
+    print_row("Levels", &scenario, &report);
+    assert!(report.surge_goodput(&scenario) >= 0.9 * scenario.slow_capacity());
     assert!(report.wasted_percent() < 5.0);
-    assert!(report.recovery_ms(&story) < 2_000);
-    assert_eq!(report.relapses(&story), 0);
-    assert_eq!(report.lost_percent(0, &story), 0.0);
-    assert!(report.lost_percent(2, &story) > 90.0);
+    assert!(report.recovery_ms(&scenario) < 2_000);
+    assert_eq!(report.relapses(&scenario), 0);
+    assert_eq!(report.lost_percent(0, &scenario), 0.0);
+    assert!(report.lost_percent(2, &scenario) > 90.0);
     assert_eq!(report.not_run_after_start, 0);
 }
 
 #[test]
 fn the_baseline_reaches_less_than_a_third_of_that_goodput() {
-    let story = Story {
+    let scenario = Scenario {
         depth: 2,
         control: Control::Baseline,
         ..SHORT
     };
-    let report = fake_chain::run(&story);
-    print_row("Baseline", &story, &report);
-    assert!(report.surge_goodput(&story) * 3.0 < 0.9 * story.slow_capacity());
+    let report = fake_chain::run(&scenario);
+    print_row("Baseline", &scenario, &report);
+    assert!(report.surge_goodput(&scenario) * 3.0 < 0.9 * scenario.slow_capacity());
 }
 
 // The deep backend servers announce ten times the slots they have, queue the rest inside, and slow
@@ -88,39 +88,39 @@
 // late and in no order of importance.
 #[test]
 fn overstated_slots_do_not_hide_an_internal_queue() {
-    let story = Story {
+    let scenario = Scenario {
         announced_percent: 1_000,
         ..SHORT
     };
-    let report = fake_chain::run(&story);
-    print_row("overstated", &story, &report);
-    assert!(report.surge_goodput(&story) >= 0.9 * story.slow_capacity());
+    let report = fake_chain::run(&scenario);
+    print_row("overstated", &scenario, &report);
+    assert!(report.surge_goodput(&scenario) >= 0.9 * scenario.slow_capacity());
     assert!(report.wasted_percent() < 5.0);
-    assert!(report.recovery_ms(&story) < 2_000);
-    assert_eq!(report.lost_percent(0, &story), 0.0);
+    assert!(report.recovery_ms(&scenario) < 2_000);
+    assert_eq!(report.lost_percent(0, &scenario), 0.0);
 }
 
 // As in the test above, but the backend servers refuse what exceeds their slots. Guards against
 // calls that are shed regardless of their importance after every hop above has worked for them.
 #[test]
 fn a_backend_server_that_sheds_lowers_its_limit() {
-    let story = Story {
+    let scenario = Scenario {
         announced_percent: 1_000,
         sheds: true,
         ..SHORT
     };
-    let report = fake_chain::run(&story);
-    print_row("sheds", &story, &report);
-    assert!(report.surge_goodput(&story) >= 0.9 * story.slow_capacity());
+    let report = fake_chain::run(&scenario);
+    print_row("sheds", &scenario, &report);
+    assert!(report.surge_goodput(&scenario) >= 0.9 * scenario.slow_capacity());
     assert!(report.wasted_percent() < 5.0);
-    assert_eq!(report.lost_percent(0, &story), 0.0);
+    assert_eq!(report.lost_percent(0, &scenario), 0.0);
 }
 
 // A backend server joins at ordinary load and is four times as slow in its first three seconds.
 // Given its full share at once it would answer late, and callers would resend.
 #[test]
 fn a_cold_target_loses_no_request() {
-    let story = Story {
+    let scenario = Scenario {
         targets: 6,
         joins_ms: 3_000,
         warm_ms: 6_000,
@@ -131,7 +131,7 @@
         end_ms: 8_500,
         ..SHORT
     };
-    let report = fake_chain::run(&story);
+    let report = fake_chain::run(&scenario);
     let sent = report.done.len();
     assert!(report.lost.is_empty());
     let failed = report.failed_at_ms.iter().filter(|&&at| at > 2_500).count();
@@ -148,22 +148,22 @@
     for depth in [2, 4, 8] {
         for surge_percent in [100, 200, 400] {
             for control in [Control::Baseline, Control::Local, Control::Levels] {
-                let story = Story {
+                let scenario = Scenario {
                     depth,
                     surge_percent,
                     control,
-                    ..Story::default()
+                    ..Scenario::default()
                 };
-                print_row(&format!("{control:?}"), &story, &fake_chain::run(&story));
+                print_row(&format!("{control:?}"), &scenario, &fake_chain::run(&scenario));
             }
         }
     }
     for order in [Order::Rank, Order::Fifo, Order::Lifo, Order::Deadline] {
-        let story = Story {
+        let scenario = Scenario {
             order,
-            ..Story::default()
+            ..Scenario::default()
         };
-        print_row(&format!("{order:?}"), &story, &fake_chain::run(&story));
+        print_row(&format!("{order:?}"), &scenario, &fake_chain::run(&scenario));
     }
 }
 
@@ -182,7 +182,7 @@
         let end_ms = surge_to_ms + 10_000;
         let mut all = Vec::new();
         for seed in 1..=3 {
-            let story = Story {
+            let scenario = Scenario {
                 seed,
                 announced_percent,
                 sheds,
@@ -190,17 +190,17 @@
                 surge_percent,
                 surge_to_ms,
                 end_ms,
-                ..Story::default()
+                ..Scenario::default()
             };
-            let report = fake_chain::run(&story);
+            let report = fake_chain::run(&scenario);
             all.push(format!(
                 "{:.0}%/{:.1}%/{}ms",
-                report.surge_goodput(&story) * 100.0 / story.slow_capacity(),
+                report.surge_goodput(&scenario) * 100.0 / scenario.slow_capacity(),
                 report.wasted_percent(),
-                report.recovery_ms(&story)
+                report.recovery_ms(&scenario)
             ));
             if seed == 1 {
-                print_row(name, &story, &report);
+                print_row(name, &scenario, &report);
             }
         }
         println!(
@@ -214,11 +214,11 @@
 #[test]
 #[ignore = "a comparison to read, without an outcome of its own"]
 fn variants() {
-    let ordinary = Story::default();
+    let ordinary = Scenario::default();
     let all = [
         (
             "shallow half",
-            Story {
+            Scenario {
                 shallow_percent: 50,
                 ..ordinary.clone()
             },
@@ -226,21 +226,21 @@
         ("mesh x4", MESH),
         (
             "mesh x2",
-            Story {
+            Scenario {
                 surge_percent: 200,
                 ..MESH
             },
         ),
         (
             "mesh x1",
-            Story {
+            Scenario {
                 surge_percent: 100,
                 ..MESH
             },
         ),
         (
             "few slots above",
-            Story {
+            Scenario {
                 shallow_percent: 50,
                 slots: 40,
                 ..ordinary.clone()
@@ -248,7 +248,7 @@
         ),
         (
             "very slow",
-            Story {
+            Scenario {
                 shallow_percent: 80,
                 slots: 40,
                 slow_percent: 2_000,
@@ -257,42 +257,42 @@
         ),
         (
             "new rank",
-            Story {
+            Scenario {
                 new_rank: true,
                 ..ordinary.clone()
             },
         ),
         (
             "polite",
-            Story {
+            Scenario {
                 polite: true,
                 ..ordinary.clone()
             },
         ),
         (
             "one class",
-            Story {
+            Scenario {
                 classes: [0, 0, 100, 0],
                 ..ordinary.clone()
             },
         ),
         (
             "important",
-            Story {
+            Scenario {
                 classes: [30, 0, 0, 70],
                 ..ordinary.clone()
             },
         ),
         (
             "10x",
-            Story {
+            Scenario {
                 surge_percent: 1_000,
                 ..ordinary.clone()
             },
         ),
         (
             "slow service",
-            Story {
+            Scenario {
                 deep_us: 300_000,
                 own_us: 20_000,
                 ..ordinary.clone()
@@ -300,7 +300,7 @@
         ),
         (
             "small",
-            Story {
+            Scenario {
                 deep_slots: 4,
                 targets: 2,
                 ..ordinary.clone()
@@ -308,14 +308,14 @@
         ),
         (
             "many targets",
-            Story {
+            Scenario {
                 targets: 12,
                 ..ordinary.clone()
             },
         ),
         (
             "long",
-            Story {
+            Scenario {
                 surge_to_ms: 65_000,
                 end_ms: 75_000,
                 ..ordinary.clone()
@@ -323,20 +323,20 @@
         ),
         (
             "heals early",
-            Story {
+            Scenario {
                 slow_percent: 100,
                 ..ordinary.clone()
             },
         ),
     ];
-    for (name, story) in all {
+    for (name, scenario) in all {
         for depth in [3, 8] {
-            let story = Story {
+            let scenario = Scenario {
                 depth,
-                ..story.clone()
+                ..scenario.clone()
             };
-            let report = fake_chain::run(&story);
-            print_row(name, &story, &report);
+            let report = fake_chain::run(&scenario);
+            print_row(name, &scenario, &report);
         }
     }
 }
--- a/tests/fake_chain/chain.rs
+++ b/tests/fake_chain/chain.rs
@@ -22,10 +22,10 @@
 use sassafrasgap::core::TimeMs;
 
 use super::report::Report;
-use super::story::Control;
-use super::story::DEADLINE_MS;
-use super::story::Story;
-use super::story::WAIT_MS;
+use super::scenario::Control;
+use super::scenario::DEADLINE_MS;
+use super::scenario::Scenario;
+use super::scenario::WAIT_MS;
 
 const HOP_US: u64 = 1_000;
 const CALLER_US: u64 = 3_000;
@@ -94,7 +94,7 @@
 }
 
 struct Chain<'a> {
-    story: &'a Story,
+    scenario: &'a Scenario,
     rng: Rng,
     now_us: u64,
     queue: BinaryHeap<Reverse<(u64, u64, Event)>>,
@@ -107,16 +107,16 @@
     report: Report,
 }
 
-/// Plays a story and reports what came of it.
-pub fn run(story: &Story) -> Report {
-    let mut chain = Chain::new(story);
+/// Plays a scenario and reports what came of it.
+pub fn run(scenario: &Scenario) -> Report {
+    let mut chain = Chain::new(scenario);
     chain.after(0, Event::Arrival);
-    for service in 0..story.depth {
-        for target in 0..story.targets {
+    for service in 0..scenario.depth {
+        for target in 0..scenario.targets {
             chain.after(POLL_US, Event::Poll(service, target));
         }
     }
-    let end_us = story.end_ms * 1_000;
+    let end_us = scenario.end_ms * 1_000;
     while let Some(Reverse((at_us, _, event))) = chain.queue.pop() {
         if at_us > end_us {
             break;
@@ -129,14 +129,14 @@
 }
 
 impl<'a> Chain<'a> {
-    fn new(story: &'a Story) -> Self {
+    fn new(scenario: &'a Scenario) -> Self {
         let node = |service: usize, target: usize| {
-            let deep = service + 1 == story.depth;
-            let slots = if deep { story.deep_slots } else { story.slots };
+            let deep = service + 1 == scenario.depth;
+            let slots = if deep { scenario.deep_slots } else { scenario.slots };
             let seed = (service * 100 + target) as u64;
             let mut guard = Admission::new(AdmissionConf::default(), seed);
             guard.set_classes(4);
-            guard.set_slots(slots as u32 * story.announced_percent / 100);
+            guard.set_slots(slots as u32 * scenario.announced_percent / 100);
             Node {
                 guard,
                 levels: Levels::default(),
@@ -146,17 +146,17 @@
                 inside: VecDeque::new(),
             }
         };
-        let service = |service: usize| (0..story.targets).map(|t| node(service, t)).collect();
+        let service = |service: usize| (0..scenario.targets).map(|t| node(service, t)).collect();
         Self {
-            story,
-            rng: Rng::with_seed(story.seed),
+            scenario,
+            rng: Rng::with_seed(scenario.seed),
             now_us: 0,
             queue: BinaryHeap::new(),
             sequence: 0,
             roots: Vec::new(),
             calls: Vec::new(),
-            services: (0..story.depth).map(service).collect(),
-            names: (0..story.depth)
+            services: (0..scenario.depth).map(service).collect(),
+            names: (0..scenario.depth)
                 .map(|i| Name::from(format!("s{i}")))
                 .collect(),
             entries: vec![Levels::default(); ENTRIES],
@@ -204,7 +204,7 @@
         let priority = self.priority(&self.roots[index]);
         let route = self.route(index);
         let entry = &mut self.entries[index % ENTRIES];
-        if self.story.control == Control::Levels
+        if self.scenario.control == Control::Levels
             && !entry.may_pass(now, &self.names[0], route, priority)
         {
             self.attempt_failed(index, attempt, 200);
@@ -243,15 +243,15 @@
         });
         let call = self.calls.len() - 1;
         self.after(HOP_US, Event::Reach(call));
-        if self.story.control == Control::Baseline {
+        if self.scenario.control == Control::Baseline {
             self.after(BASELINE_TIMEOUT_US, Event::HopTimeout(call));
         }
     }
 
     fn pick(&mut self, service: usize) -> usize {
-        let first = self.rng.usize(0..self.story.targets);
-        let second = self.rng.usize(0..self.story.targets);
-        let baseline = self.story.control == Control::Baseline;
+        let first = self.rng.usize(0..self.scenario.targets);
+        let second = self.rng.usize(0..self.scenario.targets);
+        let baseline = self.scenario.control == Control::Baseline;
         let load = |target: usize| {
             let node = &self.services[service][target];
             let load = node.guard.load();
@@ -264,9 +264,9 @@
             };
             calls * 1_000 / limit.max(1)
         };
-        let absent = self.now_us / 1_000 < self.story.joins_ms && service + 1 == self.story.depth;
+        let absent = self.now_us / 1_000 < self.scenario.joins_ms && service + 1 == self.scenario.depth;
         if absent {
-            return self.rng.usize(1..self.story.targets);
+            return self.rng.usize(1..self.scenario.targets);
         }
         if load(second) < load(first) {
             second
@@ -279,7 +279,7 @@
         let now = self.now();
         let call = &self.calls[index];
         let (service, target, root) = (call.service, call.target, call.root);
-        if self.story.control == Control::Baseline {
+        if self.scenario.control == Control::Baseline {
             let node = &self.services[service][target];
             if node.busy + node.inside.len() >= BASELINE_CONNECTIONS {
                 self.refuse(index, 0);
@@ -294,7 +294,7 @@
         let behind = node
             .dependencies
             .level(now, route, Priority::LOWEST, &node.levels);
-        if self.story.control == Control::Levels && priority > behind {
+        if self.scenario.control == Control::Levels && priority > behind {
             self.refuse(index, 200);
             return;
         }
@@ -378,7 +378,7 @@
         self.calls[index].answered = true;
         let call = &self.calls[index];
         let current = call.attempt == self.roots[call.root].attempt;
-        let baseline = self.story.control == Control::Baseline;
+        let baseline = self.scenario.control == Control::Baseline;
         if baseline && call.retries < BASELINE_RETRIES && (current || call.parent.is_some()) {
             let (root, parent) = (call.root, call.parent);
             let (service, deadline_us) = (call.service, call.deadline_us);
--- a/tests/fake_chain/chain/backend_servers.rs
+++ b/tests/fake_chain/chain/backend_servers.rs
@@ -3,7 +3,7 @@
 use sassafrasgap::admission::CallOutcome;
 use sassafrasgap::admission::Completion;
 
-use super::super::story::Control;
+use super::super::scenario::Control;
 use super::Chain;
 use super::Event;
 
@@ -11,13 +11,13 @@
     pub(super) fn start(&mut self, index: usize) {
         self.calls[index].started_us = self.now_us;
         let call = &self.calls[index];
-        let deep = call.service + 1 == self.story.depth;
+        let deep = call.service + 1 == self.scenario.depth;
         let (service, target) = (call.service, call.target);
         let node = &mut self.services[service][target];
         if node.busy < node.slots {
             node.busy += 1;
             self.work(index);
-        } else if deep && self.story.sheds {
+        } else if deep && self.scenario.sheds {
             self.calls[index].shed = true;
             self.finish(index, CallOutcome::Shed);
         } else {
@@ -26,16 +26,16 @@
     }
 
     pub(super) fn work(&mut self, index: usize) {
-        let deep = self.calls[index].service + 1 == self.story.depth;
-        let mean_us = match (deep, self.story.in_surge(self.now_us / 1_000)) {
-            (false, _) => self.story.own_us,
-            (true, false) => self.story.deep_us,
-            (true, true) => self.story.deep_us * self.story.slow_percent / 100,
+        let deep = self.calls[index].service + 1 == self.scenario.depth;
+        let mean_us = match (deep, self.scenario.in_surge(self.now_us / 1_000)) {
+            (false, _) => self.scenario.own_us,
+            (true, false) => self.scenario.deep_us,
+            (true, true) => self.scenario.deep_us * self.scenario.slow_percent / 100,
         };
-        let warming = self.now_us / 1_000 < self.story.warm_ms;
+        let warming = self.now_us / 1_000 < self.scenario.warm_ms;
         let cold = deep && warming && self.calls[index].target == 0;
         let mean_us = if cold { mean_us * 4 } else { mean_us };
-        let spread = self.story.spread_percent;
+        let spread = self.scenario.spread_percent;
         let varying_us = (mean_us * spread / 100) as f64;
         let work_us = mean_us * (100 - spread) / 100 + self.exponential(varying_us);
         self.report.runs += 1;
@@ -52,7 +52,7 @@
 
     pub(super) fn own_work_done(&mut self, index: usize) {
         let call = &self.calls[index];
-        let last = call.service + 1 == self.story.depth || self.roots[call.root].shallow;
+        let last = call.service + 1 == self.scenario.depth || self.roots[call.root].shallow;
         if last {
             self.calls[index].ok = true;
             self.release(index, CallOutcome::Ok);
@@ -92,7 +92,7 @@
         let guard = &mut self.services[service][target].guard;
         guard.complete(now, index as u64, completion);
         self.reply(index);
-        if self.story.control != Control::Baseline {
+        if self.scenario.control != Control::Baseline {
             self.poll(service, target);
         }
     }
--- a/tests/fake_chain/chain/callers.rs
+++ b/tests/fake_chain/chain/callers.rs
@@ -5,8 +5,8 @@
 
 use super::super::report::Done;
 use super::super::report::Lost;
-use super::super::story::DEADLINE_MS;
-use super::super::story::Order;
+use super::super::scenario::DEADLINE_MS;
+use super::super::scenario::Order;
 use super::CALLER_US;
 use super::Chain;
 use super::Event;
@@ -17,20 +17,20 @@
 impl Chain<'_> {
     pub(super) fn arrival(&mut self) {
         let now_ms = self.now_us / 1_000;
-        let deep_share = (100 - self.story.shallow_percent) as f64 / 100.0;
-        let rate = self.story.rate(now_ms) / deep_share;
+        let deep_share = (100 - self.scenario.shallow_percent) as f64 / 100.0;
+        let rate = self.scenario.rate(now_ms) / deep_share;
         let gap_us = self.exponential(1e6 / rate);
         self.after(gap_us, Event::Arrival);
         let draw = self.rng.u64(0..100);
         let mut sum = 0;
-        let class = self.story.classes.iter().position(|share| {
+        let class = self.scenario.classes.iter().position(|share| {
             sum += share;
             draw < sum
         });
         let root = Root {
             id: self.rng.u128(..),
             class: class.unwrap_or(3),
-            shallow: self.rng.u64(0..100) < self.story.shallow_percent,
+            shallow: self.rng.u64(0..100) < self.scenario.shallow_percent,
             first_sent_us: self.now_us,
             attempt: 0,
             sent_us: 0,
@@ -44,7 +44,7 @@
 
     pub(super) fn priority(&self, root: &Root) -> Priority {
         let now_ms = root.sent_us / 1_000;
-        let rank = match self.story.order {
+        let rank = match self.scenario.order {
             Order::Rank => RequestId(root.id).rank(),
             Order::Fifo => (now_ms / 2) as u16,
             Order::Lifo => u16::MAX - (now_ms / 2) as u16,
@@ -84,7 +84,7 @@
         root.spent_us += root.work_us;
         root.work_us = 0;
         root.attempt += 1;
-        if root.attempt > self.story.resends {
+        if root.attempt > self.scenario.resends {
             root.over = true;
             self.report.wasted_us += root.spent_us;
             let lost = Lost {
@@ -94,13 +94,13 @@
             self.report.lost.push(lost);
             return;
         }
-        if self.story.new_rank {
+        if self.scenario.new_rank {
             root.id = self.rng.u128(..);
         }
-        let wait_ms = if self.story.polite {
+        let wait_ms = if self.scenario.polite {
             retry_after_ms
         } else {
-            self.story.resend_ms
+            self.scenario.resend_ms
         };
         let jitter_us = self.rng.u64(0..=wait_ms * 200);
         self.after(
--- a/tests/fake_chain/mod.rs
+++ b/tests/fake_chain/mod.rs
@@ -7,10 +7,10 @@
 
 mod chain;
 mod report;
-mod story;
+mod scenario;
 
 pub use chain::run;
 pub use report::Report;
-pub use story::Control;
-pub use story::Order;
-pub use story::Story;
+pub use scenario::Control;
+pub use scenario::Order;
+pub use scenario::Scenario;
--- a/tests/fake_chain/report.rs
+++ b/tests/fake_chain/report.rs
@@ -1,6 +1,6 @@
 //! What came of a run.
 
-use super::story::Story;
+use super::scenario::Scenario;
 
 const BIN_MS: u64 = 100;
 const SPAN_MS: u64 = 500;
@@ -45,8 +45,8 @@
     }
 
     /// Goodput of the surge, without its first second.
-    pub fn surge_goodput(&self, story: &Story) -> f64 {
-        self.goodput(story.surge_from_ms + 1_000, story.surge_to_ms)
+    pub fn surge_goodput(&self, scenario: &Scenario) -> f64 {
+        self.goodput(scenario.surge_from_ms + 1_000, scenario.surge_to_ms)
     }
 
     /// Goodput of the last part of the surge: what a lasting overload settles to.
@@ -55,15 +55,15 @@
     }
 
     /// Calls that backend servers ran for attempts that failed, in percent of all that they ran.
-    pub fn wasted_runs_percent(&self, story: &Story) -> f64 {
-        let useful = (self.done.len() * story.depth) as f64;
+    pub fn wasted_runs_percent(&self, scenario: &Scenario) -> f64 {
+        let useful = (self.done.len() * scenario.depth) as f64;
         (self.runs as f64 - useful) * 100.0 / self.runs as f64
     }
 
     /// The share of the root requests of a class, first sent in the surge, that were lost.
-    pub fn lost_percent(&self, class: usize, story: &Story) -> f64 {
-        let from = story.surge_from_ms;
-        let to = story.surge_to_ms;
+    pub fn lost_percent(&self, class: usize, scenario: &Scenario) -> f64 {
+        let from = scenario.surge_from_ms;
+        let to = scenario.surge_to_ms;
         let sent = |at: u64| (from..to).contains(&at);
         let done = self
             .done
@@ -90,37 +90,37 @@
 
     /// Time from the end of the surge to the first half second in which goodput is 95% of what it
     /// was before and the 99th percentile is within twice the ordinary one.
-    pub fn recovery_ms(&self, story: &Story) -> u64 {
-        let mut at = story.surge_to_ms;
-        while at + SPAN_MS < story.end_ms && !self.is_ordinary(at, story, 95, 2) {
+    pub fn recovery_ms(&self, scenario: &Scenario) -> u64 {
+        let mut at = scenario.surge_to_ms;
+        while at + SPAN_MS < scenario.end_ms && !self.is_ordinary(at, scenario, 95, 2) {
             at += BIN_MS;
         }
-        at - story.surge_to_ms
+        at - scenario.surge_to_ms
     }
 
     /// Whether any second later than two seconds after the surge is bad again.
-    pub fn relapses(&self, story: &Story) -> usize {
-        let from = story.surge_to_ms + 2_000;
-        let starts = (from..story.end_ms - SPAN_MS).step_by(SPAN_MS as usize);
+    pub fn relapses(&self, scenario: &Scenario) -> usize {
+        let from = scenario.surge_to_ms + 2_000;
+        let starts = (from..scenario.end_ms - SPAN_MS).step_by(SPAN_MS as usize);
         starts
-            .filter(|&at| !self.is_ordinary(at, story, 80, 3))
+            .filter(|&at| !self.is_ordinary(at, scenario, 80, 3))
             .count()
     }
 
-    fn is_ordinary(&self, from_ms: u64, story: &Story, percent: u64, times: u64) -> bool {
-        let ordinary_p99 = self.latency_us(99, story.settled_ms, story.surge_from_ms);
-        let ordinary = self.goodput(story.settled_ms, story.surge_from_ms);
+    fn is_ordinary(&self, from_ms: u64, scenario: &Scenario, percent: u64, times: u64) -> bool {
+        let ordinary_p99 = self.latency_us(99, scenario.settled_ms, scenario.surge_from_ms);
+        let ordinary = self.goodput(scenario.settled_ms, scenario.surge_from_ms);
         let to_ms = from_ms + SPAN_MS;
         let enough = self.goodput(from_ms, to_ms) >= ordinary * percent as f64 / 100.0;
         enough && self.latency_us(99, from_ms, to_ms) <= times * ordinary_p99
     }
 
     /// Attempts of root requests that failed in ordinary times, in percent of requests.
-    pub fn ordinary_failures_percent(&self, story: &Story) -> f64 {
-        let ordinary = |at: &&u64| (story.settled_ms..story.surge_from_ms).contains(*at);
+    pub fn ordinary_failures_percent(&self, scenario: &Scenario) -> f64 {
+        let ordinary = |at: &&u64| (scenario.settled_ms..scenario.surge_from_ms).contains(*at);
         let failed = self.failed_at_ms.iter().filter(ordinary).count();
         let done = self
-            .done_between(story.settled_ms, story.surge_from_ms)
+            .done_between(scenario.settled_ms, scenario.surge_from_ms)
             .count();
         failed as f64 * 100.0 / done.max(1) as f64
     }
--- a/tests/fake_chain/story.rs
+++ b/tests/fake_chain/scenario.rs
@@ -22,7 +22,7 @@
 
 /// One run.
 #[derive(Clone, Debug)]
-pub struct Story {
+pub struct Scenario {
     pub seed: u64,
     pub depth: usize,
     pub control: Control,
@@ -66,14 +66,14 @@
 /// Deadline of each class, most important first.
 pub const DEADLINE_MS: [u64; 4] = [8_000, 4_000, 3_000, 2_000];
 
-impl Default for Story {
+impl Default for Scenario {
     fn default() -> Self {
         Self::ORDINARY
     }
 }
 
-impl Story {
-    /// The story that the others are variants of.
+impl Scenario {
+    /// The scenario that the others are variants of.
     pub const ORDINARY: Self = Self {
         seed: 1,
         depth: 4,
