--- a/tests/node_silence.rs
+++ b/tests/node_silence.rs
@@ -32,13 +32,13 @@
 use support::test_relay::TestRelay;
 
 /// An entry, and a target of `orders` behind a relay; the runs are counted.
-struct Story {
+struct Scenario {
     mesh: TestMesh,
     relay: TestRelay,
     runs: Arc<AtomicU32>,
 }
 
-async fn story() -> Story {
+async fn scenario() -> Scenario {
     let runs = Arc::new(AtomicU32::new(0));
     let mut mesh = TestMesh::new();
     mesh.add("one", "menus", |_, _| async {
@@ -66,10 +66,10 @@
     // A guard's word on an attempt counts when its memory reaches back beyond the sending by more
     // than two clocks may differ.
     tokio::time::sleep(Duration::from_millis(100)).await;
-    Story { mesh, relay, runs }
+    Scenario { mesh, relay, runs }
 }
 
-impl Story {
+impl Scenario {
     async fn order(&self, method: &str, key: Option<&str>) -> support::test_mesh::Got {
         let mut request = Request::builder()
             .method(method)
@@ -106,18 +106,18 @@
 #[case::read("PUT", None)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_call_lost_on_its_way_is_sent_again(#[case] method: &str, #[case] key: Option<&str>) {
-    let story = story().await;
+    let scenario = scenario().await;
     assert_eq!(
-        &story.order("PUT", None).await.body[..],
+        &scenario.order("PUT", None).await.body[..],
         b"run 1 of two sacks"
     );
-    story.relay.silence(Lost::Requests);
-    let got = story.order(method, key).await;
+    scenario.relay.silence(Lost::Requests);
+    let got = scenario.order(method, key).await;
     assert_eq!(got.status, 200, "{got:?}");
     assert_eq!(&got.body[..], b"run 2 of two sacks");
-    assert_eq!(story.runs.load(Ordering::SeqCst), 2);
-    assert!(story.retries(RetryReason::SilentConnection) >= 1);
-    assert!(story.relay.accepted() >= 2);
+    assert_eq!(scenario.runs.load(Ordering::SeqCst), 2);
+    assert!(scenario.retries(RetryReason::SilentConnection) >= 1);
+    assert!(scenario.relay.accepted() >= 2);
 }
 
 /// The order runs, but its answer is lost on a connection gone silent. Sent again it would run
@@ -128,40 +128,40 @@
 #[case::read("PUT", None)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_answer_lost_on_its_way_is_fetched(#[case] method: &str, #[case] key: Option<&str>) {
-    let story = story().await;
-    story.order("PUT", None).await;
+    let scenario = scenario().await;
+    scenario.order("PUT", None).await;
     if key.is_some() {
         // The owner's stamp is known before, so that the order goes out on the kept connection.
-        story.order("POST", Some("order-6")).await;
+        scenario.order("POST", Some("order-6")).await;
     }
-    let before = story.runs.load(Ordering::SeqCst);
-    story.relay.silence(Lost::Answers);
-    let got = story.order(method, key).await;
+    let before = scenario.runs.load(Ordering::SeqCst);
+    scenario.relay.silence(Lost::Answers);
+    let got = scenario.order(method, key).await;
     assert_eq!(got.status, 200, "{got:?}");
     assert_eq!(got.body, format!("run {} of two sacks", before + 1));
-    assert_eq!(story.runs.load(Ordering::SeqCst), before + 1);
-    let metrics = &story.mesh.nodes[0].node.metrics;
+    assert_eq!(scenario.runs.load(Ordering::SeqCst), before + 1);
+    let metrics = &scenario.mesh.nodes[0].node.metrics;
     assert!(metrics.silent_connections.get() >= 1);
 }
 
 /// Connections go silent again and again, both ways; each call still completes and runs once.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn repeated_silence_costs_no_call() {
-    let story = story().await;
+    let scenario = scenario().await;
     for round in 1..=4 {
-        story.relay.silence(Lost::Both);
-        let got = story.order("POST", None).await;
+        scenario.relay.silence(Lost::Both);
+        let got = scenario.order("POST", None).await;
         assert_eq!(got.body, format!("run {round} of two sacks"));
     }
-    assert_eq!(story.runs.load(Ordering::SeqCst), 4);
+    assert_eq!(scenario.runs.load(Ordering::SeqCst), 4);
 }
 
 /// The sender was told that its attempt was never seen, and has sent the order anew. Then the
 /// silent connection delivers the first attempt after all. It must not run beside the second.
 #[tokio::test]
 async fn a_revoked_attempt_that_arrives_late_is_refused() {
-    let story = story().await;
-    let guard = &story.mesh.nodes[1];
+    let scenario = scenario().await;
+    let guard = &scenario.mesh.nodes[1];
     let attempt = AttemptId(7);
     let inputs = &guard.node.inputs;
     let status = inputs.attempts.status(inputs.clock.now(), attempt);
@@ -186,8 +186,8 @@
         .header("sassafrasgap-call", header.encode())
         .body(full_body(""))
         .expect("valid");
-    story.mesh.send(request).await;
-    assert_eq!(story.runs.load(Ordering::SeqCst), 0);
+    scenario.mesh.send(request).await;
+    assert_eq!(scenario.runs.load(Ordering::SeqCst), 0);
     let refusals = guard.node.metrics.guard_refusals(RefusalReason::Revoked);
     assert_eq!(refusals, 1);
 }
@@ -197,12 +197,12 @@
 /// would run twice; the entry says that it does not know.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_guard_started_anew_is_not_believed_to_have_seen_nothing() {
-    let story = story().await;
-    story.order("PUT", None).await;
-    story.relay.silence(Lost::Answers);
-    let (got, ()) = tokio::join!(story.order("POST", None), story.restart_after_run(2));
+    let scenario = scenario().await;
+    scenario.order("PUT", None).await;
+    scenario.relay.silence(Lost::Answers);
+    let (got, ()) = tokio::join!(scenario.order("POST", None), scenario.restart_after_run(2));
     assert_eq!(got.header("sassafrasgap-outcome"), "unknown", "{got:?}");
-    assert_eq!(story.runs.load(Ordering::SeqCst), 2);
+    assert_eq!(scenario.runs.load(Ordering::SeqCst), 2);
 }
 
 /// A charge ran so long ago that the guard has forgotten the attempt. Its sender, which could not
