--- a/src/node/backend_call.rs
+++ b/src/node/backend_call.rs
@@ -1,4 +1,4 @@
-//! Running an admitted call at the local backend server.
+//! RunningCall an admitted call at the local backend server.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -31,14 +31,14 @@
 use crate::node::guarded_call::GuardedCall;
 use crate::node::live_calls::LiveCall;
 use crate::node::permit::Permit;
-use crate::node::poison_guard::backend_broke;
+use crate::node::poison_guard::handle_broken_call;
 use crate::node::watched_body::BodyEnd;
 use crate::node::watched_body::watched;
 use crate::wire::headers;
 
 /// How long a non-idempotent call may run on after its deadline, in milliseconds. Its end is
 /// still of use: the backend server's slot is known to be taken, and the ledger learns the outcome.
-const RUN_ON_MS: u64 = 60_000;
+const MAX_OVERRUN_MS: u64 = 60_000;
 /// When to come back after the backend server failed, in milliseconds.
 const FAILED_RETRY_AFTER_MS: u64 = 500;
 
@@ -49,24 +49,24 @@
     mut call: GuardedCall,
     permit: Permit,
 ) -> Result<Answer, Refusal> {
-    let run_on_ms = if call.header.non_idempotent {
-        RUN_ON_MS
+    let overrun_ms = if call.header.non_idempotent {
+        MAX_OVERRUN_MS
     } else {
         0
     };
-    let left_ms = call.deadline.since(node.inputs.clock.now()) + run_on_ms;
-    let mut running = Running::new(node, call.live.clone(), permit);
+    let left_ms = call.deadline.since(node.inputs.clock.now()) + overrun_ms;
+    let mut running = RunningCall::new(node, call.live.clone(), permit);
     let exchange = exchange(node, &mut call, running.context);
     match timeout(Duration::from_millis(left_ms), exchange).await {
-        Ok(Ok(answer)) => Ok(holding(answer, running)),
+        Ok(Ok(answer)) => Ok(track_body(answer, running)),
         Ok(Err(refusal)) => {
-            let refusal = believed(refusal, &running.live);
+            let refusal = check_shed_claim(refusal, &running.live);
             running.failed(refusal);
             if let (RefusalReason::BackendBroke, Some(address)) =
                 (refusal.reason, node.backend_address())
             {
                 let since_us = running.permit.since_us;
-                backend_broke(node, address, &running.live, since_us).await;
+                handle_broken_call(node, address, &running.live, since_us).await;
             }
             Err(refusal)
         }
@@ -77,8 +77,8 @@
 /// Guards against a backend server that says it shed a call which it had begun: the call would run
 /// a second time elsewhere. It shows in the calls that it made on its behalf, all of which pass
 /// this node, so what was seen here goes before what the backend server says.
-fn believed(refusal: Refusal, live: &LiveCall) -> Refusal {
-    if refusal.reason == RefusalReason::BackendShed && live.has_called_on() {
+fn check_shed_claim(refusal: Refusal, live: &LiveCall) -> Refusal {
+    if refusal.reason == RefusalReason::BackendShed && live.has_made_calls() {
         return unknown(RefusalReason::BackendShed);
     }
     refusal
@@ -94,23 +94,23 @@
     let id = call.header.request;
     let sent_at = node.inputs.clock.now();
     let response = node.backend_client.request(request).await;
-    let response = response.map_err(|error| lost(node, id, &error))?;
-    node.note_connection(true);
+    let response = response.map_err(|error| connection_refusal(node, id, &error))?;
+    node.record_connection(true);
     let now = node.inputs.clock.now();
-    node.backend_words
-        .take(&node.gate, now, sent_at, response.headers());
+    node.backend_rate_limit
+        .record_answer(&node.gate, now, sent_at, response.headers());
     take_answer(node, &method, response).await
 }
 
 /// A call that runs: entered among the live ones, and counted in flight, until it ends.
-struct Running {
+struct RunningCall {
     node: Arc<Node>,
     live: Arc<LiveCall>,
     context: u128,
     permit: Permit,
 }
 
-impl Running {
+impl RunningCall {
     fn new(node: &Arc<Node>, live: Arc<LiveCall>, permit: Permit) -> Self {
         Self {
             context: node.live_calls.enter(live.clone()),
@@ -125,15 +125,15 @@
             RefusalReason::BackendShed => CallOutcome::Shed,
             _ => CallOutcome::Failed,
         };
-        self.note(outcome);
+        self.record_completion(outcome);
     }
 
     fn succeeded(&mut self) {
-        self.node.inputs.poison.note_success(&self.live);
-        self.note(CallOutcome::Ok);
+        self.node.inputs.poison.record_success(&self.live);
+        self.record_completion(CallOutcome::Ok);
     }
 
-    fn note(&mut self, outcome: CallOutcome) {
+    fn record_completion(&mut self, outcome: CallOutcome) {
         let now_us = self.node.inputs.clock.now_us();
         let service_us = now_us.saturating_sub(self.permit.since_us);
         let seconds = service_us as f64 / 1e6;
@@ -150,14 +150,14 @@
             BodyEnd::Whole => self.succeeded(),
             BodyEnd::Broken => {
                 self.node.metrics.broken_answers.inc();
-                self.note(CallOutcome::Failed);
+                self.record_completion(CallOutcome::Failed);
             }
             BodyEnd::Dropped => {}
         }
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningCall {
     fn drop(&mut self) {
         self.node.live_calls.leave(self.context);
     }
@@ -184,10 +184,14 @@
     Some(request)
 }
 
-fn lost(node: &Node, request: RequestId, error: &hyper_util::client::legacy::Error) -> Refusal {
+fn connection_refusal(
+    node: &Node,
+    request: RequestId,
+    error: &hyper_util::client::legacy::Error,
+) -> Refusal {
     log::debug!("guard: lost the backend server, request={request} error={error}");
     if error.is_connect() {
-        node.note_connection(false);
+        node.record_connection(false);
         not_run(RefusalReason::BackendDown)
     } else {
         unknown(RefusalReason::BackendBroke)
@@ -203,7 +207,7 @@
     if is_shed(parts.status, &parts.headers) {
         return Err(not_run(RefusalReason::BackendShed));
     }
-    if !has_end(method, parts.status, &parts.headers) {
+    if !has_delimited_body(method, parts.status, &parts.headers) {
         return Err(unknown(RefusalReason::BackendBroke));
     }
     caller_headers::strip_answer(&mut parts.headers, method);
@@ -225,7 +229,7 @@
 
 /// Whether the end of the answer can be told from a connection that broke. Guards against an
 /// answer that ends with its connection (no length, no chunks): cut short, it looks whole.
-fn has_end(method: &Method, status: StatusCode, map: &HeaderMap) -> bool {
+fn has_delimited_body(method: &Method, status: StatusCode, map: &HeaderMap) -> bool {
     let is_empty = *method == Method::HEAD
         || status == StatusCode::NO_CONTENT
         || status == StatusCode::NOT_MODIFIED;
@@ -233,7 +237,7 @@
 }
 
 /// Keeps a streamed answer counted as running until its end.
-fn holding(mut answer: Answer, mut running: Running) -> Answer {
+fn track_body(mut answer: Answer, mut running: RunningCall) -> Answer {
     match answer.body {
         NodeBody::Held(_) => running.succeeded(),
         NodeBody::Streamed { body, len } => {
--- a/src/node/backend_words.rs
+++ b/src/node/backend_rate_limit.rs
@@ -18,16 +18,16 @@
 
 /// The rate that the backend server names, kept by the gate. On this interface a departure is announced.
 #[derive(Debug, Default)]
-pub(super) struct BackendWords {
+pub(super) struct BackendRateLimit {
     rate: Mutex<RateLimitState>,
 }
 
-impl BackendWords {
+impl BackendRateLimit {
     /// Takes in the head of an answer to a call that was sent at `sent_at`.
-    pub fn take(&self, gate: &Gate, now: TimeMs, sent_at: TimeMs, headers: &HeaderMap) {
-        let word = rate_word(&RATE_LIMIT, headers);
+    pub fn record_answer(&self, gate: &Gate, now: TimeMs, sent_at: TimeMs, headers: &HeaderMap) {
+        let advertised = rate_word(&RATE_LIMIT, headers);
         let mut rate = self.lock();
-        let change = rate.note(now, sent_at, word);
+        let change = rate.note(now, sent_at, advertised);
         if change != RateChange::Unchanged {
             gate.set_rate(rate.per_s());
             log::info!("guard: the backend server's rate changes, change={change:?}");
@@ -35,7 +35,7 @@
     }
 
     /// Another backend server may stand there from now on: it starts without a rate.
-    pub fn forget(&self, gate: &Gate) {
+    pub fn reset(&self, gate: &Gate) {
         let mut rate = self.lock();
         *rate = RateLimitState::default();
         gate.set_rate(None);
--- a/src/node/baseline.rs
+++ b/src/node/baseline.rs
@@ -31,9 +31,9 @@
             AttemptEnd::Answered(answer, _) => return Ok(answer),
             AttemptEnd::Refused(refusal, _) => refusal,
         };
-        let harms = call.non_idempotent && refusal.run_state != RunState::NotRun;
+        let may_run_twice = call.non_idempotent && refusal.run_state != RunState::NotRun;
         let is_late = call.deadline <= node.inputs.clock.now();
-        if harms || is_late || !call.body_is_held || retries >= RETRIES {
+        if may_run_twice || is_late || !call.body_is_held || retries >= RETRIES {
             return Err(refusal);
         }
         retries += 1;
--- a/src/node/call.rs
+++ b/src/node/call.rs
@@ -39,7 +39,7 @@
     pub(super) config_version: u64,
     /// Holds the allotment: the call itself for a root, else the live call on whose behalf the
     /// backend server makes this one.
-    pub(super) holder: Arc<LiveCall>,
+    pub(super) allotment_holder: Arc<LiveCall>,
     /// Whether the body can be sent more than once.
     pub(super) body_is_held: bool,
 }
--- a/src/node/heritage.rs
+++ b/src/node/call_context.rs
@@ -12,9 +12,9 @@
 use crate::preset::InForce;
 
 /// What a call has from the call on whose behalf it is made, or as a new root.
-pub(super) struct Heritage {
-    pub(super) holder: Arc<LiveCall>,
-    /// Whether the holder is a call that runs at the local backend server.
+pub(super) struct CallContext {
+    pub(super) allotment_holder: Arc<LiveCall>,
+    /// Whether the allotment_holder is a call that runs at the local backend server.
     pub(super) is_child: bool,
     pub(super) priority: Priority,
     pub(super) depth: u8,
@@ -24,14 +24,14 @@
 
 /// Works out what a call inherits. A call of the backend server that names no live call is a root
 /// without retries.
-pub(super) fn heritage(
+pub(super) fn call_context(
     in_force: &InForce,
     policy: CallPolicy,
     service: &str,
     key: Option<&Name>,
     origin: Origin,
     now: TimeMs,
-) -> Heritage {
+) -> CallContext {
     let allotment = in_force.preset.retry_allotment;
     match origin {
         Origin::Backend(Some(parent)) => child(policy, parent),
@@ -42,13 +42,13 @@
 
 /// One priority for the whole chain. A child whose own class is more important keeps that: a
 /// charge made on behalf of unimportant work is still a charge.
-fn child(policy: CallPolicy, parent: Arc<LiveCall>) -> Heritage {
+fn child(policy: CallPolicy, parent: Arc<LiveCall>) -> CallContext {
     let class = policy.class.min(parent.priority.class());
-    Heritage {
+    CallContext {
         priority: Priority::new(class, parent.priority.rank()),
         depth: parent.depth.saturating_add(1),
         deadline: Some(parent.deadline),
-        holder: parent,
+        allotment_holder: parent,
         is_child: true,
     }
 }
@@ -59,14 +59,14 @@
     key: Option<&Name>,
     allotment: u16,
     now: TimeMs,
-) -> Heritage {
+) -> CallContext {
     let request = key.map_or_else(RequestId::random, |key| RequestId::of_key(service, key));
     let priority = Priority::new(policy.class, request.rank());
     let deadline = now + u64::from(policy.deadline_ms);
     let route = Name::from("");
-    let holder = LiveCall::new(request, priority, 0, deadline, route, 0, allotment);
-    Heritage {
-        holder: Arc::new(holder),
+    let allotment_holder = LiveCall::new(request, priority, 0, deadline, route, 0, allotment);
+    CallContext {
+        allotment_holder: Arc::new(allotment_holder),
         is_child: false,
         priority,
         depth: 0,
--- a/src/node/child_keys.rs
+++ b/src/node/child_keys.rs
@@ -13,7 +13,7 @@
 use crate::core::Name;
 
 /// Between the parent's key and what the backend server adds for a child call.
-const JOINT: char = '/';
+const KEY_SEPARATOR: char = '/';
 /// Child keys remembered for one call; later ones are not taken to be sent for the first time.
 const MAX_KEYS: usize = 256;
 
@@ -36,7 +36,7 @@
     /// sent before.
     pub(super) fn is_first_sending(&self, service: &Name, key: &Name) -> bool {
         let added = key.strip_prefix(&*self.own);
-        let is_own = added.is_some_and(|added| added.starts_with(JOINT));
+        let is_own = added.is_some_and(|added| added.starts_with(KEY_SEPARATOR));
         let mut sent = self.sent.lock().expect("no holder panics");
         if !is_own || sent.len() >= MAX_KEYS {
             return false;
--- a/src/node/entry.rs
+++ b/src/node/entry.rs
@@ -12,7 +12,7 @@
 use crate::node::answer::Answer;
 use crate::node::call::Call;
 use crate::node::forward::forward;
-use crate::node::keyed_forward::without_word;
+use crate::node::keyed_forward::unknown_unless_ran;
 use crate::node::live_calls::LiveCall;
 use crate::node::refusal_response::refusal_response;
 use crate::node::refusal_response::set_outcome;
@@ -39,7 +39,7 @@
     let is_keyed = may_be_keyed(node, &request);
     let response = match take_call(node, request, origin).await {
         Ok(mut call) => answer_call(node, &mut call).await,
-        Err(refusal) if is_keyed => refused(node, without_word(refusal), None),
+        Err(refusal) if is_keyed => refused(node, unknown_unless_ran(refusal), None),
         Err(refusal) => refused(node, refusal, None),
     };
     let took_us = node.inputs.clock.now_us() - started_us;
@@ -74,7 +74,7 @@
 /// Marks a child call as outstanding in the call on whose behalf it is made, until it is dropped.
 struct ChildSpan {
     node: Arc<Node>,
-    holder: Arc<LiveCall>,
+    allotment_holder: Arc<LiveCall>,
 }
 
 impl ChildSpan {
@@ -83,20 +83,21 @@
             return None;
         }
         let now = node.inputs.clock.now();
-        let holder = call.holder.clone();
+        let allotment_holder = call.allotment_holder.clone();
         node.levels
-            .note_child(now, &holder.route, &call.service, &call.route);
-        holder.child_began(node.inputs.clock.now_us());
+            .record_child(now, &allotment_holder.route, &call.service, &call.route);
+        allotment_holder.child_started(node.inputs.clock.now_us());
         Some(Self {
             node: node.clone(),
-            holder,
+            allotment_holder,
         })
     }
 }
 
 impl Drop for ChildSpan {
     fn drop(&mut self) {
-        self.holder.child_ended(self.node.inputs.clock.now_us());
+        self.allotment_holder
+            .child_ended(self.node.inputs.clock.now_us());
     }
 }
 
--- a/src/node/forward.rs
+++ b/src/node/forward.rs
@@ -36,7 +36,7 @@
     }
     let mut tried: Vec<Name> = Vec::new();
     let mut last: Option<Refusal> = None;
-    let most_attempts = 1 + usize::from(call.holder.allotment_left());
+    let max_attempts = 1 + usize::from(call.allotment_holder.allotment_left());
     let mut attempts = 0;
     node.targets.first_attempt(&call.service);
     loop {
@@ -45,8 +45,12 @@
         };
         attempts += 1;
         // The siblings of a child may give back what they did not use, so that it may make more.
-        let is_within = attempts <= most_attempts || call.depth > 0;
-        check(&node.metrics, Invariant::AttemptsWithinAllotment, is_within);
+        let is_within_allotment = attempts <= max_attempts || call.depth > 0;
+        check(
+            &node.metrics,
+            Invariant::AttemptsWithinAllotment,
+            is_within_allotment,
+        );
         let refusal = match attempt(node, call, &target).await {
             AttemptEnd::Answered(answer, _) => return Ok(answer),
             AttemptEnd::Refused(refusal, _) => refusal,
@@ -85,7 +89,7 @@
 
 /// One attempt with a share of the allotment; what the share's holders left over comes back.
 pub(super) async fn attempt(node: &Arc<Node>, call: &mut Call, target: &Target) -> AttemptEnd {
-    let share = call.holder.hand_out();
+    let share = call.allotment_holder.hand_out();
     let end = call_peer(node, call, target, share).await;
     let header = match &end {
         AttemptEnd::Answered(_, header) => Some(header),
@@ -93,12 +97,12 @@
     };
     let unused = header.map_or(0, |header| header.allotment_unused);
     check(&node.metrics, Invariant::AllotmentNotMade, unused <= share);
-    call.holder.take_back(share, unused);
+    call.allotment_holder.take_back(share, unused);
     if let Some(header) = header {
         let now = node.inputs.clock.now();
         node.levels
-            .note_answer(now, &call.service, &call.route, header.admit);
-        (node.inputs.note_config)(target.control_address, header.config_version);
+            .record_level(now, &call.service, &call.route, header.admit);
+        (node.inputs.record_peer_config)(target.control_address, header.config_version);
     }
     end
 }
@@ -111,14 +115,14 @@
         reason: refusal.reason,
         run_state: refusal.run_state,
     };
-    let situation = RetryContext {
+    let context = RetryContext {
         non_idempotent: call.non_idempotent,
         body_is_held: call.body_is_held,
         room_elsewhere: node.targets.has_room(&view, &call.service, tried, now),
         deadline_left_ms: call.deadline.since(now),
     };
-    let reason = retry_reason(failure, situation)?;
-    let paid = call.holder.spend() && node.targets.try_retry(&call.service);
+    let reason = retry_reason(failure, context)?;
+    let paid = call.allotment_holder.spend() && node.targets.try_retry(&call.service);
     paid.then_some(reason)
 }
 
--- a/src/node/gate.rs
+++ b/src/node/gate.rs
@@ -1,4 +1,4 @@
-//! The way into the local backend server: admission decides, calls wait here for its word.
+//! The way into the local backend server: admission decides, calls wait here for its result.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -25,7 +25,7 @@
 use crate::wire::LoadReport;
 
 /// The answer to a waiting call.
-type Word = Result<Permit, Refusal>;
+type AdmitResult = Result<Permit, Refusal>;
 
 struct GateState {
     admission: Admission,
@@ -35,10 +35,10 @@
     in_flight: u32,
 }
 
-/// Whom to tell, and the class for the metrics.
+/// Whom to sender, and the class for the metrics.
 struct WaitingCall {
     class: u8,
-    tell: oneshot::Sender<Word>,
+    sender: oneshot::Sender<AdmitResult>,
 }
 
 /// Admission and the calls that wait for it.
@@ -76,8 +76,8 @@
     ///
     /// # Errors
     /// The refusal, at once when admission decides so.
-    pub(crate) async fn admit(self: &Arc<Self>, mut call: OfferedCall) -> Word {
-        let (_waiting, word) = {
+    pub(crate) async fn admit(self: &Arc<Self>, mut call: OfferedCall) -> AdmitResult {
+        let (_cancel, result) = {
             let mut state = self.lock();
             state.next_ticket += 1;
             call.ticket = state.next_ticket;
@@ -89,28 +89,29 @@
                 OfferDecision::Refuse(refusal) => return Err(refusal),
                 OfferDecision::Wait => {}
             }
-            let (tell, told) = oneshot::channel();
+            let (sender, receiver) = oneshot::channel();
             let class = call.priority.class();
             state
                 .waiting
-                .insert(call.ticket, WaitingCall { class, tell });
-            (Waiting::new(self.clone(), call.ticket), told)
+                .insert(call.ticket, WaitingCall { class, sender });
+            (CancelOnDrop::new(self.clone(), call.ticket), receiver)
         };
         self.poll();
-        word.await
+        result
+            .await
             .unwrap_or_else(|_| Err(Refusal::not_run(RefusalReason::Overloaded, 0)))
     }
 
     /// Lets admission look at the time: starts what there is room for, refuses what waited long.
     pub(crate) fn poll(self: &Arc<Self>) {
-        let words = {
+        let results = {
             let mut state = self.lock();
             let actions = state.admission.poll(self.clock.now());
-            self.words(&mut state, actions)
+            self.resolve(&mut state, actions)
         };
         // Told without the lock: a permit nobody takes any more comes back through it.
-        for (tell, word) in words {
-            drop(tell.send(word));
+        for (sender, result) in results {
+            drop(sender.send(result));
         }
     }
 
@@ -165,8 +166,10 @@
     }
 
     /// Says whether a service that the backend server calls is the bottleneck.
-    pub(crate) fn set_downstream_overloaded(&self, is_pressed: bool) {
-        self.lock().admission.set_downstream_overloaded(is_pressed);
+    pub(crate) fn set_downstream_overloaded(&self, is_overloaded: bool) {
+        self.lock()
+            .admission
+            .set_downstream_overloaded(is_overloaded);
     }
 
     /// First-hand figures.
@@ -198,24 +201,24 @@
         Permit::new(self.clone(), ticket, self.clock.now_us())
     }
 
-    fn words(
+    fn resolve(
         self: &Arc<Self>,
         state: &mut GateState,
         actions: Vec<Action>,
-    ) -> Vec<(oneshot::Sender<Word>, Word)> {
-        let mut words = Vec::with_capacity(actions.len());
+    ) -> Vec<(oneshot::Sender<AdmitResult>, AdmitResult)> {
+        let mut results = Vec::with_capacity(actions.len());
         for action in actions {
             let (ticket, refusal) = match action {
                 Action::Start(ticket) => (ticket, None),
                 Action::Refuse(ticket, refusal) => (ticket, Some(refusal)),
             };
-            let Some(WaitingCall { tell, .. }) = state.waiting.remove(&ticket) else {
+            let Some(WaitingCall { sender, .. }) = state.waiting.remove(&ticket) else {
                 continue;
             };
-            let word = refusal.map_or_else(|| Ok(self.permit(state, ticket)), Err);
-            words.push((tell, word));
+            let result = refusal.map_or_else(|| Ok(self.permit(state, ticket)), Err);
+            results.push((sender, result));
         }
-        words
+        results
     }
 
     fn lock(&self) -> MutexGuard<'_, GateState> {
@@ -225,18 +228,18 @@
 
 /// A call that waits. When its caller goes away it is forgotten, so that it does not take the
 /// place of one that is still wanted.
-struct Waiting {
+struct CancelOnDrop {
     gate: Arc<Gate>,
     ticket: u64,
 }
 
-impl Waiting {
+impl CancelOnDrop {
     fn new(gate: Arc<Gate>, ticket: u64) -> Self {
         Self { gate, ticket }
     }
 }
 
-impl Drop for Waiting {
+impl Drop for CancelOnDrop {
     fn drop(&mut self) {
         let mut state = self.gate.lock();
         if state.waiting.remove(&self.ticket).is_some() {
--- a/src/node/guard.rs
+++ b/src/node/guard.rs
@@ -22,14 +22,14 @@
 use crate::node::body::NodeBody;
 use crate::node::body::read_body;
 use crate::node::caller_headers;
-use crate::node::guard_answer::Answered;
+use crate::node::guard_answer::AnswerContext;
 use crate::node::guard_answer::answer;
 use crate::node::guard_answer::refuse;
-use crate::node::guard_answer::refuse_unread;
+use crate::node::guard_answer::refuse_unreadable;
 use crate::node::guard_run;
 use crate::node::guarded_call::GuardedCall;
 use crate::node::keyed_guard::key_of;
-use crate::node::keyed_guard::without_ledger;
+use crate::node::keyed_guard::unknown_if_keyed;
 use crate::node::live_calls::LiveCall;
 use crate::node::take_call::split_path;
 use crate::wire::CallHeader;
@@ -42,36 +42,36 @@
     node.metrics.guard_calls.inc();
     let header = match CallHeader::from_headers(request.headers()) {
         Ok(header) => header,
-        Err(error) => return refuse_unread(node, &error, later_ms()),
+        Err(error) => return refuse_unreadable(node, &error, later_ms()),
     };
-    let mut answered = Answered::new(&header);
-    let call = match take_call(node, header, request).await {
+    let mut context = AnswerContext::new(&header);
+    let call = match read_call(node, header, request).await {
         Ok(call) => call,
-        Err(refusal) => return refuse_early(node, &answered, refusal),
+        Err(refusal) => return refuse_before_ledger(node, &context, refusal),
     };
     let now = node.inputs.clock.now();
-    match node.inputs.attempts.arrive(now, answered.attempt) {
+    match node.inputs.attempts.arrive(now, context.attempt) {
         Arrival::Fresh => {}
         Arrival::Revoked => {
-            return refuse(node, &answered, not_run(RefusalReason::Revoked));
+            return refuse(node, &context, not_run(RefusalReason::Revoked));
         }
         Arrival::Repeated => {
             let repeated = Refusal::unknown(RefusalReason::BadRequest, later_ms());
-            return refuse(node, &answered, repeated);
+            return refuse(node, &context, repeated);
         }
     }
-    answered.route = call.live.route.clone();
-    let entered = EnteredAttempt::new(node, answered.attempt);
+    context.route = call.live.route.clone();
+    let running = RunningAttempt::new(node, context.attempt);
     if call.header.non_idempotent {
-        finish_whoever_waits(node, call, answered, entered).await
+        finish_detached(node, call, context, running).await
     } else {
-        finish(node.clone(), call, answered, entered).await
+        finish(node.clone(), call, context, running).await
     }
 }
 
-fn refuse_early(node: &Node, answered: &Answered, refusal: Refusal) -> Response<Body> {
-    let refusal = without_ledger(answered.key.as_ref(), refusal);
-    refuse(node, answered, refusal)
+fn refuse_before_ledger(node: &Node, context: &AnswerContext, refusal: Refusal) -> Response<Body> {
+    let refusal = unknown_if_keyed(context.key.as_ref(), refusal);
+    refuse(node, context, refusal)
 }
 
 /// Brings a call to its end and its answer into shape. When the future is dropped, because
@@ -79,49 +79,49 @@
 async fn finish(
     node: Arc<Node>,
     call: GuardedCall,
-    mut answered: Answered,
-    entered: EnteredAttempt,
+    mut context: AnswerContext,
+    running: RunningAttempt,
 ) -> Response<Body> {
     let live = call.live.clone();
     let end = guard_run::run(&node, call).await;
-    answered.allotment_unused = live.close_allotment();
+    context.allotment_unused = live.close_allotment();
     let (response, held) = match end {
         Ok(whole) => {
             let held = whole.body.held().cloned();
-            (answer(&node, &answered, whole), held)
+            (answer(&node, &context, whole), held)
         }
-        Err(refusal) => (refuse(&node, &answered, refusal), Some(Bytes::new())),
+        Err(refusal) => (refuse(&node, &context, refusal), Some(Bytes::new())),
     };
-    entered.ended(&response, held);
+    running.ended(&response, held);
     response
 }
 
 /// Does the same for a call that must not be broken off once it may have started. It goes on in a
 /// task of its own, whoever goes away; an answer is waited for until the deadline only.
-async fn finish_whoever_waits(
+async fn finish_detached(
     node: &Arc<Node>,
     call: GuardedCall,
-    answered: Answered,
-    entered: EnteredAttempt,
+    context: AnswerContext,
+    running: RunningAttempt,
 ) -> Response<Body> {
-    let late = answered.clone();
+    let timeout_context = context.clone();
     let left = Duration::from_millis(call.deadline.since(node.inputs.clock.now()));
-    let task = tokio::spawn(finish(node.clone(), call, answered, entered));
+    let task = tokio::spawn(finish(node.clone(), call, context, running));
     let reason = match tokio::time::timeout(left, task).await {
         Ok(Ok(response)) => return response,
         Ok(Err(_)) => RefusalReason::BackendBroke,
         Err(_) => RefusalReason::DeadlineExceeded,
     };
-    refuse(node, &late, Refusal::unknown(reason, later_ms()))
+    refuse(node, &timeout_context, Refusal::unknown(reason, later_ms()))
 }
 
 /// An attempt that is in progress until it is dropped, however it ends.
-struct EnteredAttempt {
+struct RunningAttempt {
     node: Arc<Node>,
     attempt: AttemptId,
 }
 
-impl EnteredAttempt {
+impl RunningAttempt {
     fn new(node: &Arc<Node>, attempt: AttemptId) -> Self {
         Self {
             node: node.clone(),
@@ -141,14 +141,14 @@
     }
 }
 
-impl Drop for EnteredAttempt {
+impl Drop for RunningAttempt {
     fn drop(&mut self) {
         let now = self.node.inputs.clock.now();
         self.node.inputs.attempts.end(now, self.attempt, None);
     }
 }
 
-async fn take_call(
+async fn read_call(
     node: &Node,
     header: CallHeader,
     request: Request<Body>,
@@ -165,7 +165,7 @@
         .await
         .map_err(|_| not_run(RefusalReason::DeadlineExceeded))?
         .map_err(|_| not_run(RefusalReason::BodyCutShort))?;
-    if differs(header.body_len, body.len()) {
+    if lengths_differ(header.body_len, body.len()) {
         return Err(not_run(RefusalReason::BodyCutShort));
     }
     let fingerprint = fingerprint(parts.uri.path(), &parts.method, &path_and_query, &body);
@@ -198,7 +198,7 @@
     fingerprint_of(service, method.as_str(), path_and_query, content)
 }
 
-fn differs(announced: Option<u64>, actual: Option<u64>) -> bool {
+fn lengths_differ(announced: Option<u64>, actual: Option<u64>) -> bool {
     matches!((announced, actual), (Some(announced), Some(actual)) if announced != actual)
 }
 
--- a/src/node/guard_answer.rs
+++ b/src/node/guard_answer.rs
@@ -23,7 +23,7 @@
 
 /// What an answer header has to say of its call.
 #[derive(Clone, Debug)]
-pub(super) struct Answered {
+pub(super) struct AnswerContext {
     pub(super) attempt: AttemptId,
     pub(super) route: Name,
     pub(super) allotment_unused: u16,
@@ -31,7 +31,7 @@
     pub(super) key: Option<Name>,
 }
 
-impl Answered {
+impl AnswerContext {
     pub(super) fn new(header: &CallHeader) -> Self {
         Self {
             attempt: header.attempt,
@@ -43,10 +43,10 @@
 }
 
 /// The answer of the backend server with the guard's news.
-pub(super) fn answer(node: &Node, answered: &Answered, mut answer: Answer) -> Response<Body> {
+pub(super) fn answer(node: &Node, context: &AnswerContext, mut answer: Answer) -> Response<Body> {
     let header = AnswerHeader {
         body_len: answer.body.len(),
-        ..answer_header(node, answered)
+        ..answer_header(node, context)
     };
     let mut response = Response::new(answer.body.send_copy());
     *response.status_mut() = answer.status;
@@ -56,11 +56,11 @@
 }
 
 /// A refusal with the guard's news.
-pub(super) fn refuse(node: &Node, answered: &Answered, refusal: Refusal) -> Response<Body> {
+pub(super) fn refuse(node: &Node, context: &AnswerContext, refusal: Refusal) -> Response<Body> {
     node.metrics.count_guard_refusal(refusal.reason);
     log::debug!(
         "guard: refused, attempt={} reason={} outcome={} retry_after_ms={}",
-        answered.attempt,
+        context.attempt,
         refusal.reason.as_str(),
         refusal.run_state.as_str(),
         refusal.retry_after_ms,
@@ -69,7 +69,7 @@
         run_state: refusal.run_state,
         refusal: Some(refusal),
         body_len: Some(0),
-        ..answer_header(node, answered)
+        ..answer_header(node, context)
     };
     let mut response = Response::new(empty_body());
     *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
@@ -79,20 +79,24 @@
 
 /// Refuses a call whose header cannot be read, in plain headers, which every version of the
 /// protocol understands: nothing was run.
-pub(super) fn refuse_unread(node: &Node, error: &WireError, retry_after_ms: u64) -> Response<Body> {
+pub(super) fn refuse_unreadable(
+    node: &Node,
+    error: &WireError,
+    retry_after_ms: u64,
+) -> Response<Body> {
     let reason = match error {
         WireError::Version { .. } => RefusalReason::PeerVersion,
         _ => RefusalReason::BadRequest,
     };
     log::warn!("guard: refused a call it cannot read, error={error}");
     let refusal = Refusal::not_run(reason, retry_after_ms);
-    let answered = Answered {
+    let context = AnswerContext {
         attempt: AttemptId(0),
         route: Name::from(""),
         allotment_unused: 0,
         key: None,
     };
-    let mut response = refuse(node, &answered, refusal);
+    let mut response = refuse(node, &context, refusal);
     *response.status_mut() = StatusCode::BAD_REQUEST;
     let reason = HeaderValue::from_static(reason.as_str());
     response.headers_mut().insert(headers::REASON, reason);
@@ -100,20 +104,20 @@
     response
 }
 
-fn answer_header(node: &Node, answered: &Answered) -> AnswerHeader {
+fn answer_header(node: &Node, context: &AnswerContext) -> AnswerHeader {
     let now = node.inputs.clock.now();
     let in_force = node.inputs.in_force.load();
     let own = node.gate.level();
     AnswerHeader {
-        attempt: answered.attempt,
+        attempt: context.attempt,
         run_state: RunState::Ran,
         refusal: None,
-        allotment_unused: answered.allotment_unused,
-        admit: node.levels.level_on(now, &answered.route, own),
+        allotment_unused: context.allotment_unused,
+        admit: node.levels.level_for_route(now, &context.route, own),
         load: node.gate.load(),
         config_version: in_force.as_ref().as_ref().map_or(0, |known| known.version),
         body_len: None,
-        owner: owner_hint(node, answered.key.as_ref()),
+        owner: owner_hint(node, context.key.as_ref()),
     }
 }
 
--- a/src/node/guard_run.rs
+++ b/src/node/guard_run.rs
@@ -36,13 +36,13 @@
 /// # Errors
 /// The refusal; `not_run` only if the call was certainly not started.
 pub(super) async fn admit_and_run(node: &Arc<Node>, call: GuardedCall) -> Result<Answer, Refusal> {
-    takes_work(node, &call)?;
+    check_accepting(node, &call)?;
     if call.deadline <= node.inputs.clock.now() {
         return Err(not_run(RefusalReason::DeadlineExceeded));
     }
-    is_harmless(node, &call)?;
-    passes_deeper(node, &call)?;
-    let queued = OfferedCall {
+    check_poison(node, &call)?;
+    check_downstream_level(node, &call)?;
+    let offered = OfferedCall {
         ticket: 0,
         priority: call.header.priority,
         depth: call.header.depth,
@@ -51,18 +51,18 @@
         deadline: call.deadline,
     };
     let arrived_us = node.inputs.clock.now_us();
-    let permit = node.gate.admit(queued).await?;
+    let permit = node.gate.admit(offered).await?;
     let waited_us = permit.since_us.saturating_sub(arrived_us);
     node.metrics.guard_wait.observe(waited_us as f64 / 1e6);
     // Both may have changed while the call waited.
-    takes_work(node, &call)?;
-    is_harmless(node, &call)?;
+    check_accepting(node, &call)?;
+    check_poison(node, &call)?;
     backend_call::run(node, call, permit).await
 }
 
 /// Whether the call may start here. During a planned stop of the node, the owner of a key goes on
 /// until the slot is handed over: nobody else may run it.
-fn takes_work(node: &Node, call: &GuardedCall) -> Result<(), Refusal> {
+fn check_accepting(node: &Node, call: &GuardedCall) -> Result<(), Refusal> {
     let local = node.inputs.local.borrow();
     let state = match (&local.announced, key_of(&call.header)) {
         (Some(announced), Some(_)) => announced.state,
@@ -79,18 +79,18 @@
 
 /// Refuses a call that a service behind this one would shed, before it takes a slot here. It passed
 /// its sender with an older level than the one known here.
-fn passes_deeper(node: &Node, call: &GuardedCall) -> Result<(), Refusal> {
+fn check_downstream_level(node: &Node, call: &GuardedCall) -> Result<(), Refusal> {
     let now = node.inputs.clock.now();
     let level = node
         .levels
-        .level_on(now, &call.live.route, Priority::LOWEST);
+        .level_for_route(now, &call.live.route, Priority::LOWEST);
     if call.header.priority > level {
         return Err(not_run(RefusalReason::ShedAtEntry));
     }
     Ok(())
 }
 
-fn is_harmless(node: &Node, call: &GuardedCall) -> Result<(), Refusal> {
+fn check_poison(node: &Node, call: &GuardedCall) -> Result<(), Refusal> {
     let now = node.inputs.clock.now();
     match node
         .inputs
--- a/src/node/keyed_forward.rs
+++ b/src/node/keyed_forward.rs
@@ -34,11 +34,11 @@
 /// former owner has read the row that names the next one, which has not read it yet. Followed at
 /// once all the same, the redirections would be used up within milliseconds and the call refused
 /// in the middle of a planned stop; with a wait the next owner reads the row meanwhile.
-const REDIRECTS_AT_ONCE: u32 = 2;
+const IMMEDIATE_REDIRECTS: u32 = 2;
 /// The first wait before the owner is asked again while its slot changes hands, in milliseconds;
 /// it doubles up to the longest.
 const REDIRECT_WAIT_MS: u64 = 50;
-const LONGEST_REDIRECT_WAIT_MS: u64 = 400;
+const MAX_REDIRECT_WAIT_MS: u64 = 400;
 /// When to come back when the owner is not found, in milliseconds.
 const NO_OWNER_RETRY_AFTER_MS: u64 = 1_000;
 
@@ -47,7 +47,7 @@
 struct Progress {
     redirects: u32,
     /// An attempt may still be under way, and what a guard says later does not cover it.
-    may_be_under_way: bool,
+    may_be_in_flight: bool,
     search: OwnerSearch,
 }
 
@@ -63,35 +63,38 @@
     let claims = node.inputs.claims.as_ref();
     let now = node.inputs.clock.now();
     if claims.is_some_and(|claims| claims.may_predate_pause(now)) {
-        return Err(no_word(RefusalReason::StaleAttempt));
+        return Err(unknown_refusal(RefusalReason::StaleAttempt));
     }
-    let sends_until = call.arrived_at + sends_ms(node);
+    let attempts_until = call.arrived_at + attempt_window_ms(node);
     node.targets.first_attempt(&call.service);
     let mut progress = Progress::default();
     if !call.body_is_held {
-        find_owner(node, call, &key).await;
+        probe_owner(node, call, &key).await;
     }
     loop {
         let Some(target) = owner_or_any(node, call, &key, &mut progress.search) else {
-            return Err(no_word(RefusalReason::NoTarget));
+            return Err(unknown_refusal(RefusalReason::NoTarget));
         };
         let (refusal, again) = match attempt(node, call, &target).await {
             AttemptEnd::Answered(answer, header) => {
-                learn(node, call, &key, header.owner);
+                record_owner(node, call, &key, header.owner);
                 return Ok(answer);
             }
             AttemptEnd::Refused(refusal, Some(header)) => {
                 let again = redirect(node, call, &key, &target, refusal, header.owner);
-                let word = covered(refusal, &progress);
-                (word, follow(again, &target, &mut progress).await)
+                let qualified = qualify_refusal(refusal, &progress);
+                (
+                    qualified,
+                    follow_redirect(again, &target, &mut progress).await,
+                )
             }
             AttemptEnd::Refused(refusal, None) => {
-                let again = after_loss(node, call, &key, &target, refusal, &mut progress);
-                (without_word(refusal), again)
+                let again = retry_after_loss(node, call, &key, &target, refusal, &mut progress);
+                (unknown_unless_ran(refusal), again)
             }
         };
         let may_send =
-            call.body_is_held && node.inputs.clock.now() < sends_until.min(call.deadline);
+            call.body_is_held && node.inputs.clock.now() < attempts_until.min(call.deadline);
         let Some(reason) = again.filter(|_| may_send) else {
             return Err(refusal);
         };
@@ -106,7 +109,7 @@
 }
 
 /// For how long after its arrival attempts of a call may be sent.
-fn sends_ms(node: &Node) -> u64 {
+fn attempt_window_ms(node: &Node) -> u64 {
     let in_force = node.inputs.in_force.load();
     let known = in_force.as_ref().as_ref();
     let window_ms = known.map_or(0, |known| known.preset.resend_window_ms);
@@ -118,7 +121,7 @@
     /// The owner is known now, or gave out its stamp.
     Known(RetryReason),
     /// The target knows no owner at the moment: the slot changes hands.
-    Nobody,
+    NoOwner,
 }
 
 /// What a guard's refusal says about where to send the call.
@@ -133,19 +136,19 @@
     let elsewhere = owner
         .as_ref()
         .is_some_and(|owner| owner.node != target.node);
-    learn(node, call, key, owner);
+    record_owner(node, call, key, owner);
     match refusal.reason {
         RefusalReason::StaleAttempt => Some(Redirect::Known(RetryReason::StampRenewed)),
         RefusalReason::NotOwner if elsewhere => Some(Redirect::Known(RetryReason::OwnerMoved)),
         RefusalReason::NotOwner => {
             node.slot_router().forget(&call.service, key);
-            Some(Redirect::Nobody)
+            Some(Redirect::NoOwner)
         }
         _ => None,
     }
 }
 
-async fn follow(
+async fn follow_redirect(
     redirect: Option<Redirect>,
     target: &Target,
     progress: &mut Progress,
@@ -156,13 +159,13 @@
     }
     match redirect? {
         Redirect::Known(reason) => {
-            let again = progress.redirects.saturating_sub(REDIRECTS_AT_ONCE);
+            let again = progress.redirects.saturating_sub(IMMEDIATE_REDIRECTS);
             if reason == RetryReason::OwnerMoved && again > 0 {
                 wait_for_owner(again - 1).await;
             }
             Some(reason)
         }
-        Redirect::Nobody => {
+        Redirect::NoOwner => {
             progress.search.note_without_owner(target.node.clone());
             wait_for_owner(progress.redirects).await;
             Some(RetryReason::OwnerMoved)
@@ -173,13 +176,13 @@
 /// Waits for a slot to change hands, for longer each time.
 async fn wait_for_owner(times_before: u32) {
     let wait_ms = REDIRECT_WAIT_MS << times_before.min(8);
-    let wait_ms = wait_ms.min(LONGEST_REDIRECT_WAIT_MS);
+    let wait_ms = wait_ms.min(MAX_REDIRECT_WAIT_MS);
     tokio::time::sleep(Duration::from_millis(wait_ms)).await;
 }
 
 /// After a lost attempt the call may be sent to the owner once more: the ledger lets it join or
 /// repeats the answer. An owner that cannot be reached at all has no substitute.
-fn after_loss(
+fn retry_after_loss(
     node: &Node,
     call: &mut Call,
     key: &Name,
@@ -187,9 +190,9 @@
     refusal: Refusal,
     progress: &mut Progress,
 ) -> Option<RetryReason> {
-    let first_loss = !progress.may_be_under_way;
-    progress.may_be_under_way |= refusal.run_state != RunState::NotRun;
-    call.first_sending &= !progress.may_be_under_way;
+    let first_loss = !progress.may_be_in_flight;
+    progress.may_be_in_flight |= refusal.run_state != RunState::NotRun;
+    call.first_sending &= !progress.may_be_in_flight;
     let reason = match (refusal.reason, refusal.run_state) {
         // Never seen and revoked: it is not under way, and the owner is as good as before.
         (RefusalReason::Revoked, RunState::NotRun) => RetryReason::SilentConnection,
@@ -201,7 +204,7 @@
         (RefusalReason::PeerLost, _) if first_loss => RetryReason::ConnectionLost,
         _ => return None,
     };
-    let paid = call.holder.spend() && node.targets.try_retry(&call.service);
+    let paid = call.allotment_holder.spend() && node.targets.try_retry(&call.service);
     paid.then_some(reason)
 }
 
@@ -246,7 +249,7 @@
 
 /// A streamed body can be sent once only. So the owner and its stamp are asked for before, by an
 /// attempt without body and without stamp, which no guard starts.
-async fn find_owner(node: &Arc<Node>, call: &mut Call, key: &Name) {
+async fn probe_owner(node: &Arc<Node>, call: &mut Call, key: &Name) {
     let empty = NodeBody::Held(Bytes::new());
     let body = std::mem::replace(&mut call.body, empty);
     for _ in 0..MAX_PROBES {
@@ -260,7 +263,7 @@
         };
         let owner = header.and_then(|header| header.owner);
         let found = owner.as_ref().is_some_and(|owner| owner.stamp != 0);
-        learn(node, call, key, owner);
+        record_owner(node, call, key, owner);
         if found {
             break;
         }
@@ -268,7 +271,7 @@
     call.body = body;
 }
 
-fn learn(node: &Node, call: &Call, key: &Name, owner: Option<OwnerHint>) {
+fn record_owner(node: &Node, call: &Call, key: &Name, owner: Option<OwnerHint>) {
     if let Some(owner) = owner {
         node.slot_router().learn(&call.service, key, owner);
     }
@@ -276,16 +279,16 @@
 
 /// What a guard says covers all sendings that it has seen, but not an attempt that was lost on the
 /// way and may still arrive.
-fn covered(refusal: Refusal, progress: &Progress) -> Refusal {
-    if progress.may_be_under_way {
-        without_word(refusal)
+fn qualify_refusal(refusal: Refusal, progress: &Progress) -> Refusal {
+    if progress.may_be_in_flight {
+        unknown_unless_ran(refusal)
     } else {
         refusal
     }
 }
 
 /// The refusal of an entry that has no word of the ledger.
-pub(super) fn without_word(refusal: Refusal) -> Refusal {
+pub(super) fn unknown_unless_ran(refusal: Refusal) -> Refusal {
     match refusal.run_state {
         RunState::NotRun => Refusal {
             run_state: RunState::Unknown,
@@ -295,7 +298,7 @@
     }
 }
 
-fn no_word(reason: RefusalReason) -> Refusal {
+fn unknown_refusal(reason: RefusalReason) -> Refusal {
     let retry_after_ms = NO_OWNER_RETRY_AFTER_MS + fastrand::u64(..NO_OWNER_RETRY_AFTER_MS);
     Refusal::unknown(reason, retry_after_ms)
 }
--- a/src/node/keyed_guard.rs
+++ b/src/node/keyed_guard.rs
@@ -39,7 +39,7 @@
 
 /// Speaks of a refusal that was decided before the ledger was asked: an earlier sending of the
 /// same key may have run.
-pub(super) fn without_ledger(header_key: Option<&Name>, refusal: Refusal) -> Refusal {
+pub(super) fn unknown_if_keyed(header_key: Option<&Name>, refusal: Refusal) -> Refusal {
     match (header_key, refusal.run_state) {
         (Some(_), RunState::NotRun) => Refusal {
             run_state: RunState::Unknown,
@@ -67,14 +67,14 @@
 ) -> Result<Answer, Refusal> {
     let left_ms = call.deadline.since(node.inputs.clock.now());
     let left = Duration::from_millis(left_ms);
-    match admitted(node, &call, &key) {
+    match admit(node, &call, &key) {
         KeyedAdmission::Run(ticket) => {
-            let told = start(node, call, ticket);
-            within(left, told).await?
+            let receiver = spawn_run(node, call, ticket);
+            receive_within(left, receiver).await?
         }
-        KeyedAdmission::Join(told) => {
+        KeyedAdmission::Join(receiver) => {
             node.metrics.joined_calls.inc();
-            answer_of(within(left, told).await?)
+            answer_of(receive_within(left, receiver).await?)
         }
         KeyedAdmission::Answer(kept) => {
             node.metrics.repeated_answers.inc();
@@ -84,7 +84,7 @@
     }
 }
 
-fn admitted(node: &Node, call: &GuardedCall, key: &Name) -> KeyedAdmission {
+fn admit(node: &Node, call: &GuardedCall, key: &Name) -> KeyedAdmission {
     let Some(ledger) = ledger(node) else {
         let reason = RefusalReason::NotOwner;
         return KeyedAdmission::Refuse(Refusal::unknown(reason, NO_LEDGER_RETRY_MS));
@@ -102,24 +102,24 @@
 }
 
 /// Runs the call in a task of its own: whoever sent it may go away, and a resend then joins it.
-fn start(
+fn spawn_run(
     node: &Arc<Node>,
     call: GuardedCall,
     ticket: RunTicket,
 ) -> oneshot::Receiver<Result<Answer, Refusal>> {
-    let (tell, told) = oneshot::channel();
+    let (sender, receiver) = oneshot::channel();
     let node = node.clone();
     tokio::spawn(async move {
-        let end = admit_and_run(&node, call).await;
-        ticket.settle(settled(&end));
+        let result = admit_and_run(&node, call).await;
+        ticket.settle(outcome_of(&result));
         // The sender may have gone away; the ledger knows the outcome.
-        let _ = tell.send(end);
+        let _ = sender.send(result);
     });
-    told
+    receiver
 }
 
-fn settled(end: &Result<Answer, Refusal>) -> KeyedCallOutcome {
-    match end {
+fn outcome_of(result: &Result<Answer, Refusal>) -> KeyedCallOutcome {
+    match result {
         Ok(answer) => KeyedCallOutcome::Ran(to_kept(answer).map(Arc::new)),
         Err(refusal) => match refusal.run_state {
             RunState::NotRun => KeyedCallOutcome::NotStarted(*refusal),
@@ -129,16 +129,16 @@
     }
 }
 
-async fn within<T>(left: Duration, told: oneshot::Receiver<T>) -> Result<T, Refusal> {
-    match tokio::time::timeout(left, told).await {
-        Ok(Ok(word)) => Ok(word),
+async fn receive_within<T>(left: Duration, receiver: oneshot::Receiver<T>) -> Result<T, Refusal> {
+    match tokio::time::timeout(left, receiver).await {
+        Ok(Ok(value)) => Ok(value),
         Ok(Err(_)) => Err(Refusal::unknown(RefusalReason::BackendBroke, 0)),
         Err(_) => Err(Refusal::unknown(RefusalReason::DeadlineExceeded, 0)),
     }
 }
 
-fn answer_of(settled: KeyedCallOutcome) -> Result<Answer, Refusal> {
-    match settled {
+fn answer_of(outcome: KeyedCallOutcome) -> Result<Answer, Refusal> {
+    match outcome {
         KeyedCallOutcome::Ran(Some(kept)) => Ok(kept_answer::answer_of(&kept)),
         KeyedCallOutcome::Ran(None) => Err(Refusal {
             reason: RefusalReason::AlreadyRan,
--- a/src/node/live_calls.rs
+++ b/src/node/live_calls.rs
@@ -103,7 +103,7 @@
     }
 
     /// A child call went out.
-    pub(super) fn child_began(&self, now_us: u64) {
+    pub(super) fn child_started(&self, now_us: u64) {
         self.children().begin(now_us);
     }
 
@@ -113,7 +113,7 @@
     }
 
     /// Whether the backend server made any call on behalf of this one.
-    pub(super) fn has_called_on(&self) -> bool {
+    pub(super) fn has_made_calls(&self) -> bool {
         self.children().has_begun()
     }
 
--- a/src/node/local_backend.rs
+++ b/src/node/local_backend.rs
@@ -50,7 +50,7 @@
     }
 
     /// Marks the backend server as down; whether that is news.
-    pub fn went_down(&mut self) -> bool {
+    pub fn mark_down(&mut self) -> bool {
         match &mut self.announced {
             Some(announced) if announced.state == TargetState::Up => {
                 announced.state = TargetState::Starting;
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -21,10 +21,10 @@
 use crate::node::Announcement;
 use crate::node::LocalBackend;
 use crate::node::NodeInputs;
-use crate::node::backend_words::BackendWords;
+use crate::node::backend_rate_limit::BackendRateLimit;
 use crate::node::gate::Gate;
-use crate::node::learnt_levels::LearntLevels;
 use crate::node::live_calls::LiveCalls;
+use crate::node::reported_levels::ReportedLevels;
 use crate::node::status::LedgerFigures;
 use crate::node::targets::Targets;
 
@@ -46,8 +46,8 @@
     pub(super) live_calls: LiveCalls,
     pub(super) targets: Targets,
     pub(super) gate: Arc<Gate>,
-    pub(super) backend_words: BackendWords,
-    pub(super) levels: LearntLevels,
+    pub(super) backend_rate_limit: BackendRateLimit,
+    pub(super) levels: ReportedLevels,
     slot_router: Mutex<SlotRouter>,
     draining: AtomicBool,
     connections_refused: AtomicU32,
@@ -68,10 +68,10 @@
             inputs,
             peer_client: ArcSwap::from_pointee(peer_client(&settings)),
             backend_client: http_client(BACKEND_IDLE_MS, settings.connect_timeout_ms),
-            backend_words: BackendWords::default(),
+            backend_rate_limit: BackendRateLimit::default(),
             live_calls: LiveCalls::new(),
             targets: Targets::new(),
-            levels: LearntLevels::default(),
+            levels: ReportedLevels::default(),
             slot_router: Mutex::new(SlotRouter::default()),
             draining: AtomicBool::new(false),
             connections_refused: AtomicU32::new(0),
@@ -122,24 +122,24 @@
     /// Takes in what the local backend server says of itself.
     pub(super) fn take_announcement(&self, announcement: Announcement) {
         self.gate.set_slots(announcement.slots);
-        let news = format!(
+        let details = format!(
             "service={} address={} slots={} state={:?}",
             announcement.service, announcement.address, announcement.slots, announcement.state,
         );
-        let is_news = self.inputs.local.send_if_modified(|local| {
-            let is_news = local.announced.as_ref() != Some(&announcement);
+        let changed = self.inputs.local.send_if_modified(|local| {
+            let changed = local.announced.as_ref() != Some(&announcement);
             local.announced = Some(announcement);
-            is_news
+            changed
         });
-        if is_news {
-            log::info!("node: the backend server announced itself, {news}");
+        if changed {
+            log::info!("node: the backend server announced itself, {details}");
         }
     }
 
     /// Notes whether the backend server took a connection. After some refusals in a row it counts
     /// as starting, which tells the other nodes, until it announces itself again: one that crashed
     /// says nothing of it.
-    pub(super) fn note_connection(&self, taken: bool) {
+    pub(super) fn record_connection(&self, taken: bool) {
         if taken {
             self.connections_refused.store(0, Ordering::Relaxed);
             return;
@@ -147,9 +147,9 @@
         if self.connections_refused.fetch_add(1, Ordering::Relaxed) + 1 < DOWN_AFTER_REFUSALS {
             return;
         }
-        let is_news = self.inputs.local.send_if_modified(LocalBackend::went_down);
-        if is_news {
-            self.backend_words.forget(&self.gate);
+        let changed = self.inputs.local.send_if_modified(LocalBackend::mark_down);
+        if changed {
+            self.backend_rate_limit.reset(&self.gate);
             log::warn!("node: the backend server takes no connections, state=starting");
         }
     }
--- a/src/node/node_inputs.rs
+++ b/src/node/node_inputs.rs
@@ -31,7 +31,7 @@
 >;
 
 /// Takes the news that the node with this control address has a version in force.
-pub type NoteConfig = Arc<dyn Fn(SocketAddr, u64) + Send + Sync>;
+pub type RecordPeerConfig = Arc<dyn Fn(SocketAddr, u64) + Send + Sync>;
 
 /// Tells the node with this control address what was running at a crash.
 pub type ReportSuspects =
@@ -55,7 +55,7 @@
     pub poison: Arc<PoisonGuard>,
     pub report_suspects: ReportSuspects,
     pub ask_attempt: AskAttempt,
-    pub note_config: NoteConfig,
+    pub record_peer_config: RecordPeerConfig,
     pub operations: PeerOperations,
 }
 
@@ -71,7 +71,7 @@
             attempts: Arc::new(Attempts::default()),
             poison: Arc::new(PoisonGuard::new()),
             report_suspects: Arc::new(|_, _| ready(()).boxed()),
-            note_config: Arc::new(|_, _| {}),
+            record_peer_config: Arc::new(|_, _| {}),
             operations: PeerOperations::none(),
             claims: None,
             ask_attempt: Arc::new(|_, _| ready(Err(PeerCallError::Stopped)).boxed()),
--- a/src/node/node_process.rs
+++ b/src/node/node_process.rs
@@ -25,9 +25,9 @@
 use crate::node::LocalBackend;
 use crate::node::Node;
 use crate::node::NodeInputs;
-use crate::node::NoteConfig;
 use crate::node::PeerOperations;
 use crate::node::PoisonGuard;
+use crate::node::RecordPeerConfig;
 use crate::node::ReportSuspects;
 use crate::node::RunningNode;
 use crate::node::Status;
@@ -63,7 +63,7 @@
         claims.attach(&mut handlers);
         let control = control::start(control_settings, handlers, metrics)?;
         let control = Arc::new(control);
-        inputs.note_config = note_config(&configuration.shared);
+        inputs.record_peer_config = record_peer_config(&configuration.shared);
         configuration.start(&settings, &inputs, &control);
         inputs.operations = PeerOperations::over(&control.clients);
         if settings.control_enabled {
@@ -128,7 +128,7 @@
     })
 }
 
-fn note_config(configuration: &Arc<ConfigShared>) -> NoteConfig {
+fn record_peer_config(configuration: &Arc<ConfigShared>) -> RecordPeerConfig {
     let configuration = configuration.clone();
     Arc::new(move |from, version| configuration.note_news(from, version))
 }
--- a/src/node/silence.rs
+++ b/src/node/overdue.rs
@@ -18,38 +18,38 @@
 /// An answer is overdue after this multiple of what answers of the target take.
 const OVERDUE_FACTOR: u64 = 3;
 /// The longest pause between two questions.
-const LONGEST_PAUSE_MS: u64 = 4_000;
+const MAX_PAUSE_MS: u64 = 4_000;
 /// How long an answer that has left the guard may take to arrive.
-const ARRIVAL_MS: u64 = 200;
+const ANSWER_TRANSIT_MS: u64 = 200;
 
 /// Two clocks differ by at most one part in this.
-const CLOCK_DRIFT: u64 = 50;
+const CLOCK_DRIFT_DIVISOR: u64 = 50;
 /// Both clocks count whole milliseconds.
-const CLOCK_GRAIN_MS: u64 = 2;
+const CLOCK_RESOLUTION_MS: u64 = 2;
 
 /// What the guard says of an attempt whose answer is overdue.
-pub(super) enum Silence {
+pub(super) enum OverdueStatus {
     /// It was not seen, and will be refused if it still arrives.
     NeverSeen,
     /// It ended; this was the answer.
     Answered(KeptAnswer),
     /// It ended, but the answer is not kept.
-    AnswerGone,
+    AnswerNotKept,
     /// The guard does not remember so far back: it may have run the call.
     Forgotten,
     /// The guard cannot be asked either.
-    NobodyThere,
+    Unreachable,
 }
 
 /// Waits until the answer is overdue and then asks, again and again while the call is in progress.
 /// While the guard cannot be asked, a call that must not be given up is waited for until its
 /// deadline: its answer may still come.
-pub(super) async fn watch(
+pub(super) async fn watch_overdue(
     node: &Node,
     target: &Target,
     attempt: AttemptId,
     may_give_up: bool,
-) -> Silence {
+) -> OverdueStatus {
     let sent_at = node.inputs.clock.now();
     let usual_ms = node.targets.usual_latency_ms(&target.node);
     let mut pause_ms = node.settings.silence_ms.max(usual_ms * OVERDUE_FACTOR);
@@ -60,29 +60,29 @@
             Ok(AttemptStatus::NeverSeen { complete_for_ms }) => {
                 return never_seen(node.inputs.clock.now().since(sent_at), complete_for_ms);
             }
-            Ok(AttemptStatus::Done(answer)) => return Silence::Answered(answer),
+            Ok(AttemptStatus::Done(answer)) => return OverdueStatus::Answered(answer),
             Ok(AttemptStatus::DoneWithoutAnswer) => {
-                sleep(Duration::from_millis(ARRIVAL_MS)).await;
-                return Silence::AnswerGone;
+                sleep(Duration::from_millis(ANSWER_TRANSIT_MS)).await;
+                return OverdueStatus::AnswerNotKept;
             }
             Ok(AttemptStatus::InProgress) => {}
             Err(error) => {
                 log::debug!("entry: no word of an attempt, attempt={attempt} error={error}");
                 if may_give_up {
-                    return Silence::NobodyThere;
+                    return OverdueStatus::Unreachable;
                 }
             }
         }
-        pause_ms = (pause_ms * 2).min(LONGEST_PAUSE_MS);
+        pause_ms = (pause_ms * 2).min(MAX_PAUSE_MS);
     }
 }
 
 /// Believes that an attempt sent `sent_ms` ago was never seen only if the guard's memory reaches
 /// back beyond it, though the two clocks may run at slightly different speeds.
-fn never_seen(sent_ms: u64, complete_for_ms: u64) -> Silence {
-    if complete_for_ms > sent_ms + sent_ms / CLOCK_DRIFT + CLOCK_GRAIN_MS {
-        Silence::NeverSeen
+fn never_seen(sent_ms: u64, complete_for_ms: u64) -> OverdueStatus {
+    if complete_for_ms > sent_ms + sent_ms / CLOCK_DRIFT_DIVISOR + CLOCK_RESOLUTION_MS {
+        OverdueStatus::NeverSeen
     } else {
-        Silence::Forgotten
+        OverdueStatus::Forgotten
     }
 }
--- a/src/node/peer_call.rs
+++ b/src/node/peer_call.rs
@@ -33,8 +33,8 @@
 use crate::node::call::Call;
 use crate::node::caller_headers;
 use crate::node::kept_answer::headers_of;
-use crate::node::silence::Silence;
-use crate::node::silence::watch;
+use crate::node::overdue::OverdueStatus;
+use crate::node::overdue::watch_overdue;
 use crate::node::targets::InFlightAt;
 use crate::node::watched_body::BodyEnd;
 use crate::node::watched_body::watched;
@@ -44,7 +44,7 @@
 
 /// How long an answer may come after the deadline: the guard's own refusal says more than a
 /// time-out here, so it gets the time to arrive.
-const GRACE_MS: u64 = 50;
+const DEADLINE_GRACE_MS: u64 = 50;
 /// When to come back after a target was lost, in milliseconds.
 const LOST_RETRY_AFTER_MS: u64 = 200;
 
@@ -56,7 +56,7 @@
 }
 
 /// What has to be remembered of a call while its answer is awaited.
-struct Sent {
+struct SentAttempt {
     attempt: AttemptId,
     request: RequestId,
     method: Method,
@@ -73,7 +73,7 @@
     share: u16,
 ) -> AttemptEnd {
     let mut in_flight = InFlightAt::new(node.clone(), target.node.clone());
-    let sent = Sent {
+    let sent = SentAttempt {
         attempt: AttemptId::random(),
         request: call.request,
         method: call.method.clone(),
@@ -83,11 +83,11 @@
     let Some(request) = peer_request(node, call, target, sent.attempt, share) else {
         return lost(RefusalReason::BadRequest, RunState::NotRun);
     };
-    let left_ms = call.deadline.since(node.inputs.clock.now()) + GRACE_MS;
+    let left_ms = call.deadline.since(node.inputs.clock.now()) + DEADLINE_GRACE_MS;
     let end = watched_exchange(node, &sent, request, target, &mut in_flight);
     match timeout(Duration::from_millis(left_ms), end).await {
         Ok(AttemptEnd::Answered(answer, header)) => {
-            AttemptEnd::Answered(holding(node, answer, in_flight), header)
+            AttemptEnd::Answered(track_body(node, answer, in_flight), header)
         }
         Ok(refused) => refused,
         Err(_) => lost(RefusalReason::DeadlineExceeded, RunState::Unknown),
@@ -98,15 +98,15 @@
 /// connection is then given up with the future that waits on it.
 async fn watched_exchange(
     node: &Arc<Node>,
-    sent: &Sent,
+    sent: &SentAttempt,
     request: Request<Body>,
     target: &Target,
     in_flight: &mut InFlightAt,
 ) -> AttemptEnd {
     let client = node.peer_client.load_full();
-    let silence = tokio::select! {
+    let status = tokio::select! {
         end = exchange(node, &client, sent, request, in_flight) => return end,
-        silence = watch(node, target, sent.attempt, sent.may_give_up) => silence,
+        status = watch_overdue(node, target, sent.attempt, sent.may_give_up) => status,
     };
     log::info!(
         "entry: a connection went silent, peer={} attempt={}",
@@ -115,12 +115,15 @@
     );
     node.metrics.silent_connections.inc();
     node.renew_peer_client(&client);
-    match silence {
-        Silence::NeverSeen => lost(RefusalReason::Revoked, RunState::NotRun),
-        Silence::Answered(kept) => receive(node, sent, response_of(&kept), in_flight).await,
-        Silence::AnswerGone => lost(RefusalReason::PeerLost, ran_if(sent.non_idempotent)),
-        Silence::Forgotten => lost(RefusalReason::PeerLost, RunState::Unknown),
-        Silence::NobodyThere => {
+    match status {
+        OverdueStatus::NeverSeen => lost(RefusalReason::Revoked, RunState::NotRun),
+        OverdueStatus::Answered(kept) => receive(node, sent, response_of(&kept), in_flight).await,
+        OverdueStatus::AnswerNotKept => lost(
+            RefusalReason::PeerLost,
+            ran_if_non_idempotent(sent.non_idempotent),
+        ),
+        OverdueStatus::Forgotten => lost(RefusalReason::PeerLost, RunState::Unknown),
+        OverdueStatus::Unreachable => {
             in_flight.lost();
             lost(RefusalReason::PeerLost, RunState::Unknown)
         }
@@ -170,7 +173,7 @@
 async fn exchange(
     node: &Arc<Node>,
     client: &HttpClient,
-    sent: &Sent,
+    sent: &SentAttempt,
     request: Request<Body>,
     in_flight: &mut InFlightAt,
 ) -> AttemptEnd {
@@ -191,7 +194,7 @@
 /// Checks an answer, however it came, and takes it in.
 async fn receive(
     node: &Node,
-    sent: &Sent,
+    sent: &SentAttempt,
     response: Response<Body>,
     in_flight: &mut InFlightAt,
 ) -> AttemptEnd {
@@ -215,7 +218,7 @@
     }
 }
 
-fn ran_if(non_idempotent: bool) -> RunState {
+fn ran_if_non_idempotent(non_idempotent: bool) -> RunState {
     if non_idempotent {
         RunState::Ran
     } else {
@@ -234,7 +237,7 @@
 
 async fn take_answer(
     node: &Node,
-    sent: &Sent,
+    sent: &SentAttempt,
     response: Response<Body>,
     header: AnswerHeader,
 ) -> AttemptEnd {
@@ -247,7 +250,7 @@
         Ok(body) if check_len(&header, body.len()).is_ok() => body,
         _ => {
             node.metrics.wrong_answers.inc();
-            return cut_short(sent, &header);
+            return truncated(sent, &header);
         }
     };
     let answer = Answer {
@@ -260,7 +263,7 @@
 
 /// The answer was lost on its way. That a non-idempotent call ran is still known and said; an
 /// idempotent one counts as lost, so that it may be sent again.
-fn cut_short(sent: &Sent, header: &AnswerHeader) -> AttemptEnd {
+fn truncated(sent: &SentAttempt, header: &AnswerHeader) -> AttemptEnd {
     let run_state = if sent.non_idempotent {
         header.run_state
     } else {
@@ -279,7 +282,7 @@
 }
 
 /// Keeps a streamed answer counted as in flight until its end, and checks its length on the way.
-fn holding(node: &Arc<Node>, mut answer: Answer, in_flight: InFlightAt) -> Answer {
+fn track_body(node: &Arc<Node>, mut answer: Answer, in_flight: InFlightAt) -> Answer {
     if let NodeBody::Streamed { body, len } = answer.body {
         let stall_ms = node.stall_ms();
         let node = node.clone();
--- a/src/node/planned_stop.rs
+++ b/src/node/planned_stop.rs
@@ -9,15 +9,15 @@
 use crate::node::NodeProcess;
 
 /// How often the calls in flight are counted.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// How long the node serves on at least: callers and other nodes hear of the stop meanwhile.
-const LEAST: Duration = Duration::from_millis(1_500);
+const MIN_DRAIN: Duration = Duration::from_millis(1_500);
 /// How long nothing must have been in flight, so that the last answers have left the sockets.
-const QUIET: Duration = Duration::from_millis(300);
+const QUIET_PERIOD: Duration = Duration::from_millis(300);
 
 /// How long handing over keys may take at most, in milliseconds. Without the table it cannot be
 /// done at all, and the others take over after the lease.
-const LONGEST_LEAVE_MS: u64 = 5_000;
+const MAX_LEAVE_MS: u64 = 5_000;
 
 impl NodeProcess {
     /// Stops as planned: refuses new work at the guard, tells the others, finishes what is in
@@ -31,7 +31,7 @@
         log::info!("node: drains, state=draining");
         let leave = async {
             if let Some(claims) = &node.inputs.claims {
-                let wait_ms = LONGEST_LEAVE_MS.min(node.settings.drain_timeout_ms);
+                let wait_ms = MAX_LEAVE_MS.min(node.settings.drain_timeout_ms);
                 claims.leave(wait_ms).await;
             }
         };
@@ -57,10 +57,10 @@
         if node.calls_in_flight() > 0 {
             last_busy = now;
         }
-        let is_quiet = now - last_busy >= QUIET && now - started >= LEAST;
+        let is_quiet = now - last_busy >= QUIET_PERIOD && now - started >= MIN_DRAIN;
         if is_quiet || now >= latest {
             return;
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
--- a/src/node/poison_guard.rs
+++ b/src/node/poison_guard.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use crate::control::Suspects as SuspectsNews;
+use crate::control::Suspects as SuspectsReport;
 use crate::core::TargetState;
 use crate::core::TimeMs;
 use crate::node::LocalBackend;
@@ -23,9 +23,9 @@
 use crate::poison::Verdict;
 
 /// How long the backend server is given to take a connection and keep it.
-const PROBE: Duration = Duration::from_millis(40);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(40);
 /// How long the other targets are given to take in a report, before the caller is answered.
-const REPORT: Duration = Duration::from_millis(300);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// The crash that was noticed last.
 struct LastCrash {
@@ -52,8 +52,8 @@
     }
 
     /// Takes in the report of another target.
-    pub fn merge(&self, now: TimeMs, news: &SuspectsNews) {
-        self.lock().merge(now, &news.report);
+    pub fn merge(&self, now: TimeMs, message: &SuspectsReport) {
+        self.lock().merge(now, &message.report);
     }
 
     pub(super) fn verdict(&self, now: TimeMs, live: &LiveCall, non_idempotent: bool) -> Verdict {
@@ -61,7 +61,7 @@
         suspects.verdict(now, live.request, live.fingerprint, non_idempotent)
     }
 
-    pub(super) fn note_success(&self, live: &LiveCall) {
+    pub(super) fn record_success(&self, live: &LiveCall) {
         let mut suspects = self.lock();
         if !suspects.is_empty() && suspects.record_completion(live.fingerprint) {
             log::info!("poison: cleared, fingerprint={:016x}", live.fingerprint);
@@ -81,7 +81,7 @@
 
 /// Called while a call that broke still counts as running. If the backend server crashed, all
 /// targets of the service know what was running when this returns, or were given the time to.
-pub(super) async fn backend_broke(
+pub(super) async fn handle_broken_call(
     node: &Node,
     address: SocketAddr,
     live: &LiveCall,
@@ -107,7 +107,7 @@
         _ => last.insert(new_crash(node, this)).id,
     };
     // Nothing more is sent there until it announces itself again.
-    node.inputs.local.send_if_modified(LocalBackend::went_down);
+    node.inputs.local.send_if_modified(LocalBackend::mark_down);
     let running = last.as_ref().map_or(&[][..], |crash| &crash.running);
     log::warn!(
         "poison: the backend server crashed, running={}",
@@ -115,7 +115,7 @@
     );
     let now = node.inputs.clock.now();
     let report = poison.lock().record_crash(now, id, running);
-    tell_targets(node, report).await;
+    notify_targets(node, report).await;
 }
 
 fn is_down(node: &Node) -> bool {
@@ -137,27 +137,30 @@
 /// Whether the backend server takes a connection and keeps it. One that crashed refuses it; a
 /// relay in between takes it and closes it at once.
 async fn is_alive(address: SocketAddr) -> bool {
-    let Ok(Ok(mut stream)) = timeout(PROBE, TcpStream::connect(address)).await else {
+    let Ok(Ok(mut stream)) = timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await else {
         return false;
     };
     let mut byte = [0];
     // Nothing was asked, so a live server stays silent.
-    timeout(PROBE, stream.read(&mut byte)).await.is_err()
+    timeout(PROBE_TIMEOUT, stream.read(&mut byte))
+        .await
+        .is_err()
 }
 
-async fn tell_targets(node: &Node, report: crate::poison::CrashReport) {
+async fn notify_targets(node: &Node, report: crate::poison::CrashReport) {
     let Some(announced) = node.inputs.local.borrow().announced.clone() else {
         return;
     };
     let view = node.inputs.view.load_full();
-    let news = SuspectsNews {
+    let message = SuspectsReport {
         service: announced.service.clone(),
         report,
     };
     let targets = view.targets(&announced.service).iter();
     let others = targets.filter(|target| target.node != node.settings.node);
-    let told = others.map(|target| (node.inputs.report_suspects)(target.control_address, &news));
-    if timeout(REPORT, join_all(told)).await.is_err() {
+    let reports =
+        others.map(|target| (node.inputs.report_suspects)(target.control_address, &message));
+    if timeout(REPORT_TIMEOUT, join_all(reports)).await.is_err() {
         log::warn!("poison: not all targets took in the report in time");
     }
 }
--- a/src/node/take_call.rs
+++ b/src/node/take_call.rs
@@ -16,10 +16,10 @@
 use crate::node::body::NodeBody;
 use crate::node::body::read_body;
 use crate::node::call::Call;
+use crate::node::call_context::call_context;
+use crate::node::call_context::deadline;
 use crate::node::caller_headers;
 use crate::node::entry::Origin;
-use crate::node::heritage::deadline;
-use crate::node::heritage::heritage;
 use crate::preset::CallPolicy;
 use crate::preset::InForce;
 use crate::wire::headers;
@@ -44,23 +44,26 @@
     let deadline_ms = announced_deadline_ms(&parts.headers)?;
     let key = key_of(&parts.headers)?;
     let now = node.inputs.clock.now();
-    let heritage = heritage(&in_force, policy, &service, key.as_ref(), origin, now);
-    let deadline = deadline(deadline_ms, policy, heritage.deadline, now);
+    let call_context = call_context(&in_force, policy, &service, key.as_ref(), origin, now);
+    let deadline = deadline(deadline_ms, policy, call_context.deadline, now);
     if deadline <= now {
         return Err(not_run(RefusalReason::DeadlineExceeded));
     }
     let route = Name::from(route_of(split_path(parts.uri.path()).1));
-    if heritage.depth == 0
+    if call_context.depth == 0
         && node.settings.control_enabled
         && !node
             .levels
-            .may_pass(now, &service, &route, heritage.priority)
+            .may_pass(now, &service, &route, call_context.priority)
     {
         return Err(not_run(RefusalReason::ShedAtEntry));
     }
-    let first_sending = key
-        .as_ref()
-        .is_some_and(|key| heritage.is_child && heritage.holder.is_first_sending(&service, key));
+    let first_sending = key.as_ref().is_some_and(|key| {
+        call_context.is_child
+            && call_context
+                .allotment_holder
+                .is_first_sending(&service, key)
+    });
     let path_and_query = path_and_query.to_owned();
     caller_headers::strip(&mut parts.headers);
     let body = held_or_streamed(node, body, deadline.since(now)).await?;
@@ -72,9 +75,9 @@
         headers: parts.headers,
         body_is_held: body.held().is_some(),
         body,
-        request: heritage.holder.request,
-        priority: heritage.priority,
-        depth: heritage.depth,
+        request: call_context.allotment_holder.request,
+        priority: call_context.priority,
+        depth: call_context.depth,
         deadline,
         wait_ms: policy.wait_ms,
         non_idempotent: policy.non_idempotent,
@@ -83,7 +86,7 @@
         first_sending,
         arrived_at: now,
         config_version: in_force.version,
-        holder: heritage.holder,
+        allotment_holder: call_context.allotment_holder,
     })
 }
 
--- a/src/node/targets.rs
+++ b/src/node/targets.rs
@@ -31,12 +31,12 @@
 const BUDGET_BURST: u32 = 20;
 
 /// Routes whose usual time is remembered; beyond it all are learnt anew.
-const MOST_ROUTES: usize = 4_096;
+const MAX_ROUTES: usize = 4_096;
 /// One part in this of each new run's time goes into the usual one of its route.
-const USUAL_SHARE: u64 = 32;
+const SMOOTHING_DIVISOR: u64 = 32;
 
 #[derive(Default)]
-struct Known {
+struct TargetsState {
     stats: FastMap<Name, TargetStats>,
     budgets: FastMap<Name, RetryBudget>,
     reach: DomainReachability,
@@ -48,10 +48,10 @@
 
 /// Shared by all calls. Bounded by the view: what is not in it any more is evicted.
 pub(crate) struct Targets {
-    known: Mutex<Known>,
+    state: Mutex<TargetsState>,
     conf: PickerConf,
     /// Changes whenever a failure domain has turned out to be out of reach.
-    closings: watch::Sender<()>,
+    unreachable_changes: watch::Sender<()>,
 }
 
 impl Targets {
@@ -62,9 +62,9 @@
     /// Targets that are chosen in this way.
     pub(crate) fn with_conf(conf: PickerConf) -> Self {
         Self {
-            known: Mutex::default(),
+            state: Mutex::default(),
             conf,
-            closings: watch::Sender::new(()),
+            unreachable_changes: watch::Sender::new(()),
         }
     }
 
@@ -78,13 +78,13 @@
         is_large: bool,
         now: TimeMs,
     ) -> Pick {
-        let mut known = self.lock();
-        known.evict_gone(view);
-        let mut avoided = known.reach.avoided(now);
+        let mut state = self.lock();
+        state.evict_gone(view);
+        let mut avoided = state.reach.avoided(now);
         avoided.extend_from_slice(&view.cut_off_domains);
         let choice = PickContext {
             targets: view.targets(service),
-            stats: &known.stats,
+            stats: &state.stats,
             own_domain,
             cut_off_domains: &avoided,
             tried,
@@ -92,16 +92,16 @@
         };
         let picked = pick(&choice, &self.conf, now, |n| fastrand::usize(..n));
         if let Pick::Take(target) = &picked {
-            known.stats_of(&target.node, now).in_flight += 1;
-            known.note_sent(target, own_domain, now);
+            state.stats_of(&target.node, now).in_flight += 1;
+            state.record_sent(target, own_domain, now);
         }
         picked
     }
 
     /// Waits until the failure domain turns out to be out of reach.
     pub(crate) async fn wait_until_unreachable(&self, domain: &Name) {
-        let mut closings = self.closings.subscribe();
-        while closings.changed().await.is_ok() {
+        let mut unreachable_changes = self.unreachable_changes.subscribe();
+        while unreachable_changes.changed().await.is_ok() {
             if self.lock().reach.is_unreachable(domain) {
                 return;
             }
@@ -115,73 +115,73 @@
     }
 
     /// Takes in how hard calls press on one target of a service, and answers how hard they press on
-    /// the service, by all targets heard of lately; see [`TargetPressure::of_service`]. Where the target
-    /// `is_limited` by a rate, the largest that was not heard of counts as having room.
+    /// the service, by all targets reported_pressures of lately; see [`TargetPressure::of_service`]. Where the target
+    /// `is_limited` by a rate, the largest that was not reported_pressures of counts as having room.
     pub(crate) fn record_pressure(
         &self,
         view: &View,
         service: &str,
         node: &Name,
-        told: TargetPressure,
+        reported: TargetPressure,
         is_limited: bool,
         now: TimeMs,
     ) -> u32 {
-        let mut known = self.lock();
-        known.stats_of(node, now).note_pressure(told, now);
+        let mut state = self.lock();
+        state.stats_of(node, now).note_pressure(reported, now);
         let pressure_of = |target: &Arc<Target>| {
-            let stats = known.stats.get(&target.node)?;
+            let stats = state.stats.get(&target.node)?;
             stats.pressure(now)
         };
         let targets = view.targets(service);
-        let heard = targets.iter().filter_map(pressure_of);
+        let reported_pressures = targets.iter().filter_map(pressure_of);
         if !is_limited {
-            return TargetPressure::of_service(heard).unwrap_or(told.permille);
+            return TargetPressure::of_service(reported_pressures).unwrap_or(reported.permille);
         }
-        let unheard = targets
+        let unreported = targets
             .iter()
             .filter(|target| target.state.takes_work() && pressure_of(target).is_none());
-        let largest = unheard.map(|target| target.slots).max();
+        let largest = unreported.map(|target| target.slots).max();
         let with_room = largest.map(TargetPressure::assumed_idle);
-        TargetPressure::of_service(heard.chain(with_room)).unwrap_or(told.permille)
+        TargetPressure::of_service(reported_pressures.chain(with_room)).unwrap_or(reported.permille)
     }
 
-    /// How long answers of a target take; 0 while nothing is known.
+    /// How long answers of a target take; 0 while nothing is state.
     pub(crate) fn usual_latency_ms(&self, node: &Name) -> u64 {
-        let known = self.lock();
-        known.stats.get(node).map_or(0, TargetStats::latency_ms)
+        let state = self.lock();
+        state.stats.get(node).map_or(0, TargetStats::latency_ms)
     }
 
-    /// Whether a target that was not tried has room, as far as is known. One that this node has sent
+    /// Whether a target that was not tried has room, as far as is state. One that this node has sent
     /// nothing yet counts as having room: calls stay in their failure domain, so targets of others are
     /// strangers until they are needed.
     pub(crate) fn has_room(&self, view: &View, service: &str, tried: &[Name], now: TimeMs) -> bool {
-        let known = self.lock();
+        let state = self.lock();
         view.targets(service)
             .iter()
             .filter(|target| target.state.takes_work() && !tried.contains(&target.node))
             .any(|target| {
-                let stats = known.stats.get(&target.node);
+                let stats = state.stats.get(&target.node);
                 stats.is_none_or(|stats| stats.load_permille(target.slots, now) < 1_000)
             })
     }
 
     /// Takes in the end of an attempt. `ran` is the route of a call that ran well.
     pub(crate) fn ended(&self, node: &Name, end: AttemptOutcome, ran: Option<&Name>, now: TimeMs) {
-        let mut known = self.lock();
-        let known = &mut *known;
+        let mut state = self.lock();
+        let state = &mut *state;
         if let Some(route) = ran {
-            known.note_run(node, route, end.took_ms);
+            state.record_run(node, route, end.took_ms);
         }
-        let Some(stats) = known.stats.get_mut(node) else {
+        let Some(stats) = state.stats.get_mut(node) else {
             return;
         };
         stats.in_flight = stats.in_flight.saturating_sub(1);
         if let Some(domain) = &stats.remote_domain {
             if end.report.is_some() {
-                known.reach.note_answer(domain);
+                state.reach.note_answer(domain);
             }
-            if end.is_lost && known.reach.note_lost(now, domain, node) {
-                self.closings.send_replace(());
+            if end.is_lost && state.reach.note_lost(now, domain, node) {
+                self.unreachable_changes.send_replace(());
             }
         }
         if let Some(report) = end.report {
@@ -208,12 +208,12 @@
         self.lock().budget_of(service).try_retry()
     }
 
-    fn lock(&self) -> MutexGuard<'_, Known> {
-        self.known.lock().expect("no holder panics")
+    fn lock(&self) -> MutexGuard<'_, TargetsState> {
+        self.state.lock().expect("no holder panics")
     }
 }
 
-impl Known {
+impl TargetsState {
     fn stats_of(&mut self, node: &Name, now: TimeMs) -> &mut TargetStats {
         self.stats
             .entry(node.clone())
@@ -221,19 +221,19 @@
     }
 
     /// A call of a route ran well at a target.
-    fn note_run(&mut self, node: &Name, route: &Name, took_ms: u64) {
+    fn record_run(&mut self, node: &Name, route: &Name, took_ms: u64) {
         let took_us = took_ms.max(1) * 1_000;
-        if self.usual_us.len() >= MOST_ROUTES {
+        if self.usual_us.len() >= MAX_ROUTES {
             self.usual_us.clear();
         }
         let usual_us = self.usual_us.entry(route.clone()).or_default();
-        *usual_us = smoothed(*usual_us, took_us, USUAL_SHARE);
+        *usual_us = smoothed(*usual_us, took_us, SMOOTHING_DIVISOR);
         if let Some(stats) = self.stats.get_mut(node) {
             stats.note_run(took_us, *usual_us);
         }
     }
 
-    fn note_sent(&mut self, target: &Target, own_domain: &str, now: TimeMs) {
+    fn record_sent(&mut self, target: &Target, own_domain: &str, now: TimeMs) {
         if &*target.domain == own_domain {
             return;
         }
@@ -279,7 +279,7 @@
     node: Arc<Node>,
     target: Name,
     since: TimeMs,
-    news: AttemptOutcome,
+    outcome: AttemptOutcome,
 }
 
 impl InFlightAt {
@@ -289,22 +289,22 @@
             since: node.inputs.clock.now(),
             node,
             target,
-            news: AttemptOutcome::default(),
+            outcome: AttemptOutcome::default(),
         }
     }
 
     pub(crate) fn reported(&mut self, header: &AnswerHeader) {
         let reason = header.refusal.map(|refusal| refusal.reason);
-        self.news.report = Some(header.load);
-        self.news.took_ms = self.node.inputs.clock.now().since(self.since);
-        self.news.is_closed = matches!(
+        self.outcome.report = Some(header.load);
+        self.outcome.took_ms = self.node.inputs.clock.now().since(self.since);
+        self.outcome.is_closed = matches!(
             reason,
             Some(RefusalReason::Draining | RefusalReason::BackendDown | RefusalReason::NoTarget)
         );
     }
 
     pub(crate) fn lost(&mut self) {
-        self.news.is_lost = true;
+        self.outcome.is_lost = true;
     }
 }
 
@@ -312,6 +312,8 @@
     fn drop(&mut self) {
         self.node.metrics.entry_in_flight.dec();
         let now = self.node.inputs.clock.now();
-        self.node.targets.ended(&self.target, self.news, None, now);
+        self.node
+            .targets
+            .ended(&self.target, self.outcome, None, now);
     }
 }
--- a/tests/admission_chain.rs
+++ b/tests/admission_chain.rs
@@ -154,7 +154,11 @@
                     control,
                     ..Scenario::default()
                 };
-                print_row(&format!("{control:?}"), &scenario, &fake_chain::run(&scenario));
+                print_row(
+                    &format!("{control:?}"),
+                    &scenario,
+                    &fake_chain::run(&scenario),
+                );
             }
         }
     }
@@ -163,7 +167,11 @@
             order,
             ..Scenario::default()
         };
-        print_row(&format!("{order:?}"), &scenario, &fake_chain::run(&scenario));
+        print_row(
+            &format!("{order:?}"),
+            &scenario,
+            &fake_chain::run(&scenario),
+        );
     }
 }
 
--- a/tests/fake_chain/chain.rs
+++ b/tests/fake_chain/chain.rs
@@ -132,7 +132,11 @@
     fn new(scenario: &'a Scenario) -> Self {
         let node = |service: usize, target: usize| {
             let deep = service + 1 == scenario.depth;
-            let slots = if deep { scenario.deep_slots } else { scenario.slots };
+            let slots = if deep {
+                scenario.deep_slots
+            } else {
+                scenario.slots
+            };
             let seed = (service * 100 + target) as u64;
             let mut guard = Admission::new(AdmissionConf::default(), seed);
             guard.set_classes(4);
@@ -264,7 +268,8 @@
             };
             calls * 1_000 / limit.max(1)
         };
-        let absent = self.now_us / 1_000 < self.scenario.joins_ms && service + 1 == self.scenario.depth;
+        let absent =
+            self.now_us / 1_000 < self.scenario.joins_ms && service + 1 == self.scenario.depth;
         if absent {
             return self.rng.usize(1..self.scenario.targets);
         }
