--- a/src/node/attempts.rs
+++ b/src/node/attempts.rs
@@ -1,9 +1,9 @@
-//! What became of attempts, for senders whose connection went silent.
+//! Outcomes of recent attempts, for senders whose connection is half-open.
 //!
-//! Guards against a connection that something between the two ends has lost track of: the sender
-//! hears nothing for good, though the call runs or ran. It asks here over another connection. It
-//! holds because an attempt that was not seen is revoked by the question, so what the sender then
-//! sends again cannot run beside a late arrival of the first.
+//! Without this, a sender whose connection was dropped by a middlebox waits for an answer that
+//! never comes, although the call runs or ran. The sender therefore queries the outcome over
+//! another connection. A query for an unseen attempt revokes it, so the sender's next attempt
+//! cannot run together with a late arrival of the first.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -22,16 +22,17 @@
 
 /// How long an ended attempt is remembered, in milliseconds.
 const KEEP_ENDED_MS: u64 = 10_000;
-/// How long a revoked attempt is refused: as long as a connection may deliver what it held back.
+/// How long a revoked attempt is refused, in milliseconds. It covers the time in which a connection
+/// may still deliver delayed bytes.
 const KEEP_REVOKED_MS: u64 = 600_000;
-/// Attempts remembered; the oldest ended or revoked ones go first.
+/// The maximum number of attempts remembered. The oldest ended or revoked ones are evicted first.
 const MAX_ATTEMPTS: usize = 50_000;
 /// The largest answer that is kept, in bytes.
 const MAX_KEPT_ANSWER_BYTES: usize = 32 * 1024;
-/// All kept answers together, in bytes.
+/// The maximum size of all kept answers together, in bytes.
 const MAX_KEPT_BYTES: usize = 8 * 1024 * 1024;
 
-/// An answer as it went out. Turned into a [`KeptAnswer`] only when it is asked for.
+/// An answer as it was sent. It is converted to a [`KeptAnswer`] only when it is queried.
 #[derive(Clone, Debug)]
 pub struct EndedAnswer {
     pub status: StatusCode,
@@ -40,7 +41,7 @@
 }
 
 impl EndedAnswer {
-    /// The answer as it travels in a control call.
+    /// Converts the answer to the form used in control calls.
     pub fn kept(&self) -> KeptAnswer {
         kept_parts(self.status, &self.headers, &self.body)
     }
@@ -56,11 +57,12 @@
 #[derive(Debug, Default)]
 struct State {
     entries: FastMap<AttemptId, Entry>,
-    /// Ended attempts in the order of their end.
+    /// Ended attempts, ordered by their end.
     ended: VecDeque<(TimeMs, AttemptId)>,
-    /// Revoked attempts in the order of their revocation.
+    /// Revoked attempts, ordered by their revocation.
     revoked: VecDeque<(TimeMs, AttemptId)>,
-    /// Every attempt that arrived after this is remembered. At first the start of the process.
+    /// Every attempt that arrived after this time is remembered. Initially the start of the
+    /// process.
     complete_since: TimeMs,
     kept_bytes: usize,
 }
@@ -69,20 +71,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Arrival {
     Fresh,
-    /// Its sender has been told that it was never seen.
+    /// The sender was told that the attempt was never seen.
     Revoked,
-    /// It came before.
+    /// The attempt arrived before.
     Repeated,
 }
 
-/// The attempts that this guard saw lately. Bounded in number, bytes and time.
+/// The recent attempts at this guard. Bounded in number, bytes and time.
 #[derive(Debug, Default)]
 pub struct Attempts {
     state: Mutex<State>,
 }
 
 impl Attempts {
-    /// Notes an arrival.
+    /// Records the arrival of an attempt.
     pub fn arrive(&self, now: TimeMs, attempt: AttemptId) -> Arrival {
         let mut state = self.lock();
         state.sweep(now);
@@ -96,7 +98,8 @@
         }
     }
 
-    /// Notes the end of an attempt, with its answer if that is held whole. The first word counts.
+    /// Records the end of an attempt, with its answer if all of it is in memory. Only the first
+    /// call for an attempt has an effect.
     pub fn end(&self, now: TimeMs, attempt: AttemptId, answer: Option<EndedAnswer>) {
         let mut state = self.lock();
         if !matches!(state.entries.get(&attempt), Some(Entry::Running)) {
@@ -110,7 +113,7 @@
         state.ended.push_back((now, attempt));
     }
 
-    /// What became of an attempt. One that was never seen is revoked.
+    /// The status of an attempt. An attempt that was never seen is revoked.
     pub fn status(&self, now: TimeMs, attempt: AttemptId) -> AttemptStatus {
         let mut state = self.lock();
         state.sweep(now);
@@ -127,12 +130,12 @@
         }
     }
 
-    /// How many attempts are remembered.
+    /// The number of attempts remembered.
     pub fn len(&self) -> usize {
         self.lock().entries.len()
     }
 
-    /// Whether none is remembered.
+    /// Whether no attempt is remembered.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -157,9 +160,9 @@
         }
     }
 
-    /// Guards against a guard that was started anew, or has forgotten the attempt: it would say that
-    /// the attempt was never seen, and the call would run a second time. It holds because the sender
-    /// believes this only of attempts younger than the memory.
+    /// Reports for how long the record is complete. A guard that was restarted or has forgotten the
+    /// attempt would otherwise report it as never seen, and the call would run a second time. The
+    /// sender trusts the report only for attempts that are younger than the record.
     fn never_seen(&self, now: TimeMs) -> AttemptStatus {
         AttemptStatus::NeverSeen {
             complete_for_ms: now.since(self.complete_since),
--- a/src/node/backend_call.rs
+++ b/src/node/backend_call.rs
@@ -36,14 +36,15 @@
 use crate::node::watched_body::watched;
 use crate::wire::headers;
 
-/// How long a non-idempotent call may run on after its deadline, in milliseconds. Its end is
-/// still of use: the backend server's slot is known to be taken, and the ledger learns the outcome.
+/// How long a non-idempotent call may run after its deadline, in milliseconds. Its end still
+/// matters: the slot of the backend server is known to be taken until then, and the ledger records
+/// the outcome.
 const MAX_OVERRUN_MS: u64 = 60_000;
-/// When to come back after the backend server failed, in milliseconds.
+/// The minimum retry delay after the backend server failed, in milliseconds.
 const FAILED_RETRY_AFTER_MS: u64 = 500;
 
-/// Runs a call until its deadline. A non-idempotent one runs on for a while: it is not broken off
-/// once it may have started.
+/// Runs a call until its deadline. A non-idempotent call may overrun it, since it must not be
+/// cancelled once it may have started.
 pub(super) async fn run(
     node: &Arc<Node>,
     mut call: GuardedCall,
@@ -74,9 +75,9 @@
     }
 }
 
-/// Guards against a backend server that says it shed a call which it had begun: the call would run
-/// a second time elsewhere. It shows in the calls that it made on its behalf, all of which pass
-/// this node, so what was seen here goes before what the backend server says.
+/// Checks whether the backend server may have run a call that it claims to have shed. If it had
+/// already started the call, another attempt elsewhere would run it a second time. All child calls
+/// pass this node, so a recorded child call overrides the claim.
 fn check_shed_claim(refusal: Refusal, live: &LiveCall) -> Refusal {
     if refusal.reason == RefusalReason::BackendShed && live.has_made_calls() {
         return unknown(RefusalReason::BackendShed);
@@ -102,7 +103,7 @@
     take_answer(node, &method, response).await
 }
 
-/// A call that runs: entered among the live ones, and counted in flight, until it ends.
+/// A running call. It is registered as live and counted as in flight until this is dropped.
 struct RunningCall {
     node: Arc<Node>,
     live: Arc<LiveCall>,
@@ -227,8 +228,8 @@
         && caller_headers::text(map, headers::SHED) == Some("1")
 }
 
-/// Whether the end of the answer can be told from a connection that broke. Guards against an
-/// answer that ends with its connection (no length, no chunks): cut short, it looks whole.
+/// Whether the end of the answer can be told from a broken connection. An answer that is delimited
+/// only by the close of its connection (no length, no chunks) looks complete when it is truncated.
 fn has_delimited_body(method: &Method, status: StatusCode, map: &HeaderMap) -> bool {
     let is_empty = *method == Method::HEAD
         || status == StatusCode::NO_CONTENT
@@ -236,7 +237,7 @@
     is_empty || map.contains_key(CONTENT_LENGTH) || map.contains_key(TRANSFER_ENCODING)
 }
 
-/// Keeps a streamed answer counted as running until its end.
+/// Counts a streamed answer as running until its end.
 fn track_body(mut answer: Answer, mut running: RunningCall) -> Answer {
     match answer.body {
         NodeBody::Held(_) => running.succeeded(),
--- a/src/node/call_context.rs
+++ b/src/node/call_context.rs
@@ -1,4 +1,4 @@
-//! What a call has from the call on whose behalf it is made, or as a new root.
+//! The context of a call: inherited from its parent call, or new for a root.
 
 use std::sync::Arc;
 
@@ -11,18 +11,18 @@
 use crate::preset::CallPolicy;
 use crate::preset::InForce;
 
-/// What a call has from the call on whose behalf it is made, or as a new root.
+/// The context of a call: inherited from its parent call, or new for a root.
 pub(super) struct CallContext {
     pub(super) allotment_holder: Arc<LiveCall>,
     /// Whether the allotment_holder is a call that runs at the local backend server.
     pub(super) is_child: bool,
     pub(super) priority: Priority,
     pub(super) depth: u8,
-    /// The deadline of the call above; a root has none but its own.
+    /// The parent's deadline. A root has none to inherit.
     pub(super) deadline: Option<TimeMs>,
 }
 
-/// Works out what a call inherits. A call of the backend server that names no live call is a root
+/// Builds the context of a call. A call of the backend server that names no live call is a root
 /// without retries.
 pub(super) fn call_context(
     in_force: &InForce,
@@ -40,8 +40,8 @@
     }
 }
 
-/// One priority for the whole chain. A child whose own class is more important keeps that: a
-/// charge made on behalf of unimportant work is still a charge.
+/// The whole chain has one priority, except that a child whose own class is more important keeps
+/// that class: a charge made on behalf of low-priority work is still a charge.
 fn child(policy: CallPolicy, parent: Arc<LiveCall>) -> CallContext {
     let class = policy.class.min(parent.priority.class());
     CallContext {
@@ -74,7 +74,7 @@
     }
 }
 
-/// The earliest of what the caller, the preset and the call above allow.
+/// The earliest of the deadlines set by the caller, the preset and the parent call.
 pub(super) fn deadline(
     announced_ms: Option<u32>,
     policy: CallPolicy,
--- a/src/node/child_clock.rs
+++ b/src/node/child_clock.rs
@@ -1,7 +1,7 @@
-//! How long a call waited for calls made on its behalf.
+//! Measures how long a call waited for its child calls.
 
-/// Time in which at least one child call was outstanding. It says nothing of the local backend
-/// server, so admission leaves it out of its service time.
+/// Time in which at least one child call was outstanding. It does not reflect the speed of the
+/// local backend server, so admission excludes it from the service time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct ChildClock {
     outstanding: u32,
@@ -26,12 +26,12 @@
         }
     }
 
-    /// Whether any child call went out.
+    /// Whether any child call was made.
     pub(super) fn has_begun(&self) -> bool {
         self.has_begun
     }
 
-    /// The sum so far, with what is outstanding at `now_us`.
+    /// The total so far, including child calls outstanding at `now_us`.
     pub(super) fn total_us(&self, now_us: u64) -> u64 {
         let open_us = if self.outstanding > 0 {
             now_us.saturating_sub(self.since_us)
--- a/src/node/entry.rs
+++ b/src/node/entry.rs
@@ -1,4 +1,4 @@
-//! The entry: calls of callers and of the local backend server.
+//! The entry accepts calls of callers and of the local backend server.
 
 use std::sync::Arc;
 
@@ -22,13 +22,14 @@
 
 /// Where a call comes from.
 pub(super) enum Origin {
-    /// A caller: nothing it says of the product's own matters is believed.
+    /// A caller. Internal headers that it sets are not trusted.
     Caller,
-    /// The local backend server, on behalf of a live call or, without one, as a new root.
+    /// The local backend server. The call is made on behalf of a live call or, without one, is a
+    /// new root.
     Backend(Option<Arc<LiveCall>>),
 }
 
-/// Serves one call from its arrival to the head of its answer.
+/// Serves one call until the head of its answer is ready.
 pub(super) async fn serve_call(
     node: &Arc<Node>,
     request: Request<Body>,
@@ -47,8 +48,8 @@
     response
 }
 
-/// Whether the call has a key under which it may have run before: then a refusal of this entry
-/// alone must not say that it was not run.
+/// Whether the call has a key under which it may have run before. If so, a refusal that only this
+/// entry decided must not say `not_run`.
 fn may_be_keyed(node: &Node, request: &Request<Body>) -> bool {
     if !request.headers().contains_key(headers::IDEMPOTENCY_KEY) {
         return false;
@@ -71,7 +72,7 @@
     }
 }
 
-/// Marks a child call as outstanding in the call on whose behalf it is made, until it is dropped.
+/// Counts a child call as outstanding in its parent call until this is dropped.
 struct ChildSpan {
     node: Arc<Node>,
     allotment_holder: Arc<LiveCall>,
--- a/src/node/forward.rs
+++ b/src/node/forward.rs
@@ -1,4 +1,4 @@
-//! Forwarding a call: choose a target, send, and perhaps try once more.
+//! Forwards a call: selects a target, sends the call, and retries if allowed.
 
 use std::sync::Arc;
 
@@ -21,12 +21,12 @@
 use crate::retry::retry_reason;
 use crate::routing::Pick;
 
-/// When to come back when no target takes work, in milliseconds.
+/// The minimum retry delay when no target accepts work, in milliseconds.
 const NO_TARGET_RETRY_AFTER_MS: u64 = 500;
-/// Forwards a call until it is answered or given up.
+/// Forwards a call until it is answered or no further attempt is allowed.
 ///
 /// # Errors
-/// The refusal to give to the caller.
+/// The refusal to return to the caller.
 pub(super) async fn forward(node: &Arc<Node>, call: &mut Call) -> Result<Answer, Refusal> {
     if !node.settings.control_enabled {
         return baseline::forward(node, call).await;
@@ -44,7 +44,8 @@
             return Err(last.unwrap_or_else(no_target));
         };
         attempts += 1;
-        // The siblings of a child may give back what they did not use, so that it may make more.
+        // Siblings of a child call may return what they did not use of the allotment, so a child
+        // can make more attempts than its initial share allows.
         let is_within_allotment = attempts <= max_attempts || call.depth > 0;
         check(
             &node.metrics,
@@ -55,7 +56,7 @@
             AttemptEnd::Answered(answer, _) => return Ok(answer),
             AttemptEnd::Refused(refusal, _) => refusal,
         };
-        // A revoked attempt was lost with its connection; the target is as good as before.
+        // A revoked attempt was lost with its connection, so the target itself is not excluded.
         if refusal.reason != RefusalReason::Revoked {
             tried.push(target.node.clone());
         }
@@ -73,7 +74,7 @@
     }
 }
 
-/// The least loaded target of those that were not tried.
+/// Selects the least loaded target among those that were not tried.
 pub(super) fn choose(node: &Node, call: &Call, tried: &[Name]) -> Option<Arc<Target>> {
     let view = node.inputs.view.load();
     let now = node.inputs.clock.now();
@@ -87,7 +88,7 @@
     }
 }
 
-/// One attempt with a share of the allotment; what the share's holders left over comes back.
+/// Makes one attempt with a share of the allotment. The unused part of the share is returned.
 pub(super) async fn attempt(node: &Arc<Node>, call: &mut Call, target: &Target) -> AttemptEnd {
     let share = call.allotment_holder.hand_out();
     let end = call_peer(node, call, target, share).await;
@@ -107,7 +108,7 @@
     end
 }
 
-/// Decides on a further attempt and pays for it out of the allotment and the service's budget.
+/// Decides whether to retry, and charges the retry to the allotment and to the service's budget.
 fn next_attempt(node: &Node, call: &Call, refusal: Refusal, tried: &[Name]) -> Option<RetryReason> {
     let now = node.inputs.clock.now();
     let view = node.inputs.view.load();
--- a/src/node/guard.rs
+++ b/src/node/guard.rs
@@ -1,4 +1,4 @@
-//! The guard: the only way to the local backend server.
+//! The guard. All calls to the local backend server go through it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -34,7 +34,7 @@
 use crate::node::take_call::split_path;
 use crate::wire::CallHeader;
 
-/// When to come back after a refusal that says nothing about load, in milliseconds.
+/// The minimum retry delay after a refusal that is unrelated to load, in milliseconds.
 const LATER_MS: u64 = 500;
 
 /// Serves one forwarded call.
@@ -74,8 +74,8 @@
     refuse(node, context, refusal)
 }
 
-/// Brings a call to its end and its answer into shape. When the future is dropped, because
-/// whoever sent the call went away, the call is cancelled at the backend server.
+/// Runs a call and builds the response. If the future is dropped because the sender disconnected,
+/// the call is cancelled at the backend server.
 async fn finish(
     node: Arc<Node>,
     call: GuardedCall,
@@ -96,8 +96,8 @@
     response
 }
 
-/// Does the same for a call that must not be broken off once it may have started. It goes on in a
-/// task of its own, whoever goes away; an answer is waited for until the deadline only.
+/// Like [`finish`], for a call that must not be cancelled once it may have started. The call runs
+/// in its own task even if the sender disconnects. The response is awaited until the deadline only.
 async fn finish_detached(
     node: &Arc<Node>,
     call: GuardedCall,
@@ -115,7 +115,7 @@
     refuse(node, &timeout_context, Refusal::unknown(reason, later_ms()))
 }
 
-/// An attempt that is in progress until it is dropped, however it ends.
+/// Counts an attempt as in progress until it is dropped, however the attempt ends.
 struct RunningAttempt {
     node: Arc<Node>,
     attempt: AttemptId,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Keeps the answer, if it is held whole, for a sender that asks.
+    /// Records the answer, if all of it is in memory, for a sender that queries the attempt.
     fn ended(self, response: &Response<Body>, held: Option<Bytes>) {
         let answer = held.map(|body| EndedAnswer {
             status: response.status(),
@@ -190,7 +190,7 @@
     })
 }
 
-/// A body that is streamed is not in the fingerprint; its length is.
+/// Hashes the content of a call. Of a streamed body only the length is hashed.
 fn fingerprint(path: &str, method: &Method, path_and_query: &str, body: &NodeBody) -> u64 {
     let (service, _) = split_path(path);
     let len = body.len().unwrap_or(0).to_le_bytes();
@@ -202,7 +202,7 @@
     matches!((announced, actual), (Some(announced), Some(actual)) if announced != actual)
 }
 
-/// What the backend server sees of the path, if the call is for its service.
+/// The path to send to the backend server, if the call is for its service.
 fn backend_path(node: &Node, path_and_query: &str) -> Result<String, Refusal> {
     let (service, rest) = split_path(path_and_query);
     let local = node.inputs.local.borrow();
--- a/src/node/guard_answer.rs
+++ b/src/node/guard_answer.rs
@@ -1,4 +1,4 @@
-//! What the guard sends back to the forwarding node.
+//! Responses of the guard to the forwarding node.
 
 use http::HeaderValue;
 use http::Response;
@@ -21,13 +21,13 @@
 use crate::wire::CallHeader;
 use crate::wire::headers;
 
-/// What an answer header has to say of its call.
+/// The values of a call that its answer header needs.
 #[derive(Clone, Debug)]
 pub(super) struct AnswerContext {
     pub(super) attempt: AttemptId,
     pub(super) route: Name,
     pub(super) allotment_unused: u16,
-    /// The key of a non-idempotent call, whose owner is named to the sender.
+    /// The key of a non-idempotent call. The sender is told the owner of its slot.
     pub(super) key: Option<Name>,
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// The answer of the backend server with the guard's news.
+/// Builds the response for an answer of the backend server, with the guard's answer header.
 pub(super) fn answer(node: &Node, context: &AnswerContext, mut answer: Answer) -> Response<Body> {
     let header = AnswerHeader {
         body_len: answer.body.len(),
@@ -55,7 +55,7 @@
     response
 }
 
-/// A refusal with the guard's news.
+/// Builds the response for a refusal, with the guard's answer header.
 pub(super) fn refuse(node: &Node, context: &AnswerContext, refusal: Refusal) -> Response<Body> {
     node.metrics.count_guard_refusal(refusal.reason);
     log::debug!(
@@ -77,8 +77,8 @@
     response
 }
 
-/// Refuses a call whose header cannot be read, in plain headers, which every version of the
-/// protocol understands: nothing was run.
+/// Refuses a call whose header cannot be decoded, without running it. The refusal is written in
+/// plain headers, which every version of the protocol understands.
 pub(super) fn refuse_unreadable(
     node: &Node,
     error: &WireError,
--- a/src/node/guard_run.rs
+++ b/src/node/guard_run.rs
@@ -1,4 +1,4 @@
-//! From the arrival of a checked call at the guard to its end: key, poison, admission, run.
+//! Runs a checked call at the guard: key lookup, poison check, admission and execution.
 
 use std::sync::Arc;
 
@@ -16,10 +16,10 @@
 use crate::node::keyed_guard::run_keyed;
 use crate::poison::Verdict;
 
-/// When to come back after a refusal that says nothing about load, in milliseconds.
+/// The minimum retry delay after a refusal that is unrelated to load, in milliseconds.
 const LATER_MS: u64 = 500;
 
-/// Runs a call, or finds out that it must not run.
+/// Runs a call unless it must be refused.
 ///
 /// # Errors
 /// The refusal to send back.
@@ -34,7 +34,7 @@
 /// Waits for admission and runs the call.
 ///
 /// # Errors
-/// The refusal; `not_run` only if the call was certainly not started.
+/// The refusal. It says `not_run` only if the call was certainly not started.
 pub(super) async fn admit_and_run(node: &Arc<Node>, call: GuardedCall) -> Result<Answer, Refusal> {
     check_accepting(node, &call)?;
     if call.deadline <= node.inputs.clock.now() {
@@ -54,14 +54,14 @@
     let permit = node.gate.admit(offered).await?;
     let waited_us = permit.since_us.saturating_sub(arrived_us);
     node.metrics.guard_wait.observe(waited_us as f64 / 1e6);
-    // Both may have changed while the call waited.
+    // Both may have changed while the call was queued.
     check_accepting(node, &call)?;
     check_poison(node, &call)?;
     backend_call::run(node, call, permit).await
 }
 
-/// Whether the call may start here. During a planned stop of the node, the owner of a key goes on
-/// until the slot is handed over: nobody else may run it.
+/// Checks whether the call may start here. During a planned stop of the node, the owner of a key
+/// accepts its calls until the slot is handed over, since no other node may run them.
 fn check_accepting(node: &Node, call: &GuardedCall) -> Result<(), Refusal> {
     let local = node.inputs.local.borrow();
     let state = match (&local.announced, key_of(&call.header)) {
@@ -77,8 +77,8 @@
     }
 }
 
-/// Refuses a call that a service behind this one would shed, before it takes a slot here. It passed
-/// its sender with an older level than the one known here.
+/// Refuses a call that a downstream service would shed, before it takes a slot here. Its sender let
+/// it pass because it knew an older level than this node.
 fn check_downstream_level(node: &Node, call: &GuardedCall) -> Result<(), Refusal> {
     let now = node.inputs.clock.now();
     let level = node
--- a/src/node/guarded_call.rs
+++ b/src/node/guarded_call.rs
@@ -1,4 +1,4 @@
-//! One call as the guard sees it.
+//! A call at the guard.
 
 use std::sync::Arc;
 
@@ -10,11 +10,11 @@
 use crate::node::live_calls::LiveCall;
 use crate::wire::CallHeader;
 
-/// A forwarded call, checked and ready to be queued.
+/// A forwarded call that was checked and can be queued.
 pub(super) struct GuardedCall {
     pub(super) header: CallHeader,
     pub(super) method: Method,
-    /// As the backend server sees it: without the service.
+    /// The path for the backend server, without the service.
     pub(super) path_and_query: String,
     pub(super) headers: HeaderMap,
     pub(super) body: NodeBody,
--- a/src/node/kept_answer.rs
+++ b/src/node/kept_answer.rs
@@ -1,4 +1,4 @@
-//! Answers as the ledger and other nodes keep them.
+//! Conversion of answers to the form kept by the ledger and sent to other nodes.
 
 use bytes::Bytes;
 use http::HeaderMap;
@@ -10,13 +10,13 @@
 use crate::node::answer::Answer;
 use crate::node::body::NodeBody;
 
-/// The answer to keep, unless it is too large to be held whole.
+/// The answer to keep, unless it is too large to be in memory.
 pub(super) fn kept(answer: &Answer) -> Option<KeptAnswer> {
     let body = answer.body.held()?;
     Some(kept_parts(answer.status, &answer.headers, body))
 }
 
-/// The same of an answer that is already apart.
+/// Like [`kept`], from the parts of an answer.
 pub(super) fn kept_parts(status: StatusCode, headers: &HeaderMap, body: &Bytes) -> KeptAnswer {
     let headers = headers.iter();
     KeptAnswer {
@@ -28,7 +28,7 @@
     }
 }
 
-/// The answer as it was, from what was kept.
+/// Restores the answer from its kept form.
 pub(super) fn answer_of(kept: &KeptAnswer) -> Answer {
     Answer {
         status: StatusCode::from_u16(kept.status).unwrap_or(StatusCode::OK),
@@ -37,7 +37,7 @@
     }
 }
 
-/// The headers as they were.
+/// Restores the headers from their kept form.
 pub(super) fn headers_of(kept: &KeptAnswer) -> HeaderMap {
     let parse = |(name, value): &(String, Vec<u8>)| {
         let name = HeaderName::from_bytes(name.as_bytes()).ok()?;
--- a/src/node/keyed_forward.rs
+++ b/src/node/keyed_forward.rs
@@ -1,4 +1,4 @@
-//! Forwarding a non-idempotent call with a key: always to the owner of the key's slot.
+//! Forwards a non-idempotent call with a key. It always goes to the owner of the key's slot.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,36 +25,38 @@
 use crate::routing::OwnerSearch;
 use crate::wire::OwnerHint;
 
-/// How often a call is redirected at most. A redirection never reaches a backend server, so it is
-/// no retry and takes nothing from the allotment.
+/// The maximum number of redirects of a call. A redirected attempt never reaches a backend server,
+/// so it is no retry and is not charged to the allotment.
 const MAX_REDIRECTS: u32 = 10;
-/// How often the owner is looked for before a body is sent that cannot be sent twice.
+/// The maximum number of probes for the owner, made before a body is sent that cannot be sent
+/// twice.
 const MAX_PROBES: u32 = 3;
-/// Redirections that are followed at once. After them two guards send the call back and forth: the
-/// former owner has read the row that names the next one, which has not read it yet. Followed at
-/// once all the same, the redirections would be used up within milliseconds and the call refused
-/// in the middle of a planned stop; with a wait the next owner reads the row meanwhile.
+/// The number of redirects that are followed without a delay. Beyond it, two guards usually
+/// redirect the call to each other: the former owner has read the row that names the next owner,
+/// and the next owner has not read it yet. Without a delay all redirects would be used up within
+/// milliseconds, and the call would be refused during a planned stop. The delay gives the next
+/// owner time to read the row.
 const IMMEDIATE_REDIRECTS: u32 = 2;
-/// The first wait before the owner is asked again while its slot changes hands, in milliseconds;
-/// it doubles up to the longest.
+/// The first delay before the owner is tried again while its slot changes hands, in milliseconds.
+/// It doubles with each redirect up to the maximum.
 const REDIRECT_WAIT_MS: u64 = 50;
 const MAX_REDIRECT_WAIT_MS: u64 = 400;
-/// When to come back when the owner is not found, in milliseconds.
+/// The minimum retry delay when the owner is not found, in milliseconds.
 const NO_OWNER_RETRY_AFTER_MS: u64 = 1_000;
 
-/// How far a keyed call has come at its entry.
+/// The forwarding state of a keyed call.
 #[derive(Default)]
 struct Progress {
     redirects: u32,
-    /// An attempt may still be under way, and what a guard says later does not cover it.
+    /// An attempt may still be in flight, and later answers of a guard do not cover it.
     may_be_in_flight: bool,
     search: OwnerSearch,
 }
 
-/// Forwards a keyed call until it is answered or given up.
+/// Forwards a keyed call until it is answered or no further attempt is allowed.
 ///
 /// # Errors
-/// The refusal to give to the caller. It says `not_run` only on the word of the owner's ledger.
+/// The refusal to return to the caller. It says `not_run` only if the owner's ledger said so.
 pub(super) async fn forward_keyed(
     node: &Arc<Node>,
     call: &mut Call,
@@ -108,7 +110,7 @@
     }
 }
 
-/// For how long after its arrival attempts of a call may be sent.
+/// For how long after its arrival attempts of a call may be sent, in milliseconds.
 fn attempt_window_ms(node: &Node) -> u64 {
     let in_force = node.inputs.in_force.load();
     let known = in_force.as_ref().as_ref();
@@ -116,15 +118,15 @@
     ResendLimits::new(window_ms).attempt_window_ms()
 }
 
-/// Where a call is sent again.
+/// Where to send a call again.
 enum Redirect {
-    /// The owner is known now, or gave out its stamp.
+    /// The owner is known, or returned its stamp.
     Known(RetryReason),
-    /// The target knows no owner at the moment: the slot changes hands.
+    /// The target knows no owner at present, since the slot changes hands.
     NoOwner,
 }
 
-/// What a guard's refusal says about where to send the call.
+/// Decides from a guard's refusal where to send the call again.
 fn redirect(
     node: &Node,
     call: &Call,
@@ -173,15 +175,16 @@
     }
 }
 
-/// Waits for a slot to change hands, for longer each time.
+/// Waits for a slot to change hands, with an exponential delay.
 async fn wait_for_owner(times_before: u32) {
     let wait_ms = REDIRECT_WAIT_MS << times_before.min(8);
     let wait_ms = wait_ms.min(MAX_REDIRECT_WAIT_MS);
     tokio::time::sleep(Duration::from_millis(wait_ms)).await;
 }
 
-/// After a lost attempt the call may be sent to the owner once more: the ledger lets it join or
-/// repeats the answer. An owner that cannot be reached at all has no substitute.
+/// Decides whether to retry after a lost attempt. The owner may get the call once more, since its
+/// ledger joins it to the running call or repeats the answer. If the owner is unreachable, only a
+/// target that names another owner helps.
 fn retry_after_loss(
     node: &Node,
     call: &mut Call,
@@ -194,7 +197,7 @@
     progress.may_be_in_flight |= refusal.run_state != RunState::NotRun;
     call.first_sending &= !progress.may_be_in_flight;
     let reason = match (refusal.reason, refusal.run_state) {
-        // Never seen and revoked: it is not under way, and the owner is as good as before.
+        // Never seen and revoked: the attempt is not in flight, and the owner is not excluded.
         (RefusalReason::Revoked, RunState::NotRun) => RetryReason::SilentConnection,
         (RefusalReason::PeerLost, RunState::NotRun) => {
             node.slot_router().forget(&call.service, key);
@@ -208,7 +211,7 @@
     paid.then_some(reason)
 }
 
-/// The owner as far as it is known, else any target, whose guard names the owner.
+/// Selects the owner if it is known, otherwise any target, whose guard returns the owner.
 fn owner_or_any(
     node: &Node,
     call: &mut Call,
@@ -232,7 +235,7 @@
             Some(target)
         }
         None => {
-            // Another guard knows of a take-over; if it names the same owner, that is the end.
+            // Another guard may know of a take-over. If it names the same owner, the search ends.
             node.slot_router().forget(&call.service, key);
             search.note_unreachable(hint.node);
             choose(node, call, &search.tried())
@@ -240,15 +243,15 @@
     }
 }
 
-/// Whether membership holds the owner for reachable. To wait for one that is not would keep the
-/// caller from an answer that is known already.
+/// Whether the owner is reachable according to membership. Waiting for an unreachable one would
+/// only delay the refusal.
 fn is_reachable(view: &View, target: &Target) -> bool {
     let is_gone = matches!(target.state, TargetState::Dead | TargetState::Left);
     !is_gone && !view.cut_off_domains.contains(&target.domain)
 }
 
-/// A streamed body can be sent once only. So the owner and its stamp are asked for before, by an
-/// attempt without body and without stamp, which no guard starts.
+/// Finds the owner and its stamp before a streamed body is sent, which can be sent only once. The
+/// probe has neither body nor stamp, so no guard starts it.
 async fn probe_owner(node: &Arc<Node>, call: &mut Call, key: &Name) {
     let empty = NodeBody::Held(Bytes::new());
     let body = std::mem::replace(&mut call.body, empty);
@@ -277,8 +280,8 @@
     }
 }
 
-/// What a guard says covers all sendings that it has seen, but not an attempt that was lost on the
-/// way and may still arrive.
+/// Adjusts a guard's refusal. It covers all attempts that the guard has seen, but not one that was
+/// lost on the way and may still arrive.
 fn qualify_refusal(refusal: Refusal, progress: &Progress) -> Refusal {
     if progress.may_be_in_flight {
         unknown_unless_ran(refusal)
@@ -287,7 +290,7 @@
     }
 }
 
-/// The refusal of an entry that has no word of the ledger.
+/// Replaces `not_run` by `unknown` in a refusal that no ledger has confirmed.
 pub(super) fn unknown_unless_ran(refusal: Refusal) -> Refusal {
     match refusal.run_state {
         RunState::NotRun => Refusal {
--- a/src/node/keyed_guard.rs
+++ b/src/node/keyed_guard.rs
@@ -1,7 +1,7 @@
-//! Non-idempotent calls with a key at the guard: the ledger decides before anything is queued.
+//! Non-idempotent calls with a key at the guard. The ledger decides before a call is queued.
 //!
-//! Whatever is refused here speaks of the key and not only of this attempt: `not_run` is said only
-//! when the ledger says so (docs/AT_MOST_ONCE.md, "What refusals say").
+//! A refusal here is about the key and not only about this attempt. It says `not_run` only when the
+//! ledger says so (docs/AT_MOST_ONCE.md, "What refusals say").
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,18 +27,19 @@
 use crate::wire::CallHeader;
 use crate::wire::OwnerHint;
 
-/// The largest answer that is kept for resends, in bytes. Of a larger one they hear that it ran.
+/// The largest answer that is kept for resends, in bytes. Resends of a call with a larger answer
+/// are told that it ran.
 const MAX_KEPT_BODY_BYTES: usize = 64 * 1024;
-/// When to come back to a guard that has no ledger yet, in milliseconds.
+/// The retry delay when the guard has no ledger yet, in milliseconds.
 const NO_LEDGER_RETRY_MS: u64 = 1_000;
 
-/// The key under which a call runs at most once, if it is such a call.
+/// Returns the key of a call that may run at most once, if it is such a call.
 pub(super) fn key_of(header: &CallHeader) -> Option<&Name> {
     header.key.as_ref().filter(|_| header.non_idempotent)
 }
 
-/// Speaks of a refusal that was decided before the ledger was asked: an earlier sending of the
-/// same key may have run.
+/// Replaces `not_run` by `unknown` in a refusal of a keyed call that was decided before the ledger
+/// was consulted. An earlier attempt with the same key may have run.
 pub(super) fn unknown_if_keyed(header_key: Option<&Name>, refusal: Refusal) -> Refusal {
     match (header_key, refusal.run_state) {
         (Some(_), RunState::NotRun) => Refusal {
@@ -49,14 +50,14 @@
     }
 }
 
-/// The owner of the key's slot as this guard knows it.
+/// The owner of the key's slot, as known by this guard.
 pub(super) fn owner_hint(node: &Node, key: Option<&Name>) -> Option<OwnerHint> {
     let key = key?;
     let ledger = node.inputs.claims.as_ref()?.ledger()?;
     ledger.with(|ledger, now| ledger.owner_hint(now, &node.settings.node, key))
 }
 
-/// Runs a keyed call unless it ran before, runs already, or may have run elsewhere.
+/// Runs a keyed call unless it already ran, is running, or may have run elsewhere.
 ///
 /// # Errors
 /// The refusal to send back.
@@ -101,7 +102,7 @@
     node.inputs.claims.as_ref()?.ledger()
 }
 
-/// Runs the call in a task of its own: whoever sent it may go away, and a resend then joins it.
+/// Runs the call in its own task. If the sender disconnects, a resend joins the run.
 fn spawn_run(
     node: &Arc<Node>,
     call: GuardedCall,
@@ -112,7 +113,7 @@
     tokio::spawn(async move {
         let result = admit_and_run(&node, call).await;
         ticket.settle(outcome_of(&result));
-        // The sender may have gone away; the ledger knows the outcome.
+        // The sender may have disconnected. The ledger holds the outcome.
         let _ = sender.send(result);
     });
     receiver
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,5 +1,5 @@
-//! The data path of a node: entry for callers and for the local backend server's own calls, guard
-//! in front of the local backend server, and the operators' listener. See
+//! The data path of a node: the entry for callers and for calls of the local backend server, the
+//! guard in front of the local backend server, and the operators' listener. See
 //! [docs/DESIGN.md](../../docs/DESIGN.md), "A call's way".
 
 mod answer;
--- a/src/node/overdue.rs
+++ b/src/node/overdue.rs
@@ -1,9 +1,9 @@
-//! Finding out what became of an attempt when nothing comes on its connection any more.
+//! Queries the outcome of an attempt whose answer is overdue.
 //!
-//! Guards against connections that go silent for good while new ones work. A call on one would
-//! end at its deadline, and nobody could say whether it ran. It shows as an answer that is overdue.
-//! The question goes to the guard's control address, which is another connection, and the guard
-//! revokes what it has not seen (see [`crate::node::Attempts`]).
+//! Connections can become half-open for good while new ones work. Without a query, a call on such a
+//! connection would end at its deadline, and whether it ran would be unknown. The query goes to the
+//! guard's control address over another connection, and the guard revokes an attempt that it has
+//! not seen (see [`crate::node::Attempts`]).
 
 use std::time::Duration;
 
@@ -15,35 +15,35 @@
 use crate::core::Target;
 use crate::node::Node;
 
-/// An answer is overdue after this multiple of what answers of the target take.
+/// An answer is overdue after this multiple of the target's usual latency.
 const OVERDUE_FACTOR: u64 = 3;
-/// The longest pause between two questions.
+/// The maximum pause between two queries, in milliseconds.
 const MAX_PAUSE_MS: u64 = 4_000;
-/// How long an answer that has left the guard may take to arrive.
+/// How long an answer that has left the guard may take to arrive, in milliseconds.
 const ANSWER_TRANSIT_MS: u64 = 200;
 
-/// Two clocks differ by at most one part in this.
+/// Two clocks drift apart by at most one part in this.
 const CLOCK_DRIFT_DIVISOR: u64 = 50;
-/// Both clocks count whole milliseconds.
+/// The resolution of both clocks, in milliseconds.
 const CLOCK_RESOLUTION_MS: u64 = 2;
 
-/// What the guard says of an attempt whose answer is overdue.
+/// The guard's report on an attempt whose answer is overdue.
 pub(super) enum OverdueStatus {
-    /// It was not seen, and will be refused if it still arrives.
+    /// The attempt was not seen, and will be refused if it still arrives.
     NeverSeen,
-    /// It ended; this was the answer.
+    /// The attempt ended with this answer.
     Answered(KeptAnswer),
-    /// It ended, but the answer is not kept.
+    /// The attempt ended, but its answer is not kept.
     AnswerNotKept,
-    /// The guard does not remember so far back: it may have run the call.
+    /// The guard's record does not reach back far enough, so the call may have run.
     Forgotten,
-    /// The guard cannot be asked either.
+    /// The guard cannot be reached for the query either.
     Unreachable,
 }
 
-/// Waits until the answer is overdue and then asks, again and again while the call is in progress.
-/// While the guard cannot be asked, a call that must not be given up is waited for until its
-/// deadline: its answer may still come.
+/// Waits until the answer is overdue and then queries the guard repeatedly while the call is in
+/// progress. While the guard is unreachable, a call that must not be abandoned is awaited until its
+/// deadline, since its answer may still come.
 pub(super) async fn watch_overdue(
     node: &Node,
     target: &Target,
@@ -77,8 +77,8 @@
     }
 }
 
-/// Believes that an attempt sent `sent_ms` ago was never seen only if the guard's memory reaches
-/// back beyond it, though the two clocks may run at slightly different speeds.
+/// Accepts that an attempt sent `sent_ms` ago was never seen only if the guard's record reaches
+/// back beyond it, allowing for clock drift.
 fn never_seen(sent_ms: u64, complete_for_ms: u64) -> OverdueStatus {
     if complete_for_ms > sent_ms + sent_ms / CLOCK_DRIFT_DIVISOR + CLOCK_RESOLUTION_MS {
         OverdueStatus::NeverSeen
--- a/src/node/peer_call.rs
+++ b/src/node/peer_call.rs
@@ -1,4 +1,4 @@
-//! One attempt: a call sent to the guard of one target, and what came of it.
+//! One attempt: sends a call to the guard of one target and returns the outcome.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -42,26 +42,27 @@
 use crate::wire::CallHeader;
 use crate::wire::headers;
 
-/// How long an answer may come after the deadline: the guard's own refusal says more than a
-/// time-out here, so it gets the time to arrive.
+/// How long after the deadline an answer is still accepted, in milliseconds. The guard's own
+/// refusal is more specific than a local time-out, so it gets time to arrive.
 const DEADLINE_GRACE_MS: u64 = 50;
-/// When to come back after a target was lost, in milliseconds.
+/// The minimum retry delay after a target was lost, in milliseconds.
 const LOST_RETRY_AFTER_MS: u64 = 200;
 
-/// What came of an attempt.
+/// The outcome of an attempt.
 pub(super) enum AttemptEnd {
     Answered(Answer, AnswerHeader),
-    /// Refused by the guard, with its header, or lost.
+    /// Refused by the guard, with its header, or lost, without one.
     Refused(Refusal, Option<AnswerHeader>),
 }
 
-/// What has to be remembered of a call while its answer is awaited.
+/// The data of a call that is needed while its answer is awaited.
 struct SentAttempt {
     attempt: AttemptId,
     request: RequestId,
     method: Method,
     non_idempotent: bool,
-    /// Giving up does no harm: the call may be sent again, or its key keeps it from running twice.
+    /// Whether the attempt may be abandoned: the call may be sent again, or its key prevents a
+    /// second run.
     may_give_up: bool,
 }
 
@@ -94,8 +95,8 @@
     }
 }
 
-/// Waits for the answer, or for the guard's word on a connection that has gone silent. The
-/// connection is then given up with the future that waits on it.
+/// Waits for the answer, or for the guard's report on an attempt whose connection is half-open. The
+/// connection is then dropped together with the future that waits on it.
 async fn watched_exchange(
     node: &Arc<Node>,
     sent: &SentAttempt,
@@ -191,7 +192,7 @@
     }
 }
 
-/// Checks an answer, however it came, and takes it in.
+/// Checks and reads an answer, whether it came from the connection or from the guard's record.
 async fn receive(
     node: &Node,
     sent: &SentAttempt,
@@ -226,7 +227,7 @@
     }
 }
 
-/// Nothing was sent when no connection could be made; after that anything may have happened.
+/// Nothing was sent if no connection could be made. After that the call may have run.
 fn run_state_of(error: &hyper_util::client::legacy::Error) -> RunState {
     if error.is_connect() {
         RunState::NotRun
@@ -261,8 +262,8 @@
     AttemptEnd::Answered(answer, header)
 }
 
-/// The answer was lost on its way. That a non-idempotent call ran is still known and said; an
-/// idempotent one counts as lost, so that it may be sent again.
+/// Handles an answer that was truncated on its way. For a non-idempotent call the run state is
+/// known and reported. An idempotent call counts as lost, so that it may be sent again.
 fn truncated(sent: &SentAttempt, header: &AnswerHeader) -> AttemptEnd {
     let run_state = if sent.non_idempotent {
         header.run_state
@@ -281,7 +282,7 @@
     AttemptEnd::Refused(refusal, None)
 }
 
-/// Keeps a streamed answer counted as in flight until its end, and checks its length on the way.
+/// Counts a streamed answer as in flight until its end, and checks its length meanwhile.
 fn track_body(node: &Arc<Node>, mut answer: Answer, in_flight: InFlightAt) -> Answer {
     if let NodeBody::Streamed { body, len } = answer.body {
         let stall_ms = node.stall_ms();
--- a/src/node/poison_guard.rs
+++ b/src/node/poison_guard.rs
@@ -1,4 +1,5 @@
-//! Notices crashes of the local backend server and tells the other targets what was running.
+//! Detects crashes of the local backend server and reports the running requests to the other
+//! targets.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -22,28 +23,28 @@
 use crate::poison::Suspects;
 use crate::poison::Verdict;
 
-/// How long the backend server is given to take a connection and keep it.
+/// How long the backend server may take to accept a connection, and then has to keep it open.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(40);
-/// How long the other targets are given to take in a report, before the caller is answered.
+/// How long the other targets may take to accept a report before the caller is answered.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The crash that was noticed last.
+/// The crash detected last.
 struct LastCrash {
     id: CrashId,
-    /// When it was noticed, in microseconds: what was sent before broke in it.
+    /// When it was detected, in microseconds. Calls sent earlier broke in this crash.
     at_us: u64,
     running: Vec<RunningRequest>,
 }
 
-/// The suspects of the local service.
+/// The suspected requests of the local service.
 pub struct PoisonGuard {
     suspects: Mutex<Suspects>,
-    /// Held while a crash is reported: nobody who ran in it is answered before.
+    /// Held while a crash is reported, so that no call that broke in it is answered before.
     last_crash: tokio::sync::Mutex<Option<LastCrash>>,
 }
 
 impl PoisonGuard {
-    /// Nobody is suspected.
+    /// Creates a guard without suspects.
     pub fn new() -> Self {
         Self {
             suspects: Mutex::new(Suspects::new(PoisonSettings::default())),
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Takes in the report of another target.
+    /// Merges the report of another target.
     pub fn merge(&self, now: TimeMs, message: &SuspectsReport) {
         self.lock().merge(now, &message.report);
     }
@@ -79,8 +80,9 @@
     }
 }
 
-/// Called while a call that broke still counts as running. If the backend server crashed, all
-/// targets of the service know what was running when this returns, or were given the time to.
+/// Handles a broken call, which must still count as running. If the backend server crashed, all
+/// targets of the service are told what was running before this returns, within the report
+/// time-out.
 pub(super) async fn handle_broken_call(
     node: &Node,
     address: SocketAddr,
@@ -101,12 +103,12 @@
             crash.running.push(this);
             crash.id
         }
-        // It met a backend server that was still down. Held against it, every call that does so
-        // would be taken for the cause, and refused after two of them.
+        // The call reached a backend server that was still down. If it counted as a suspect, every
+        // such call would be refused after two of them.
         Some(_) if is_down(node) => return,
         _ => last.insert(new_crash(node, this)).id,
     };
-    // Nothing more is sent there until it announces itself again.
+    // No further calls are sent until the backend server announces itself again.
     node.inputs.local.send_if_modified(LocalBackend::mark_down);
     let running = last.as_ref().map_or(&[][..], |crash| &crash.running);
     log::warn!(
@@ -134,14 +136,14 @@
     }
 }
 
-/// Whether the backend server takes a connection and keeps it. One that crashed refuses it; a
-/// relay in between takes it and closes it at once.
+/// Whether the backend server accepts a connection and keeps it open. A crashed one refuses it, and
+/// a relay in between accepts it and closes it at once.
 async fn is_alive(address: SocketAddr) -> bool {
     let Ok(Ok(mut stream)) = timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await else {
         return false;
     };
     let mut byte = [0];
-    // Nothing was asked, so a live server stays silent.
+    // No request was sent, so a live server sends nothing.
     timeout(PROBE_TIMEOUT, stream.read(&mut byte))
         .await
         .is_err()
--- a/src/node/take_call.rs
+++ b/src/node/take_call.rs
@@ -1,4 +1,4 @@
-//! Classifying a call by the preset in force and taking in its body.
+//! Classifies a call by the preset in force and reads its body.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,10 +24,10 @@
 use crate::preset::InForce;
 use crate::wire::headers;
 
-/// When to come back after a refusal that waiting does not mend, in milliseconds.
+/// The minimum retry delay after a refusal that retrying sooner cannot resolve, in milliseconds.
 const LATER_MS: u64 = 1_000;
 
-/// Classifies a call and takes in its body.
+/// Classifies a call and reads its body.
 pub(super) async fn take_call(
     node: &Arc<Node>,
     request: Request<Body>,
@@ -90,7 +90,7 @@
     })
 }
 
-/// The service named by the first segment of the path, if it has ever been announced.
+/// Returns the service named by the first path segment, if it was ever announced.
 fn service_of(node: &Node, path: &str) -> Result<Name, Refusal> {
     let (service, _) = split_path(path);
     let view = node.inputs.view.load();
@@ -123,8 +123,8 @@
     in_force.preset.classify(service, method, rest)
 }
 
-/// The caller's key. One that is no text, longer than a ledger takes or given twice is refused:
-/// to leave it out would let the call run twice.
+/// Returns the caller's idempotency key. A key that is not text, is longer than the ledger accepts,
+/// or is given twice is refused. If it were ignored, the call could run twice.
 fn key_of(map: &http::HeaderMap) -> Result<Option<Name>, Refusal> {
     let mut values = map.get_all(headers::IDEMPOTENCY_KEY).iter();
     let Some(value) = values.next() else {
@@ -149,8 +149,8 @@
         .ok_or_else(|| not_run(RefusalReason::BadRequest))
 }
 
-/// Takes in a body within the deadline: a caller whose connection went silent in the middle of it
-/// would be waited for for good.
+/// Reads a body within the deadline. Without a time-out, a caller whose connection became half-open
+/// in the middle of the body would be waited for indefinitely.
 async fn held_or_streamed(node: &Node, body: Body, left_ms: u64) -> Result<NodeBody, Refusal> {
     let reading = read_body(body, node.settings.max_held_body_bytes);
     match timeout(Duration::from_millis(left_ms), reading).await {
