--- a/src/node/answer.rs
+++ b/src/node/answer.rs
@@ -1,11 +1,11 @@
-//! An answer on its way from a backend server to a caller.
+//! An answer of a backend server, on its way to a caller.
 
 use http::HeaderMap;
 use http::StatusCode;
 
 use crate::node::body::NodeBody;
 
-/// Status, headers and body; the headers are stripped of connection and internal ones.
+/// Status, headers and body. Connection and internal headers are stripped.
 pub(super) struct Answer {
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
--- a/src/node/answer_check.rs
+++ b/src/node/answer_check.rs
@@ -1,4 +1,4 @@
-//! Whether a peer's answer is the answer to this very attempt, and all of it.
+//! Checks that a peer's answer belongs to the attempt and is complete.
 
 use http::HeaderMap;
 
@@ -11,9 +11,9 @@
 
 /// Checks the head of an answer.
 ///
-/// Guards against a caller that gets the answer meant for another: a connection on which
-/// something in between mixed up answers, or a peer with a fault. It shows as another attempt
-/// identifier, since no two attempts share one.
+/// Prevents a caller from receiving the answer to another call, if a relay mixes up answers on a
+/// connection or a peer has a fault. Attempt identifiers are unique, so such an answer names
+/// another attempt.
 ///
 /// # Errors
 /// When the header is missing or malformed, or names another attempt or length.
@@ -30,7 +30,7 @@
     Ok(header)
 }
 
-/// Checks the length of a body against the announced one; either may be unknown.
+/// Checks the length of a body against the announced length. Either may be unknown.
 ///
 /// # Errors
 /// When both are known and differ.
@@ -43,8 +43,8 @@
     }
 }
 
-/// Whether a peer of another protocol version says in plain headers that it ran nothing. Guards
-/// strip these headers from what backend servers answer, so only a node can have set them.
+/// Whether a peer of another protocol version states in plain headers that it ran nothing. Guards
+/// strip these headers from the answers of backend servers, so only a node can have set them.
 pub(super) fn is_plain_not_run(map: &HeaderMap, error: &AnswerError) -> bool {
     let is_version = matches!(error, AnswerError::Header(WireError::Version { .. }));
     is_version && text(map, headers::OUTCOME) == Some("not_run")
--- a/src/node/backend_call.rs
+++ b/src/node/backend_call.rs
@@ -1,4 +1,4 @@
-//! RunningCall an admitted call at the local backend server.
+//! Runs an admitted call at the local backend server.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -43,8 +43,8 @@
 /// The minimum retry delay after the backend server failed, in milliseconds.
 const FAILED_RETRY_AFTER_MS: u64 = 500;
 
-/// Runs a call until its deadline. A non-idempotent call may overrun it, since it must not be
-/// cancelled once it may have started.
+/// Runs a call until its deadline. A non-idempotent call may overrun it by [`MAX_OVERRUN_MS`],
+/// since it must not be cancelled once it may have started.
 pub(super) async fn run(
     node: &Arc<Node>,
     mut call: GuardedCall,
@@ -190,7 +190,7 @@
     request: RequestId,
     error: &hyper_util::client::legacy::Error,
 ) -> Refusal {
-    log::debug!("guard: lost the backend server, request={request} error={error}");
+    log::debug!("guard: request to the backend server failed, request={request} error={error}");
     if error.is_connect() {
         node.record_connection(false);
         not_run(RefusalReason::BackendDown)
--- a/src/node/backend_rate_limit.rs
+++ b/src/node/backend_rate_limit.rs
@@ -1,4 +1,4 @@
-//! What the local backend server says of itself in its answers.
+//! The rate limit that the local backend server advertises in its answers.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -16,25 +16,28 @@
 
 const RATE_LIMIT: HeaderName = HeaderName::from_static(headers::RATE_LIMIT);
 
-/// The rate that the backend server names, kept by the gate. On this interface a departure is announced.
+/// The advertised rate, which the gate enforces. On this interface a departure is announced at
+/// `/announce` instead.
 #[derive(Debug, Default)]
 pub(super) struct BackendRateLimit {
     rate: Mutex<RateLimitState>,
 }
 
 impl BackendRateLimit {
-    /// Takes in the head of an answer to a call that was sent at `sent_at`.
+    /// Records the advertised rate in the head of an answer to a call that was sent at `sent_at`.
     pub fn record_answer(&self, gate: &Gate, now: TimeMs, sent_at: TimeMs, headers: &HeaderMap) {
         let advertised = rate_word(&RATE_LIMIT, headers);
         let mut rate = self.lock();
         let change = rate.note(now, sent_at, advertised);
         if change != RateChange::Unchanged {
             gate.set_rate(rate.per_s());
-            log::info!("guard: the backend server's rate changes, change={change:?}");
+            log::info!(
+                "guard: the rate advertised by the backend server changed, change={change:?}"
+            );
         }
     }
 
-    /// Another backend server may stand there from now on: it starts without a rate.
+    /// Clears the rate, since another backend server may be started in place of this one.
     pub fn reset(&self, gate: &Gate) {
         let mut rate = self.lock();
         *rate = RateLimitState::default();
--- a/src/node/baseline.rs
+++ b/src/node/baseline.rs
@@ -1,5 +1,5 @@
-//! Forwarding without control, for comparison only: any target at random, three retries at each
-//! hop, no bound over the whole chain. Switched on by `control_enabled: false`.
+//! Forwarding without overload control, for comparison only: a random target, three retries at each
+//! hop and no bound over the whole chain. Enabled by `control_enabled: false`.
 
 use std::sync::Arc;
 
@@ -14,13 +14,13 @@
 use crate::node::peer_call::AttemptEnd;
 use crate::node::peer_call::call_peer;
 
-/// Further attempts of each call at each hop.
+/// The maximum number of retries of each call at each hop.
 const RETRIES: u32 = 3;
-/// When to come back, in milliseconds.
+/// The retry delay returned with a refusal, in milliseconds.
 const RETRY_AFTER_MS: u64 = 500;
 
-/// Forwards a call until it is answered or four attempts have failed. A non-idempotent one that may
-/// have run is not sent again, so that runs of the baseline can be compared at all.
+/// Forwards a call until it is answered or four attempts have failed. A non-idempotent call that
+/// may have run is not sent again, so that runs of the baseline stay comparable.
 pub(super) async fn forward(node: &Arc<Node>, call: &mut Call) -> Result<Answer, Refusal> {
     let mut retries = 0;
     loop {
--- a/src/node/body.rs
+++ b/src/node/body.rs
@@ -1,5 +1,5 @@
-//! Bodies: small ones are held whole, so that they can be checked and sent again; large ones are
-//! streamed with the back pressure of their connections.
+//! Request and answer bodies. Small ones are buffered whole, so that they can be checked and sent
+//! again. Large ones are streamed with the back pressure of their connections.
 
 use std::io;
 
@@ -16,16 +16,16 @@
 use crate::adapters::Body;
 use crate::adapters::full_body;
 
-/// A body on its way through the node.
+/// A body that passes through the node.
 pub(super) enum NodeBody {
-    /// Whole and checked against its announced length by the HTTP library.
+    /// Buffered whole. The HTTP library has checked the announced length.
     Held(Bytes),
-    /// Larger than may be held. It ends with an error if it is cut short.
+    /// Larger than the buffer limit. It ends with an error if it is truncated.
     Streamed { body: Body, len: Option<u64> },
 }
 
 impl NodeBody {
-    /// The length, where it is known.
+    /// The length, if it is known.
     pub(super) fn len(&self) -> Option<u64> {
         match self {
             Self::Held(bytes) => Some(bytes.len() as u64),
@@ -33,7 +33,7 @@
         }
     }
 
-    /// A copy to send, if the body is held; nothing is copied but a reference.
+    /// The bytes, if the body is buffered.
     pub(super) fn held(&self) -> Option<&Bytes> {
         match self {
             Self::Held(bytes) => Some(bytes),
@@ -41,7 +41,8 @@
         }
     }
 
-    /// The body to send. A streamed body can be taken once; after that an empty one is held.
+    /// Returns the body to send. A streamed body can be taken only once, and is replaced by an
+    /// empty one.
     pub(super) fn send_copy(&mut self) -> Body {
         match std::mem::replace(self, Self::Held(Bytes::new())) {
             Self::Held(bytes) => {
@@ -53,10 +54,10 @@
     }
 }
 
-/// Reads a body until its end or until it is larger than `max_held_bytes`.
+/// Reads a body until its end, or until it is larger than `max_held_bytes`.
 ///
 /// # Errors
-/// When the sender broke off, or sent less than it had announced.
+/// When the sender disconnected or sent less than announced.
 pub(super) async fn read_body(mut body: Body, max_held_bytes: usize) -> io::Result<NodeBody> {
     let len = body.size_hint().exact();
     if len == Some(0) {
@@ -92,7 +93,7 @@
     whole.freeze()
 }
 
-/// What was read already, followed by the rest.
+/// The parts read so far, followed by the rest.
 fn continued(parts: Vec<Bytes>, rest: Body) -> Body {
     let head = stream::iter(parts.into_iter().map(|part| Ok(Frame::data(part))));
     StreamBody::new(head.chain(BodyStream::new(rest))).boxed_unsync()
--- a/src/node/call_context.rs
+++ b/src/node/call_context.rs
@@ -14,7 +14,7 @@
 /// The context of a call: inherited from its parent call, or new for a root.
 pub(super) struct CallContext {
     pub(super) allotment_holder: Arc<LiveCall>,
-    /// Whether the allotment_holder is a call that runs at the local backend server.
+    /// Whether the allotment holder is a call that runs at the local backend server.
     pub(super) is_child: bool,
     pub(super) priority: Priority,
     pub(super) depth: u8,
--- a/src/node/caller_headers.rs
+++ b/src/node/caller_headers.rs
@@ -1,4 +1,5 @@
-//! Which headers are passed on, and which belong to one connection or to the product.
+//! Separates the headers that are forwarded from those of one connection and those internal to the
+//! product.
 
 use http::HeaderMap;
 use http::HeaderName;
@@ -7,8 +8,8 @@
 
 use crate::wire::headers;
 
-/// Headers about one connection, which are never passed on (RFC 9110 section 7.6.1), and those
-/// that the HTTP library writes itself.
+/// Headers of one connection, which are never forwarded (RFC 9110 section 7.6.1), and those that
+/// the HTTP library sets itself.
 const CONNECTION_HEADERS: &[&str] = &[
     "connection",
     "content-length",
@@ -24,8 +25,8 @@
     "upgrade",
 ];
 
-/// Removes what must not be passed on: connection headers, those that `Connection` names, and
-/// every header of the product.
+/// Removes the headers that must not be forwarded: connection headers, those listed in
+/// `Connection`, and all internal headers.
 pub(crate) fn strip(map: &mut HeaderMap) {
     let named: Vec<HeaderName> = map
         .get_all(http::header::CONNECTION)
@@ -50,8 +51,8 @@
     }
 }
 
-/// Does the same for an answer. The answer to `HEAD` says how long the body would be, so its
-/// length is kept there.
+/// Like [`strip`], for an answer. The answer to `HEAD` keeps its length, which tells how long the
+/// body would be.
 pub(crate) fn strip_answer(map: &mut HeaderMap, method: &Method) {
     let len = map.get(CONTENT_LENGTH).cloned();
     strip(map);
@@ -60,7 +61,7 @@
     }
 }
 
-/// Counts the headers that a caller forged, on purpose or not.
+/// Counts the internal headers that a caller set although it must not.
 pub(crate) fn count_forged(map: &HeaderMap) -> usize {
     let may_set = |name: &HeaderName| headers::CALLER_MAY_SET.contains(&name.as_str());
     map.keys()
@@ -68,14 +69,14 @@
         .count()
 }
 
-/// The size of all headers in bytes, as they travel.
+/// The encoded size of all headers in bytes.
 pub(crate) fn header_bytes(map: &HeaderMap) -> usize {
     map.iter()
         .map(|(name, value)| name.as_str().len() + value.len() + 4)
         .sum()
 }
 
-/// The value of a header as text, if it is there once and is text.
+/// The value of a header, if it is present and is text.
 pub(crate) fn text<'a>(map: &'a HeaderMap, name: &str) -> Option<&'a str> {
     map.get(name).and_then(|value| value.to_str().ok())
 }
--- a/src/node/child_keys.rs
+++ b/src/node/child_keys.rs
@@ -24,7 +24,7 @@
 }
 
 impl ChildKeys {
-    /// Creates an empty set for the call that runs under the key `own`.
+    /// Creates the set for the call that runs under the key `own`.
     pub(super) fn new(own: Name) -> Self {
         Self {
             own,
--- a/src/node/fleet.rs
+++ b/src/node/fleet.rs
@@ -1,4 +1,4 @@
-//! What an operator sees of all nodes by asking one.
+//! The status of all nodes, collected by one node for an operator.
 
 use futures::StreamExt;
 use futures::stream;
@@ -11,15 +11,15 @@
 use crate::node::Node;
 use crate::node::Status;
 
-/// Nodes asked at once. An operator asks rarely, and answers are small.
+/// The maximum number of nodes queried concurrently. Operators query rarely, and answers are small.
 const ASKED_AT_ONCE: usize = 32;
 
-/// One node as it is known from gossip, and what it says itself.
+/// A node as known from gossip, with its own status.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct FleetNode {
     pub target: Target,
-    /// `None` when it did not answer.
+    /// `None` if the node did not answer.
     pub status: Option<Status>,
 }
 
@@ -27,15 +27,15 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct FleetStatus {
-    /// The node that asked the others.
+    /// The node that queried the others.
     pub seen_from: Name,
     pub cut_off_domains: Vec<Name>,
-    /// Ordered by failure domain and name.
+    /// Sorted by failure domain and name.
     pub nodes: Vec<FleetNode>,
 }
 
 impl FleetStatus {
-    /// Asks all nodes that may live.
+    /// Queries all nodes that may be alive.
     pub(super) async fn ask(node: &Node) -> Self {
         let view = node.inputs.view.load_full();
         let targets: Vec<Target> = view.nodes.values().map(|t| t.as_ref().clone()).collect();
@@ -71,7 +71,10 @@
     match answer {
         Ok(text) => serde_json::from_str(&text).ok(),
         Err(error) => {
-            log::debug!("node: no status, node={} error={error}", target.node);
+            log::debug!(
+                "node: cannot query the status, node={} error={error}",
+                target.node
+            );
             None
         }
     }
--- a/src/node/gate.rs
+++ b/src/node/gate.rs
@@ -1,4 +1,4 @@
-//! The way into the local backend server: admission decides, calls wait here for its result.
+//! Admission to the local backend server. Calls that cannot run at once wait here.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -24,29 +24,29 @@
 use crate::node::permit::Permit;
 use crate::wire::LoadReport;
 
-/// The answer to a waiting call.
+/// The result of admission for a waiting call.
 type AdmitResult = Result<Permit, Refusal>;
 
 struct GateState {
     admission: Admission,
-    /// Calls that wait, by ticket. Bounded by the queue of admission.
+    /// Waiting calls by ticket. Bounded by the queue of admission.
     waiting: FastMap<u64, WaitingCall>,
     next_ticket: u64,
     in_flight: u32,
 }
 
-/// Whom to sender, and the class for the metrics.
+/// The channel to resolve a waiting call, and its class for the metrics.
 struct WaitingCall {
     class: u8,
     sender: oneshot::Sender<AdmitResult>,
 }
 
-/// Admission and the calls that wait for it.
+/// Admission together with the calls that wait for it.
 pub(crate) struct Gate {
     metrics: Arc<Metrics>,
     state: Mutex<GateState>,
     clock: Clock,
-    /// `false` lets everything in at once: the baseline of measurements.
+    /// `false` admits all calls at once, for the measured baseline.
     enabled: bool,
 }
 
@@ -72,10 +72,11 @@
         })
     }
 
-    /// Waits until the call may run. Dropped while it waits, the call is certainly not run.
+    /// Waits until the call may run. If the future is dropped while it waits, the call is certainly
+    /// not run.
     ///
     /// # Errors
-    /// The refusal, at once when admission decides so.
+    /// The refusal, which may come at once.
     pub(crate) async fn admit(self: &Arc<Self>, mut call: OfferedCall) -> AdmitResult {
         let (_cancel, result) = {
             let mut state = self.lock();
@@ -102,20 +103,22 @@
             .unwrap_or_else(|_| Err(Refusal::not_run(RefusalReason::Overloaded, 0)))
     }
 
-    /// Lets admission look at the time: starts what there is room for, refuses what waited long.
+    /// Advances admission to the current time: starts calls that fit and refuses those that waited
+    /// too long.
     pub(crate) fn poll(self: &Arc<Self>) {
         let results = {
             let mut state = self.lock();
             let actions = state.admission.poll(self.clock.now());
             self.resolve(&mut state, actions)
         };
-        // Told without the lock: a permit nobody takes any more comes back through it.
+        // The results are sent after the lock is released, since a permit that is no longer wanted
+        // is returned through it.
         for (sender, result) in results {
             drop(sender.send(result));
         }
     }
 
-    /// Takes back the permit of a call that ended.
+    /// Returns the permit of a call that ended.
     pub(crate) fn complete(self: &Arc<Self>, ticket: u64, completion: Completion) {
         {
             let mut state = self.lock();
@@ -127,25 +130,25 @@
         self.poll();
     }
 
-    /// Caps the limit by what the backend server announces or by what it hints at.
+    /// Caps the limit by the slots that the backend server announces or advertises.
     pub(crate) fn set_slots(&self, slots: u32) {
         self.lock().admission.set_slots(slots);
     }
 
-    /// Takes over how many calls a second the backend server says it takes. Answers how many calls it can run
-    /// at once then; see [`Admission::usable_limit`].
+    /// Sets the rate limit that the backend server advertises, in calls per second. Returns how
+    /// many calls it can run concurrently then; see [`Admission::usable_limit`].
     pub(crate) fn set_rate(&self, per_s: Option<f64>) -> u32 {
         let mut state = self.lock();
         state.admission.set_rate(self.clock.now(), per_s);
         state.admission.usable_limit()
     }
 
-    /// Calls turned away for the rate of the backend server so far.
+    /// The number of calls refused so far because of the backend server's rate limit.
     pub(crate) fn rate_limited_calls(&self) -> u64 {
         self.lock().admission.rate_limited_calls()
     }
 
-    /// Takes over how many classes the preset in force has.
+    /// Sets the number of classes of the preset in force.
     pub(crate) fn set_classes(&self, classes: usize) {
         self.lock().admission.set_classes(classes);
     }
@@ -155,24 +158,24 @@
         self.lock().admission.level()
     }
 
-    /// How hard calls press on the backend server; see [`Admission::pressure_permille`].
+    /// The pressure of calls on the backend server; see [`Admission::pressure_permille`].
     pub(crate) fn pressure_permille(&self) -> u32 {
         self.lock().admission.pressure_permille()
     }
 
-    /// In what time a call that arrives now may expect to be started.
+    /// The expected wait of a call that arrives now, in milliseconds.
     pub(crate) fn expected_wait_ms(&self) -> u64 {
         self.lock().admission.expected_wait_ms()
     }
 
-    /// Says whether a service that the backend server calls is the bottleneck.
+    /// Sets whether a downstream service is the bottleneck.
     pub(crate) fn set_downstream_overloaded(&self, is_overloaded: bool) {
         self.lock()
             .admission
             .set_downstream_overloaded(is_overloaded);
     }
 
-    /// First-hand figures.
+    /// The current load, as measured by this node.
     pub(crate) fn load(&self) -> LoadReport {
         let state = self.lock();
         let load = state.admission.load();
@@ -182,7 +185,7 @@
         }
     }
 
-    /// How many calls of each class wait.
+    /// The number of waiting calls by class.
     pub(crate) fn queued_by_class(&self) -> BTreeMap<u8, i64> {
         let mut queued = BTreeMap::new();
         for waiting in self.lock().waiting.values() {
@@ -226,8 +229,8 @@
     }
 }
 
-/// A call that waits. When its caller goes away it is forgotten, so that it does not take the
-/// place of one that is still wanted.
+/// Removes a waiting call when its caller disconnects, so that it does not take the place of a call
+/// that is still wanted.
 struct CancelOnDrop {
     gate: Arc<Gate>,
     ticket: u64,
--- a/src/node/guard_answer.rs
+++ b/src/node/guard_answer.rs
@@ -88,7 +88,7 @@
         WireError::Version { .. } => RefusalReason::PeerVersion,
         _ => RefusalReason::BadRequest,
     };
-    log::warn!("guard: refused a call it cannot read, error={error}");
+    log::warn!("guard: refused a call with an unreadable header, error={error}");
     let refusal = Refusal::not_run(reason, retry_after_ms);
     let context = AnswerContext {
         attempt: AttemptId(0),
--- a/src/node/invariants.rs
+++ b/src/node/invariants.rs
@@ -1,25 +1,25 @@
-//! What must hold whatever happens, checked inside the program: a failed check ends a test or a
-//! demo, and is counted and logged in production, where going on serves callers better.
+//! Invariants checked at run time. A violation panics in tests and demos. In production it is
+//! counted and logged, since continuing serves callers better than stopping.
 
 use crate::metrics::Metrics;
 
-/// Something that must always hold.
+/// An invariant of the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Invariant {
-    /// No more calls run at the backend server than the limit allowed at their start.
+    /// The calls running at the backend server did not exceed the limit in force at their start.
     InFlightWithinLimit,
-    /// A root makes no more attempts at its entry than one plus its allotment.
+    /// A root makes at most one attempt plus its allotment at its entry.
     AttemptsWithinAllotment,
-    /// What a call leaves of its allotment is no more than it was given.
+    /// A call returns no more allotment than it was given.
     AllotmentNotMade,
 }
 
-/// Checks an invariant. Debug builds, and with them all tests, panic when it does not hold.
+/// Checks an invariant. Debug builds, and so all tests, panic if it does not hold.
 pub(super) fn check(metrics: &Metrics, invariant: Invariant, holds: bool) {
     if holds {
         return;
     }
     metrics.invariant_violations.inc();
-    log::error!("node: an invariant does not hold, invariant={invariant:?}");
+    log::error!("node: invariant violated, invariant={invariant:?}");
     debug_assert!(holds, "{invariant:?} does not hold");
 }
--- a/src/node/join_claims.rs
+++ b/src/node/join_claims.rs
@@ -1,4 +1,4 @@
-//! Joins the claims to the rest of the node.
+//! Connects the claims to the rest of the node.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 use crate::node::NodeInputs;
 use crate::table_service::PlatformClient;
 
-/// Claims for a node whose listener for other nodes is bound at `bound`.
+/// Creates the claims of a node whose listener for other nodes is bound to `bound`.
 pub(super) fn new_claims(
     settings: &NodeSettings,
     inputs: &NodeInputs,
--- a/src/node/join_configuration.rs
+++ b/src/node/join_configuration.rs
@@ -1,4 +1,4 @@
-//! Joins the configuration to the control thread and to the platform.
+//! Connects the configuration to the control thread and to the platform.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,11 +18,12 @@
 use crate::node::NodeInputs;
 use crate::table_service::PlatformClient;
 
-/// How long a poll may wait for one answer of the platform. Longer than for other requests: a
-/// slow platform should delay a change by its slowness and not by time-outs as well.
+/// How long a poll may wait for an answer of the platform, in milliseconds. It is longer than for
+/// other requests, so that a slow platform delays a change by its own slowness and not by time-outs
+/// as well.
 const POLL_TIMEOUT_MS: u64 = 2_500;
 
-/// The configuration of a node, before its control thread runs.
+/// The configuration of a node before its control thread runs.
 pub(super) struct JoinedConfiguration {
     pub(super) shared: Arc<ConfigShared>,
     news: tokio::sync::mpsc::Receiver<crate::configuration::ConfigNews>,
@@ -30,7 +31,7 @@
 
 impl JoinedConfiguration {
     /// # Errors
-    /// When its metrics are registered already.
+    /// When its metrics are already registered.
     pub(super) fn new(inputs: &NodeInputs) -> Result<Self, prometheus::Error> {
         let metrics = ConfigMetrics::new(inputs.metrics.registry())?;
         let (shared, news) = ConfigShared::new(inputs.in_force.clone(), metrics);
@@ -65,7 +66,7 @@
     let node = settings.node.clone();
     let domain = settings.domain.clone();
     let first = settings.clone();
-    // Held weakly: the task lives on the control thread, which the handle ends.
+    // A weak reference, since the task runs on the control thread, which the handle stops.
     let announcer = Arc::downgrade(control);
     ConfigPorts {
         poll: Arc::new(move |above| {
@@ -93,8 +94,9 @@
     }
 }
 
-/// Peers of the own failure domain first: they knew what this node knew before a restart. Then the
-/// seeds, some of which are of the own domain, and then everybody else.
+/// Lists peers to query at start. Peers of the own failure domain come first, since they knew what
+/// this node knew before a restart. The seeds follow, some of which are in the own domain, and then
+/// all others.
 fn first_peers(view: &View, settings: &NodeSettings) -> Vec<SocketAddr> {
     let of_domain = |own: bool| {
         let nodes = view.nodes.values();
--- a/src/node/listeners.rs
+++ b/src/node/listeners.rs
@@ -1,4 +1,5 @@
-//! The four listeners of a node, opened before anything is served so that ports are known.
+//! The four listeners of a node. They are opened before anything is served, so that their ports are
+//! known.
 
 use std::net::SocketAddr;
 
@@ -23,7 +24,7 @@
 }
 
 impl Listeners {
-    /// Opens the listeners that the settings name.
+    /// Opens the listeners named in the settings.
     ///
     /// # Errors
     /// When an address cannot be bound; the error names the listener.
--- a/src/node/live_calls.rs
+++ b/src/node/live_calls.rs
@@ -1,4 +1,4 @@
-//! The calls that run at the local backend server, looked up when it calls on.
+//! Calls that run at the local backend server, looked up when it makes child calls.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -14,19 +14,20 @@
 use crate::poison::RunningRequest;
 use crate::retry::Allotment;
 
-/// What a child call inherits. A caller's own call has one at its entry as well, for the allotment.
+/// The data that a child call inherits. A caller's own call also has one at its entry, for the
+/// allotment.
 pub(super) struct LiveCall {
     pub(super) request: RequestId,
     pub(super) priority: Priority,
     pub(super) depth: u8,
     pub(super) deadline: TimeMs,
-    /// The route by which levels of services are told apart.
+    /// The route, for which the admission levels of services are kept.
     pub(super) route: Name,
-    /// The hash of the content, by which a request that crashes backend servers is recognised.
+    /// The hash of the content, which identifies a request that crashes backend servers.
     pub(super) fingerprint: u64,
     allotment: Mutex<Allotment>,
     children: Mutex<ChildClock>,
-    /// Set for a call that the ledger admitted: it runs once in all.
+    /// Set for a call that the ledger admitted, which runs only once.
     keys: Option<ChildKeys>,
 }
 
@@ -59,13 +60,13 @@
         self
     }
 
-    /// Whether a child call's key is sent for the first time ever.
+    /// Whether this is the first time that the child call's key is sent.
     pub(super) fn is_first_sending(&self, service: &Name, key: &Name) -> bool {
         let keys = self.keys.as_ref();
         keys.is_some_and(|keys| keys.is_first_sending(service, key))
     }
 
-    /// The call as a suspect, should the backend server crash.
+    /// The entry of this call in a crash report.
     pub(super) fn running(&self) -> RunningRequest {
         RunningRequest {
             request: self.request,
@@ -73,28 +74,28 @@
         }
     }
 
-    /// Takes a share for a child call out of the allotment.
+    /// Takes a share for a child call from the allotment.
     pub(super) fn hand_out(&self) -> u16 {
         self.allotment().hand_out()
     }
 
-    /// Puts back what a child left of its share.
+    /// Returns the unused part of a child's share.
     pub(super) fn take_back(&self, share: u16, unused: u16) {
         self.allotment().take_back(share, unused);
     }
 
-    /// Pays for a further attempt of a child; false when nothing is left.
+    /// Takes a retry from the allotment. Returns false if it is used up.
     pub(super) fn spend(&self) -> bool {
         self.allotment().spend()
     }
 
-    /// What can still be spent or handed out.
+    /// The allotment that can still be spent or handed out.
     pub(super) fn allotment_left(&self) -> u16 {
         self.allotment().left()
     }
 
-    /// Takes everything that is left, when the answer goes out: what a child gives back later
-    /// counts as used.
+    /// Takes the remaining allotment when the answer is sent. What a child returns later counts as
+    /// used.
     pub(super) fn close_allotment(&self) -> u16 {
         let mut allotment = self.allotment();
         let left = allotment.left();
@@ -102,22 +103,22 @@
         left
     }
 
-    /// A child call went out.
+    /// Records the start of a child call.
     pub(super) fn child_started(&self, now_us: u64) {
         self.children().begin(now_us);
     }
 
-    /// A child call ended.
+    /// Records the end of a child call.
     pub(super) fn child_ended(&self, now_us: u64) {
         self.children().end(now_us);
     }
 
-    /// Whether the backend server made any call on behalf of this one.
+    /// Whether the backend server made any child call for this call.
     pub(super) fn has_made_calls(&self) -> bool {
         self.children().has_begun()
     }
 
-    /// How long child calls were outstanding so far.
+    /// For how long child calls were outstanding so far, in microseconds.
     pub(super) fn child_us(&self, now_us: u64) -> u64 {
         self.children().total_us(now_us)
     }
@@ -131,8 +132,8 @@
     }
 }
 
-/// Live calls by their unguessable context. Bounded by the guard's limit on calls in flight: an
-/// entry is made when a call starts and goes when it ends.
+/// Live calls by their context, which cannot be guessed. Bounded by the guard's limit on calls in
+/// flight, since an entry exists from the start to the end of a call.
 pub(super) struct LiveCalls {
     by_context: Mutex<FastMap<u128, Arc<LiveCall>>>,
 }
@@ -144,20 +145,20 @@
         }
     }
 
-    /// Enters a call and returns the context to give to the backend server.
+    /// Adds a call and returns the context for the backend server.
     pub(super) fn enter(&self, call: Arc<LiveCall>) -> u128 {
         let context = fastrand::u128(..);
         self.lock().insert(context, call);
         context
     }
 
-    /// The call with this context, as the backend server sent it.
+    /// Finds the call with a context as sent by the backend server.
     pub(super) fn find(&self, context: &str) -> Option<Arc<LiveCall>> {
         let context = u128::from_str_radix(context, 16).ok()?;
         self.lock().get(&context).cloned()
     }
 
-    /// Everything that runs at present.
+    /// All running calls.
     pub(super) fn running(&self) -> Vec<RunningRequest> {
         self.lock().values().map(|call| call.running()).collect()
     }
--- a/src/node/local_backend.rs
+++ b/src/node/local_backend.rs
@@ -1,4 +1,4 @@
-//! The local backend server as it announced itself.
+//! The state that the local backend server announced.
 
 use std::net::SocketAddr;
 
@@ -8,20 +8,20 @@
 use crate::core::Name;
 use crate::core::TargetState;
 
-/// What a backend server sends to `POST /announce` on the local listener, in JSON.
+/// The body of `POST /announce` on the local listener, in JSON.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Announcement {
     pub service: Name,
-    /// Where the backend server serves HTTP.
+    /// The address at which the backend server serves HTTP.
     pub address: SocketAddr,
-    /// How many calls it runs at once.
+    /// How many calls the backend server runs concurrently.
     pub slots: u32,
-    /// How many connections it takes.
+    /// How many connections the backend server accepts.
     #[serde(default)]
     pub connections: u32,
-    /// `starting`, `up` or `draining`; `left` when it has finished.
+    /// `starting`, `up` or `draining`, or `left` after it has finished.
     #[serde(default = "announced_up")]
     pub state: TargetState,
 }
@@ -30,17 +30,17 @@
     TargetState::Up
 }
 
-/// What this node knows of its backend server.
+/// What this node knows about its backend server.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LocalBackend {
-    /// `None` until the backend server announced itself.
+    /// `None` until the backend server has announced itself.
     pub announced: Option<Announcement>,
-    /// The node itself takes no new work, whatever the backend server says.
+    /// The node accepts no new work, whatever the backend server announces.
     pub node_draining: bool,
 }
 
 impl LocalBackend {
-    /// The state that others should know.
+    /// The state to report to other nodes.
     pub fn state(&self) -> TargetState {
         match &self.announced {
             _ if self.node_draining => TargetState::Draining,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Marks the backend server as down; whether that is news.
+    /// Marks the backend server as down. Returns whether this changed its state.
     pub fn mark_down(&mut self) -> bool {
         match &mut self.announced {
             Some(announced) if announced.state == TargetState::Up => {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Marks the node as stopping.
+    /// Marks the node as draining.
     pub fn drain(&mut self) {
         self.node_draining = true;
     }
--- a/src/node/local_listener.rs
+++ b/src/node/local_listener.rs
@@ -1,4 +1,4 @@
-//! The local listener: the backend server announces itself and makes its own calls here.
+//! The local listener, where the backend server announces itself and makes its own calls.
 
 use std::sync::Arc;
 
@@ -19,12 +19,12 @@
 use crate::node::entry::serve_call;
 use crate::wire::headers;
 
-/// Where a backend server announces itself.
+/// The path at which a backend server announces itself.
 const ANNOUNCE_PATH: &str = "/announce";
-/// The largest announcement, in bytes.
+/// The maximum size of an announcement, in bytes.
 const MAX_ANNOUNCEMENT_BYTES: usize = 16 * 1024;
 
-/// Serves an announcement, or a call on behalf of the live call that the context names.
+/// Serves an announcement, or a call on behalf of the live call that its context names.
 pub(super) async fn serve_local(node: &Arc<Node>, request: Request<Body>) -> Response<Body> {
     if request.method() == Method::POST && request.uri().path() == ANNOUNCE_PATH {
         return announce(node, request).await;
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -1,4 +1,4 @@
-//! What all parts of the data path share.
+//! State shared by all parts of the data path.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -28,12 +28,12 @@
 use crate::node::status::LedgerFigures;
 use crate::node::targets::Targets;
 
-/// Nothing of a streamed answer for so many times the silence of the settings ends it. Longer than
-/// for heads, as nobody can be asked for the rest and slow storage pauses too.
+/// A streamed answer is aborted after no data for `silence_ms` times this. The time is longer than
+/// for answer heads, since no node can be queried for the rest and slow storage pauses too.
 const STALL_FACTOR: u64 = 20;
-/// Refused connections in a row after which the backend server counts as down.
+/// The number of consecutive refused connections after which the backend server counts as down.
 const DOWN_AFTER_REFUSALS: u32 = 3;
-/// How long an unused connection towards the backend server is kept, in milliseconds.
+/// How long an idle connection to the backend server is kept, in milliseconds.
 const BACKEND_IDLE_MS: u64 = 1_000;
 
 /// The state shared by the four listeners.
@@ -54,7 +54,7 @@
 }
 
 impl Node {
-    /// Joins the parts.
+    /// Creates the state from settings and inputs.
     pub fn new(settings: NodeSettings, inputs: NodeInputs) -> Self {
         let gate = Gate::new(
             inputs.clock,
@@ -79,9 +79,9 @@
         }
     }
 
-    /// Gives up all idle connections to other nodes: whatever lost track of one has probably lost
-    /// track of others. `used` is the client whose connection went silent; one renewal is enough
-    /// for all calls that used it.
+    /// Closes all idle connections to other nodes, since whatever dropped the state of one
+    /// connection has probably dropped that of others. `used` is the client whose connection became
+    /// half-open. One renewal is enough for all calls that used it.
     pub(super) fn renew_peer_client(&self, used: &Arc<HttpClient>) {
         if Arc::ptr_eq(&self.peer_client.load(), used) {
             let renewed = Arc::new(peer_client(&self.settings));
@@ -89,37 +89,37 @@
         }
     }
 
-    /// How long a streamed answer may bring nothing before it is broken off.
+    /// How long a streamed answer may bring no data before it is aborted, in milliseconds.
     pub(super) fn stall_ms(&self) -> u64 {
         self.settings.silence_ms * STALL_FACTOR
     }
 
-    /// Begins a planned stop: new work is refused from now on, what runs is finished.
+    /// Begins a planned stop: new work is refused from now on, and running calls are finished.
     pub fn drain(&self) {
         self.draining.store(true, Ordering::Release);
         self.inputs.local.send_modify(LocalBackend::drain);
     }
 
-    /// Whether a planned stop has begun, here or at the backend server.
+    /// Whether a planned stop of this node has begun.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Acquire)
     }
 
-    /// What is known of the owners of keys. A poisoned lock does no harm: what is known is checked
-    /// by the owners.
+    /// The known owners of keys. A poisoned lock does no harm, since owners check what they
+    /// receive.
     pub(super) fn slot_router(&self) -> MutexGuard<'_, SlotRouter> {
         self.slot_router
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Calls that run at the local backend server or that this node has forwarded.
+    /// The number of calls that run at the local backend server or that this node has forwarded.
     pub fn calls_in_flight(&self) -> u64 {
         let forwarded = self.metrics.entry_in_flight.get().max(0) as u64;
         forwarded + u64::from(self.gate.load().in_flight)
     }
 
-    /// Takes in what the local backend server says of itself.
+    /// Applies an announcement of the local backend server.
     pub(super) fn take_announcement(&self, announcement: Announcement) {
         self.gate.set_slots(announcement.slots);
         let details = format!(
@@ -136,9 +136,9 @@
         }
     }
 
-    /// Notes whether the backend server took a connection. After some refusals in a row it counts
-    /// as starting, which tells the other nodes, until it announces itself again: one that crashed
-    /// says nothing of it.
+    /// Records whether the backend server accepted a connection. After several consecutive refusals
+    /// it is marked as starting, and the other nodes are told, until it announces itself again. A
+    /// backend server that crashed does not report this itself.
     pub(super) fn record_connection(&self, taken: bool) {
         if taken {
             self.connections_refused.store(0, Ordering::Relaxed);
@@ -150,24 +150,24 @@
         let changed = self.inputs.local.send_if_modified(LocalBackend::mark_down);
         if changed {
             self.backend_rate_limit.reset(&self.gate);
-            log::warn!("node: the backend server takes no connections, state=starting");
+            log::warn!("node: the backend server refuses connections, state=starting");
         }
     }
 
-    /// Where the local backend server serves, once it announced itself.
+    /// The address of the local backend server, once it has announced itself.
     pub(super) fn backend_address(&self) -> Option<SocketAddr> {
         let local = self.inputs.local.borrow();
         local.announced.as_ref().map(|announced| announced.address)
     }
 
-    /// How many classes the preset in force has; 1 while none is known.
+    /// The number of classes of the preset in force, or 1 while none is known.
     pub(super) fn classes_in_force(&self) -> usize {
         let in_force = self.inputs.in_force.load();
         let known = in_force.as_ref().as_ref();
         known.map_or(1, |known| known.preset.classes.len())
     }
 
-    /// Brings the gauges up to date, for whoever reads the metrics.
+    /// Updates the gauges before the metrics are read.
     pub(super) fn refresh_gauges(&self) {
         let load = self.gate.load();
         self.metrics.guard_in_flight.set(i64::from(load.in_flight));
--- a/src/node/node_inputs.rs
+++ b/src/node/node_inputs.rs
@@ -1,4 +1,4 @@
-//! What joins the data path to the control thread.
+//! The interface between the data path and the control thread.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,21 +23,21 @@
 use crate::node::PoisonGuard;
 use crate::preset::InForce;
 
-/// Asks the node with this control address what became of an attempt.
+/// Queries the node with this control address for the outcome of an attempt.
 pub type AskAttempt = Arc<
     dyn Fn(SocketAddr, AttemptId) -> BoxFuture<'static, Result<AttemptStatus, PeerCallError>>
         + Send
         + Sync,
 >;
 
-/// Takes the news that the node with this control address has a version in force.
+/// Records that the node with this control address has a configuration version in force.
 pub type RecordPeerConfig = Arc<dyn Fn(SocketAddr, u64) + Send + Sync>;
 
-/// Tells the node with this control address what was running at a crash.
+/// Reports the requests that were running at a crash to the node with this control address.
 pub type ReportSuspects =
     Arc<dyn Fn(SocketAddr, &Suspects) -> BoxFuture<'static, ()> + Send + Sync>;
 
-/// What the control thread publishes, what it reads, and what both sides use.
+/// What the control thread publishes and reads, and what both sides use.
 #[derive(Clone)]
 pub struct NodeInputs {
     pub clock: Clock,
@@ -45,13 +45,13 @@
     pub view: Arc<Published<View>>,
     /// `None` until a first configuration is known.
     pub in_force: Arc<Published<Option<InForce>>>,
-    /// The local backend server as it announced itself; the control thread watches it.
+    /// The state of the local backend server, watched by the control thread.
     pub local: watch::Sender<LocalBackend>,
-    /// The attempts of this guard, of which other nodes ask.
+    /// The attempts of this guard, which other nodes query.
     pub attempts: Arc<Attempts>,
-    /// The slots and the ledger of this guard; without them no call with a key is run.
+    /// The slots and the ledger of this guard. Without them no keyed call is run.
     pub claims: Option<Arc<Claims>>,
-    /// Suspects of having crashed backend servers of the local service.
+    /// Requests suspected of crashing backend servers of the local service.
     pub poison: Arc<PoisonGuard>,
     pub report_suspects: ReportSuspects,
     pub ask_attempt: AskAttempt,
@@ -60,7 +60,7 @@
 }
 
 impl NodeInputs {
-    /// Inputs that know nothing yet and reach nobody.
+    /// Empty inputs that reach no other node.
     pub fn empty() -> Self {
         Self {
             clock: Clock::new(),
--- a/src/node/node_process.rs
+++ b/src/node/node_process.rs
@@ -1,4 +1,4 @@
-//! A whole node: data path and control thread joined.
+//! A complete node: the data path connected to its control thread.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -36,7 +36,7 @@
 use crate::node::join_configuration::JoinedConfiguration;
 use crate::table_service::PlatformClient;
 
-/// How long one question about an attempt may take, in milliseconds.
+/// How long one query for an attempt may take, in milliseconds.
 const ASK_ATTEMPT_MS: u64 = 400;
 
 /// A node with its control thread.
@@ -87,7 +87,7 @@
     }
 }
 
-/// What others are told: the advertised address, with the real port when any was asked for.
+/// The address to advertise to other nodes. The bound port replaces port 0.
 fn advertised(address: SocketAddr, bound: SocketAddr) -> SocketAddr {
     if address.port() == 0 {
         return SocketAddr::new(address.ip(), bound.port());
@@ -121,7 +121,7 @@
         let news = news.clone();
         let report = async move {
             if let Err(error) = clients.report_suspects(address, news).await {
-                log::warn!("poison: a report was not taken in, peer={address} error={error}");
+                log::warn!("poison: cannot deliver a crash report, peer={address} error={error}");
             }
         };
         report.boxed()
@@ -133,8 +133,8 @@
     Arc::new(move |from, version| configuration.note_news(from, version))
 }
 
-/// Answers operators who ask by way of another node. The node serves only after its control
-/// thread has started; until then there is nothing to say.
+/// Handles requests that operators make through another node. The node is available only after its
+/// control thread has started, so the status is empty until then.
 fn add_operator_handlers(handlers: &mut ControlHandlers, served: &Arc<OnceLock<Weak<Node>>>) {
     let asked = served.clone();
     handlers.node_status = Arc::new(move || {
@@ -145,7 +145,7 @@
     let told = served.clone();
     handlers.drain = Arc::new(move || {
         if let Some(node) = told.get().and_then(Weak::upgrade) {
-            log::info!("node: drains on the word of an operator at another node");
+            log::info!("node: draining at the request of an operator at another node");
             node.drain();
         }
     });
@@ -164,7 +164,7 @@
     })
 }
 
-/// Reports of other services say nothing about the local one.
+/// Ignores reports of other services, which say nothing about the local one.
 fn take_suspects(
     poison: &PoisonGuard,
     local: &watch::Sender<LocalBackend>,
@@ -178,7 +178,7 @@
     }
 }
 
-/// Tells all members what the local backend server says of itself, at each change.
+/// Publishes each state change of the local backend server to all members.
 async fn announce(control: Arc<ControlHandle>, mut local: watch::Receiver<LocalBackend>) {
     loop {
         let state = local.borrow_and_update().clone();
--- a/src/node/operators.rs
+++ b/src/node/operators.rs
@@ -58,16 +58,16 @@
 
 fn drain(node: &Node) -> Response<Body> {
     node.drain();
-    log::info!("node: drains on an operator's word");
+    log::info!("node: draining at the request of an operator");
     text(StatusCode::ACCEPTED, "draining\n")
 }
 
-/// The node that `/nodes/<name>/drain` names.
+/// The node name in `/nodes/<name>/drain`.
 fn drained_node(path: &str) -> Option<&str> {
     path.strip_prefix("/nodes/")?.strip_suffix("/drain")
 }
 
-/// Passes the word on, so that operators need to reach one node only.
+/// Forwards a drain request to the named node, so that operators need to reach only one node.
 async fn drain_by_name(node: &Node, name: &str) -> Response<Body> {
     if *node.settings.node == *name {
         return drain(node);
@@ -79,7 +79,7 @@
     match (node.inputs.operations.drain)(target.control_address).await {
         Ok(()) => text(StatusCode::ACCEPTED, "draining\n"),
         Err(error) => {
-            log::warn!("node: cannot pass on to drain, node={name} error={error}");
+            log::warn!("node: cannot forward a drain request, node={name} error={error}");
             text(
                 StatusCode::BAD_GATEWAY,
                 "the node cannot be reached from here\n",
--- a/src/node/overdue.rs
+++ b/src/node/overdue.rs
@@ -67,7 +67,7 @@
             }
             Ok(AttemptStatus::InProgress) => {}
             Err(error) => {
-                log::debug!("entry: no word of an attempt, attempt={attempt} error={error}");
+                log::debug!("entry: cannot query an attempt, attempt={attempt} error={error}");
                 if may_give_up {
                     return OverdueStatus::Unreachable;
                 }
--- a/src/node/peer_call.rs
+++ b/src/node/peer_call.rs
@@ -110,7 +110,7 @@
         status = watch_overdue(node, target, sent.attempt, sent.may_give_up) => status,
     };
     log::info!(
-        "entry: a connection went silent, peer={} attempt={}",
+        "entry: a connection is half-open, peer={} attempt={}",
         target.node,
         sent.attempt
     );
@@ -186,7 +186,10 @@
         }
         Err(error) => {
             in_flight.lost();
-            log::debug!("entry: lost a peer, request={} error={error}", sent.request);
+            log::debug!(
+                "entry: request to a peer failed, request={} error={error}",
+                sent.request
+            );
             lost(RefusalReason::PeerLost, run_state_of(&error))
         }
     }
@@ -211,7 +214,7 @@
         Err(error) => {
             node.metrics.wrong_answers.inc();
             log::warn!(
-                "entry: dropped a wrong answer, request={} error={error}",
+                "entry: dropped an invalid answer, request={} error={error}",
                 sent.request
             );
             lost(RefusalReason::PeerLost, RunState::Unknown)
--- a/src/node/peer_operations.rs
+++ b/src/node/peer_operations.rs
@@ -1,4 +1,4 @@
-//! What an operator at one node asks of another.
+//! Operator requests that one node forwards to another.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,14 +10,15 @@
 use crate::control::PeerClients;
 use crate::errors::PeerCallError;
 
-/// Asks the node with a control address for its status, in JSON.
+/// Queries the status of the node with a control address, in JSON.
 pub type AskStatus =
     Arc<dyn Fn(SocketAddr) -> BoxFuture<'static, Result<String, PeerCallError>> + Send + Sync>;
 /// Tells the node with a control address to drain.
 pub type TellDrain =
     Arc<dyn Fn(SocketAddr) -> BoxFuture<'static, Result<(), PeerCallError>> + Send + Sync>;
 
-/// Operators reach the operators' listener of one node; the rest goes over control calls.
+/// Operators connect to the operators' listener of one node. Requests to other nodes go over
+/// control calls.
 #[derive(Clone)]
 pub struct PeerOperations {
     pub status: AskStatus,
@@ -25,7 +26,7 @@
 }
 
 impl PeerOperations {
-    /// Reaches nobody.
+    /// Operations that reach no node.
     pub fn none() -> Self {
         Self {
             status: Arc::new(|_| ready(Err(PeerCallError::Stopped)).boxed()),
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Reaches peers by control calls.
+    /// Operations that reach peers by control calls.
     pub fn over(clients: &Arc<PeerClients>) -> Self {
         let (asked, told) = (clients.clone(), clients.clone());
         Self {
--- a/src/node/permit.rs
+++ b/src/node/permit.rs
@@ -1,4 +1,4 @@
-//! The right of one call to run at the local backend server.
+//! The permit of one call to run at the local backend server.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 pub(crate) struct Permit {
     gate: Arc<Gate>,
     ticket: u64,
-    /// When the call was let in, in microseconds.
+    /// When the call was admitted, in microseconds.
     pub(crate) since_us: u64,
     completion: Completion,
 }
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Notes how the call ended; without a word it counts as cancelled.
+    /// Sets how the call ended. Without it the call counts as cancelled.
     pub(crate) fn set_completion(&mut self, completion: Completion) {
         self.completion = completion;
     }
--- a/src/node/planned_stop.rs
+++ b/src/node/planned_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop: no new work, what is in flight is finished, then the node leaves.
+//! A planned stop: the node refuses new work, finishes calls in flight and then leaves.
 
 use std::time::Duration;
 
@@ -8,34 +8,36 @@
 use crate::node::Node;
 use crate::node::NodeProcess;
 
-/// How often the calls in flight are counted.
+/// How often the calls in flight are checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How long the node serves on at least: callers and other nodes hear of the stop meanwhile.
+/// The minimum time for which the node continues to serve, so that callers and other nodes learn of
+/// the stop.
 const MIN_DRAIN: Duration = Duration::from_millis(1_500);
-/// How long nothing must have been in flight, so that the last answers have left the sockets.
+/// How long no call must have been in flight, so that the last answers have left the sockets.
 const QUIET_PERIOD: Duration = Duration::from_millis(300);
 
-/// How long handing over keys may take at most, in milliseconds. Without the table it cannot be
-/// done at all, and the others take over after the lease.
+/// The maximum time for handing over keys, in milliseconds. Without the table it is impossible, and
+/// the other nodes take over after the lease expires.
 const MAX_LEAVE_MS: u64 = 5_000;
 
 impl NodeProcess {
-    /// Stops as planned: refuses new work at the guard, tells the others, finishes what is in
-    /// flight within the drain time-out of the settings, and leaves.
+    /// Performs a planned stop: refuses new work at the guard, tells the other nodes, finishes
+    /// calls in flight within the drain time-out of the settings, and leaves.
     ///
-    /// Calls of callers that still arrive are forwarded to other targets, and their connections
-    /// are closed after the answer, so that a stop cuts off none.
+    /// Calls of callers that still arrive are forwarded to other targets, and their connections are
+    /// closed after the answer, so that a stop interrupts no call.
     pub async fn stop(self) {
         let node = self.running.node.clone();
         node.drain();
-        log::info!("node: drains, state=draining");
+        log::info!("node: draining, state=draining");
         let leave = async {
             if let Some(claims) = &node.inputs.claims {
                 let wait_ms = MAX_LEAVE_MS.min(node.settings.drain_timeout_ms);
                 claims.leave(wait_ms).await;
             }
         };
-        // Keys are handed over first: what arrives for them meanwhile still counts as in flight.
+        // Keys are handed over first. Calls for them that arrive meanwhile still count as in
+        // flight.
         tokio::join!(finish(&node), leave);
         log::info!("node: leaves, in_flight={}", node.calls_in_flight());
         let control = self.control.clone();
--- a/src/node/poison_guard.rs
+++ b/src/node/poison_guard.rs
@@ -163,6 +163,6 @@
     let reports =
         others.map(|target| (node.inputs.report_suspects)(target.control_address, &message));
     if timeout(REPORT_TIMEOUT, join_all(reports)).await.is_err() {
-        log::warn!("poison: not all targets took in the report in time");
+        log::warn!("poison: some targets did not accept the crash report in time");
     }
 }
--- a/src/node/refusal_response.rs
+++ b/src/node/refusal_response.rs
@@ -1,5 +1,5 @@
-//! How a refusal looks to callers. It is given at once and says when to come back; it is never
-//! held back until the caller's deadline.
+//! The response to a refused call. It is sent at once and states when to retry. It is never delayed
+//! until the caller's deadline.
 
 use http::HeaderMap;
 use http::HeaderValue;
@@ -14,7 +14,7 @@
 use crate::core::RequestId;
 use crate::wire::headers;
 
-/// The answer to a caller whose call is refused.
+/// Builds the response to a caller whose call is refused.
 pub(super) fn refusal_response(refusal: Refusal, request: Option<RequestId>) -> Response<Body> {
     let text = format!(
         "{{\"outcome\":\"{}\",\"reason\":\"{}\",\"retry_after_ms\":{}}}\n",
@@ -38,7 +38,7 @@
     response
 }
 
-/// Adds the outcome and the request's identifier, as every answer bears them.
+/// Sets the headers for the outcome and the request identifier, which every answer has.
 pub(super) fn set_outcome(map: &mut HeaderMap, outcome: &'static str, request: Option<RequestId>) {
     map.insert(headers::OUTCOME, HeaderValue::from_static(outcome));
     let Some(request) = request else {
--- a/src/node/reported_levels.rs
+++ b/src/node/reported_levels.rs
@@ -1,4 +1,5 @@
-//! What services admit, reported from the answers that come by, and passed on with this node's own.
+//! Admission levels that services report in their answers, passed on together with this node's own
+//! level.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -15,25 +16,25 @@
     dependencies: Dependencies,
 }
 
-/// Shared by entry and guard. Both parts bound themselves.
+/// Shared by entry and guard. Both fields are bounded by their own types.
 #[derive(Default)]
 pub(super) struct ReportedLevels {
     reported: Mutex<Reported>,
 }
 
 impl ReportedLevels {
-    /// Takes in what an answer of a service said.
+    /// Records the level that an answer of a service reported.
     pub(super) fn record_level(&self, now: TimeMs, service: &Name, route: &str, admit: Priority) {
         self.lock().levels.note(now, service, route, admit);
     }
 
-    /// Notes that work on `route` of the local service calls `child_route` of `service`.
+    /// Records that calls on `route` of the local service call `child_route` of `service`.
     pub(super) fn record_child(&self, now: TimeMs, route: &str, service: &Name, child_route: &str) {
         let mut reported = self.lock();
         reported.dependencies.note(now, route, service, child_route);
     }
 
-    /// Whether the service and those behind it would admit a call, as far as is known.
+    /// Whether the service and its downstream services would admit a call, as far as known.
     pub(super) fn may_pass(
         &self,
         now: TimeMs,
@@ -44,7 +45,7 @@
         self.lock().levels.may_pass(now, service, route, priority)
     }
 
-    /// The level to tell with an answer on `route`: `own`, or less where a service behind admits
+    /// The level to report in an answer on `route`: `own`, or less if a downstream service admits
     /// less.
     pub(super) fn level_for_route(&self, now: TimeMs, route: &str, own: Priority) -> Priority {
         let reported = self.lock();
--- a/src/node/running_node.rs
+++ b/src/node/running_node.rs
@@ -1,4 +1,4 @@
-//! Starting the listeners of a node.
+//! Starts the listeners of a node.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,10 +26,10 @@
 use crate::node::local_listener::serve_local;
 use crate::node::operators::serve_operator;
 
-/// How often admission looks at the time.
+/// The interval at which admission is polled.
 const GATE_TICK: Duration = Duration::from_millis(10);
 
-/// A node whose listeners are open. Dropping it closes them.
+/// A node with open listeners. Dropping it closes them.
 pub struct RunningNode {
     pub node: Arc<Node>,
     pub caller_address: SocketAddr,
@@ -78,7 +78,7 @@
         running
     }
 
-    /// Waiting calls give up in time also when nothing else happens at the guard.
+    /// Polls admission, so that waiting calls time out even if no other call arrives or ends.
     fn poll_gate(&mut self) {
         let node = self.node.clone();
         self.tasks.spawn(async move {
@@ -104,8 +104,8 @@
     }
 }
 
-/// Asks the caller to open another connection, to another node, for its next call: one that is
-/// sent over a kept connection just when the process ends would be cut off.
+/// Makes the caller open a new connection, to another node, for its next call. A call sent over a
+/// kept connection just as the process ends would be interrupted.
 fn closing_while_draining(node: &Node, mut response: Response<Body>) -> Response<Body> {
     if node.is_draining() {
         let close = HeaderValue::from_static("close");
--- a/src/node/status.rs
+++ b/src/node/status.rs
@@ -1,4 +1,4 @@
-//! What an operator sees of one node.
+//! The status of one node, for operators.
 
 use std::collections::BTreeMap;
 
@@ -20,7 +20,7 @@
     pub region: Name,
     pub domain: Name,
     pub draining: bool,
-    /// The service of the local backend server, once it announced itself.
+    /// The service of the local backend server, once it has announced itself.
     pub service: Option<Name>,
     pub state: TargetState,
     pub preset: Option<Name>,
@@ -28,14 +28,15 @@
     pub in_flight: u32,
     pub limit: u32,
     pub queued: u32,
-    /// Slots of keys that this node owns, and of those the ones in which unseen keys may run now.
+    /// The key slots that this node owns, and how many of them accept unseen keys now.
     pub slots_owned: usize,
     pub slots_open: usize,
-    /// Keys that the ledger remembers.
+    /// The number of keys in the ledger.
     pub ledger_keys: usize,
-    /// Refusals given to callers since the start, without reasons that did not occur.
+    /// Refusals sent to callers since the start, by reason. Reasons that did not occur are left
+    /// out.
     pub entry_refusals: BTreeMap<Name, u64>,
-    /// Refusals given to other nodes since the start.
+    /// Refusals sent to other nodes since the start.
     pub guard_refusals: BTreeMap<Name, u64>,
     pub retries: BTreeMap<Name, u64>,
     pub cut_off_domains: Vec<Name>,
@@ -43,7 +44,7 @@
 }
 
 impl Status {
-    /// The status of a node at this moment, with all members that it knows.
+    /// The current status of a node, with all members that it knows.
     pub fn of(node: &Node) -> Self {
         let view = node.inputs.view.load();
         let mut members: Vec<Target> = view.nodes.values().map(|t| t.as_ref().clone()).collect();
@@ -54,7 +55,7 @@
         }
     }
 
-    /// The status of a node at this moment, for a list of many nodes.
+    /// The current status of a node, for a list of many nodes.
     pub fn without_members(node: &Node) -> Self {
         let view = node.inputs.view.load();
         let in_force = node.inputs.in_force.load();
@@ -86,7 +87,7 @@
     }
 }
 
-/// What the ledger says of itself; zeros while there is none.
+/// Figures of the ledger, or zeros if there is none.
 #[derive(Default)]
 pub(super) struct LedgerFigures {
     pub(super) slots_owned: usize,
--- a/src/node/targets.rs
+++ b/src/node/targets.rs
@@ -1,4 +1,4 @@
-//! First-hand figures of the targets, the choice among them, and the budgets of retries.
+//! Statistics of targets measured by this node, target selection, and retry budgets.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -25,14 +25,15 @@
 use crate::wire::AnswerHeader;
 use crate::wire::LoadReport;
 
-/// Retries in sum, in percent of first attempts.
+/// Retries in percent of first attempts.
 const BUDGET_PERCENT: u32 = 10;
-/// Retries that may follow each other without first attempts in between.
+/// Retries allowed in a row without first attempts in between.
 const BUDGET_BURST: u32 = 20;
 
-/// Routes whose usual time is remembered; beyond it all are learnt anew.
+/// The maximum number of routes whose usual latency is remembered. Beyond it, all are measured
+/// anew.
 const MAX_ROUTES: usize = 4_096;
-/// One part in this of each new run's time goes into the usual one of its route.
+/// Each new latency enters the usual latency of its route with a weight of one part in this.
 const SMOOTHING_DIVISOR: u64 = 32;
 
 #[derive(Default)]
@@ -40,17 +41,17 @@
     stats: FastMap<Name, TargetStats>,
     budgets: FastMap<Name, RetryBudget>,
     reach: DomainReachability,
-    /// How long runs of each route usually take, at whichever target, in microseconds.
+    /// The usual latency of each route over all targets, in microseconds.
     usual_us: FastMap<Name, u64>,
-    /// The change of the view up to which targets that are gone have been evicted.
+    /// The change counter of the view at the last eviction of removed targets.
     evicted_at_change: u64,
 }
 
-/// Shared by all calls. Bounded by the view: what is not in it any more is evicted.
+/// Shared by all calls. Bounded by the view: targets that are no longer in it are evicted.
 pub(crate) struct Targets {
     state: Mutex<TargetsState>,
     conf: PickerConf,
-    /// Changes whenever a failure domain has turned out to be out of reach.
+    /// Changes whenever a failure domain becomes unreachable.
     unreachable_changes: watch::Sender<()>,
 }
 
@@ -59,7 +60,7 @@
         Self::with_conf(PickerConf::default())
     }
 
-    /// Targets that are chosen in this way.
+    /// Creates targets with a configuration of the picker.
     pub(crate) fn with_conf(conf: PickerConf) -> Self {
         Self {
             state: Mutex::default(),
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Chooses a target that was not tried and counts the call as in flight there.
+    /// Selects a target that was not tried and counts the call as in flight there.
     pub(crate) fn take(
         &self,
         view: &View,
@@ -98,7 +99,7 @@
         picked
     }
 
-    /// Waits until the failure domain turns out to be out of reach.
+    /// Waits until the failure domain becomes unreachable.
     pub(crate) async fn wait_until_unreachable(&self, domain: &Name) {
         let mut unreachable_changes = self.unreachable_changes.subscribe();
         while unreachable_changes.changed().await.is_ok() {
@@ -109,14 +110,15 @@
         std::future::pending().await
     }
 
-    /// Counts a call as in flight at a target that was chosen otherwise.
+    /// Counts a call as in flight at a target that was selected by other means.
     pub(crate) fn enter(&self, node: &Name, now: TimeMs) {
         self.lock().stats_of(node, now).in_flight += 1;
     }
 
-    /// Takes in how hard calls press on one target of a service, and answers how hard they press on
-    /// the service, by all targets reported_pressures of lately; see [`TargetPressure::of_service`]. Where the target
-    /// `is_limited` by a rate, the largest that was not reported_pressures of counts as having room.
+    /// Records the pressure that one target of a service reported, and returns the pressure on the
+    /// service, from all targets that reported recently; see [`TargetPressure::of_service`]. If the
+    /// target `is_limited` by a rate, the largest target that has not reported counts as having
+    /// room.
     pub(crate) fn record_pressure(
         &self,
         view: &View,
@@ -145,15 +147,15 @@
         TargetPressure::of_service(reported_pressures.chain(with_room)).unwrap_or(reported.permille)
     }
 
-    /// How long answers of a target take; 0 while nothing is state.
+    /// The usual latency of a target's answers, or 0 while unknown.
     pub(crate) fn usual_latency_ms(&self, node: &Name) -> u64 {
         let state = self.lock();
         state.stats.get(node).map_or(0, TargetStats::latency_ms)
     }
 
-    /// Whether a target that was not tried has room, as far as is state. One that this node has sent
-    /// nothing yet counts as having room: calls stay in their failure domain, so targets of others are
-    /// strangers until they are needed.
+    /// Whether a target that was not tried has room, as far as known. A target to which this node
+    /// has sent nothing yet counts as having room: calls stay in their failure domain, so targets
+    /// of other domains are unknown until they are needed.
     pub(crate) fn has_room(&self, view: &View, service: &str, tried: &[Name], now: TimeMs) -> bool {
         let state = self.lock();
         view.targets(service)
@@ -165,7 +167,7 @@
             })
     }
 
-    /// Takes in the end of an attempt. `ran` is the route of a call that ran well.
+    /// Records the end of an attempt. `ran` is the route of a call that completed.
     pub(crate) fn ended(&self, node: &Name, end: AttemptOutcome, ran: Option<&Name>, now: TimeMs) {
         let mut state = self.lock();
         let state = &mut *state;
@@ -198,12 +200,12 @@
         }
     }
 
-    /// Notes a first attempt in the budget of its service.
+    /// Records a first attempt in the budget of its service.
     pub(crate) fn first_attempt(&self, service: &Name) {
         self.lock().budget_of(service).record_first_attempt();
     }
 
-    /// Takes a retry out of the budget of its service.
+    /// Takes a retry from the budget of its service.
     pub(crate) fn try_retry(&self, service: &Name) -> bool {
         self.lock().budget_of(service).try_retry()
     }
@@ -220,7 +222,7 @@
             .or_insert_with(|| TargetStats::new(now))
     }
 
-    /// A call of a route ran well at a target.
+    /// Records that a call of a route completed at a target.
     fn record_run(&mut self, node: &Name, route: &Name, took_ms: u64) {
         let took_us = took_ms.max(1) * 1_000;
         if self.usual_us.len() >= MAX_ROUTES {
@@ -261,20 +263,20 @@
     }
 }
 
-/// What an attempt showed of its target.
+/// What one attempt showed about its target.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct AttemptOutcome {
     pub(crate) report: Option<LoadReport>,
-    /// Which share of calls fails at the target, in thousandths.
+    /// The share of calls that fail at the target, in thousandths.
     pub(crate) failing_permille: u32,
     pub(crate) took_ms: u64,
-    /// The target was not reached or fell silent.
+    /// The target was unreachable or stopped answering.
     pub(crate) is_lost: bool,
-    /// Its guard takes no work at all: it drains, or its backend server is down.
+    /// Its guard accepts no work, since it drains or its backend server is down.
     pub(crate) is_closed: bool,
 }
 
-/// An attempt counted as in flight at its target until it has ended, however it ends.
+/// Counts an attempt as in flight at its target until it has ended, however it ends.
 pub(crate) struct InFlightAt {
     node: Arc<Node>,
     target: Name,
--- a/src/node/watched_body.rs
+++ b/src/node/watched_body.rs
@@ -1,4 +1,4 @@
-//! A streamed body that is counted against its announced length and tells how it ended.
+//! A streamed body that is checked against its announced length and reports how it ended.
 
 use std::io;
 use std::pin::Pin;
@@ -21,11 +21,11 @@
 /// How a streamed body ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BodyEnd {
-    /// All of it was passed on.
+    /// All of it was forwarded.
     Whole,
-    /// The sender broke off, or sent another length than announced.
+    /// The sender disconnected, or sent another length than announced.
     Broken,
-    /// The receiver went away.
+    /// The receiver disconnected.
     Dropped,
 }
 
@@ -36,14 +36,15 @@
     left_bytes: Option<u64>,
     on_end: Option<OnEnd>,
     stall: Duration,
-    /// Runs while the sender is waited for, and not while the receiver takes its time.
+    /// The stall timer. It runs while the sender is awaited, and not while the receiver is slow.
     waits: Option<Pin<Box<Sleep>>>,
 }
 
-/// Watches a body. Guards against an answer cut short that looks whole to its receiver: the body
-/// then ends in an error, upon which the HTTP library closes the connection without the last
-/// chunk or before the announced length, and every HTTP client sees that as a failure. A sender of which nothing comes for `stall_ms` counts
-/// as gone: its connection may have gone silent, and the receiver would wait for good.
+/// Wraps a body so that a truncated answer does not look complete to its receiver. A truncated body
+/// ends in an error. The HTTP library then closes the connection without the last chunk or before
+/// the announced length, which every HTTP client reports as a failure. If no data arrives for
+/// `stall_ms`, the sender counts as lost, since its connection may be half-open and the receiver
+/// would wait indefinitely.
 pub(super) fn watched(
     inner: Body,
     len: Option<u64>,
