--- a/tests/fake_chain/chain.rs
+++ b/tests/fake_chain/chain.rs
@@ -1,4 +1,4 @@
-//! The fake chain itself: an event queue over callers, entries, guards and backend servers.
+//! The simulation: an event queue over callers, entries, guards and backend servers.
 
 mod backend_servers;
 mod callers;
@@ -34,7 +34,7 @@
 const BASELINE_RETRIES: u32 = 3;
 const BASELINE_CONNECTIONS: usize = 700;
 const ENTRIES: usize = 3;
-/// Each class has a route of its own, so that a class that is shed brings no news of its route.
+/// Each class has its own route, so that a class that is shed reports no level for its route.
 const ROUTES: [&str; 4] = ["jobs", "charges", "notebooks", "lookups"];
 const SHALLOW: &str = "shallow";
 
@@ -43,7 +43,7 @@
     Arrival,
     /// An attempt of a root request reaches its entry.
     Send(usize),
-    /// The caller's patience with an attempt ends.
+    /// The caller's time-out for an attempt expires.
     GiveUp(usize, u32),
     Reach(usize),
     OwnWorkDone(usize),
@@ -60,7 +60,7 @@
     attempt: u32,
     sent_us: u64,
     over: bool,
-    /// Work done for the present attempt and for those before.
+    /// Work done for the current attempt, and for those before.
     work_us: u64,
     spent_us: u64,
 }
@@ -89,7 +89,7 @@
     dependencies: Dependencies,
     slots: usize,
     busy: usize,
-    /// What the backend server queues inside because it was given more than it can run.
+    /// The queue inside the backend server, of calls beyond its slots.
     inside: VecDeque<usize>,
 }
 
@@ -107,7 +107,7 @@
     report: Report,
 }
 
-/// Plays a scenario and reports what came of it.
+/// Runs a scenario and reports its outcome.
 pub fn run(scenario: &Scenario) -> Report {
     let mut chain = Chain::new(scenario);
     chain.after(0, Event::Arrival);
--- a/tests/fake_chain/chain/backend_servers.rs
+++ b/tests/fake_chain/chain/backend_servers.rs
@@ -1,4 +1,4 @@
-//! What backend servers do with calls that were admitted.
+//! How backend servers run admitted calls.
 
 use sassafrasgap::admission::CallOutcome;
 use sassafrasgap::admission::Completion;
--- a/tests/fake_chain/chain/callers.rs
+++ b/tests/fake_chain/chain/callers.rs
@@ -1,4 +1,4 @@
-//! The side of the callers: requests that arrive, and attempts that end one way or another.
+//! The callers: arriving requests, and the end of their attempts.
 
 use sassafrasgap::core::Priority;
 use sassafrasgap::core::RequestId;
--- a/tests/fake_chain/mod.rs
+++ b/tests/fake_chain/mod.rs
@@ -1,7 +1,7 @@
-//! A fake chain of services in virtual time that drives the pure admission code.
+//! A simulated chain of services in virtual time that drives the pure admission code.
 //!
-//! It stands in for what is outside the decisions: callers that resend, backend servers with slots
-//! and service times, and the delay between nodes. It decides nothing itself.
+//! It replaces everything outside the decisions: callers that resend, backend servers with slots
+//! and service times, and the delay between nodes. It makes no decisions itself.
 
 #![allow(dead_code)]
 
--- a/tests/fake_chain/report.rs
+++ b/tests/fake_chain/report.rs
@@ -1,11 +1,11 @@
-//! What came of a run.
+//! The outcome of a run.
 
 use super::scenario::Scenario;
 
 const BIN_MS: u64 = 100;
 const SPAN_MS: u64 = 500;
 
-/// One root request that was completed in time.
+/// A root request that was completed in time.
 #[derive(Clone, Copy, Debug)]
 pub struct Done {
     pub at_ms: u64,
@@ -14,7 +14,7 @@
     pub class: usize,
 }
 
-/// One root request that its caller gave up.
+/// A root request that its caller gave up.
 #[derive(Clone, Copy, Debug)]
 pub struct Lost {
     pub first_sent_ms: u64,
@@ -28,7 +28,7 @@
     pub lost: Vec<Lost>,
     pub work_us: u64,
     pub wasted_us: u64,
-    /// Attempts that the entries let pass.
+    /// Attempts that the entries admitted.
     pub entered: u64,
     /// Calls that backend servers ran.
     pub runs: u64,
@@ -44,12 +44,12 @@
         count as f64 * 1e3 / (to_ms - from_ms) as f64
     }
 
-    /// Goodput of the surge, without its first second.
+    /// Goodput of the surge without its first second.
     pub fn surge_goodput(&self, scenario: &Scenario) -> f64 {
         self.goodput(scenario.surge_from_ms + 1_000, scenario.surge_to_ms)
     }
 
-    /// Goodput of the last part of the surge: what a lasting overload settles to.
+    /// Work done for attempts that failed, in percent of all work.
     pub fn wasted_percent(&self) -> f64 {
         self.wasted_us as f64 * 100.0 / self.work_us.max(1) as f64
     }
@@ -60,7 +60,8 @@
         (self.runs as f64 - useful) * 100.0 / self.runs as f64
     }
 
-    /// The share of the root requests of a class, first sent in the surge, that were lost.
+    /// The share of lost requests among the root requests of a class that were first sent in the
+    /// surge, in percent.
     pub fn lost_percent(&self, class: usize, scenario: &Scenario) -> f64 {
         let from = scenario.surge_from_ms;
         let to = scenario.surge_to_ms;
@@ -77,7 +78,7 @@
         lost * 100.0 / (done.count() as f64 + lost).max(1.0)
     }
 
-    /// The given percentile of the latency of what was done between two times.
+    /// A percentile of the latency of requests completed between two times.
     pub fn latency_us(&self, percentile: usize, from_ms: u64, to_ms: u64) -> u64 {
         let mut all: Vec<u64> = self
             .done_between(from_ms, to_ms)
@@ -88,8 +89,8 @@
         all.get(index).copied().unwrap_or(0)
     }
 
-    /// Time from the end of the surge to the first half second in which goodput is 95% of what it
-    /// was before and the 99th percentile is within twice the ordinary one.
+    /// The time from the end of the surge to the first half second in which goodput is 95% of that
+    /// before the surge and the 99th percentile is at most twice the ordinary one.
     pub fn recovery_ms(&self, scenario: &Scenario) -> u64 {
         let mut at = scenario.surge_to_ms;
         while at + SPAN_MS < scenario.end_ms && !self.is_ordinary(at, scenario, 95, 2) {
@@ -98,7 +99,7 @@
         at - scenario.surge_to_ms
     }
 
-    /// Whether any second later than two seconds after the surge is bad again.
+    /// The number of half seconds, from two seconds after the surge on, that are degraded again.
     pub fn relapses(&self, scenario: &Scenario) -> usize {
         let from = scenario.surge_to_ms + 2_000;
         let starts = (from..scenario.end_ms - SPAN_MS).step_by(SPAN_MS as usize);
@@ -115,7 +116,7 @@
         enough && self.latency_us(99, from_ms, to_ms) <= times * ordinary_p99
     }
 
-    /// Attempts of root requests that failed in ordinary times, in percent of requests.
+    /// Attempts of root requests that failed under ordinary load, in percent of completed requests.
     pub fn ordinary_failures_percent(&self, scenario: &Scenario) -> f64 {
         let ordinary = |at: &&u64| (scenario.settled_ms..scenario.surge_from_ms).contains(*at);
         let failed = self.failed_at_ms.iter().filter(ordinary).count();
--- a/tests/fake_chain/scenario.rs
+++ b/tests/fake_chain/scenario.rs
@@ -1,6 +1,6 @@
-//! What happens to the fake chain: load, slowness and how callers behave.
+//! A scenario of the simulated chain: load, slowness and the behaviour of callers.
 
-/// The order of waiting calls of one class, brought about by the rank that calls are given.
+/// The order of waiting calls of one class, set by the rank given to calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Order {
     Rank,
@@ -9,38 +9,38 @@
     Deadline,
 }
 
-/// How much of the product takes part.
+/// The parts of the overload control that are enabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Control {
-    /// Forward everything, three retries a hop.
+    /// Forwards all calls, with three retries per hop.
     Baseline,
-    /// Admission at guards, no levels.
+    /// Admission at guards, without levels.
     Local,
-    /// Admission at guards, and levels learnt from answers.
+    /// Admission at guards, with levels reported in answers.
     Levels,
 }
 
-/// One run.
+/// The parameters of one run.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub seed: u64,
     pub depth: usize,
     pub control: Control,
     pub order: Order,
-    /// Offered load of the surge, in percent of what the slowed deep service can run.
+    /// The offered load of the surge, in percent of the capacity of the slowed deep service.
     pub surge_percent: u64,
-    /// How much longer the deep service takes during the surge, in percent of its ordinary time.
+    /// The service time of the deep service during the surge, in percent of its ordinary time.
     pub slow_percent: u64,
-    /// From when on the start has no more effect.
+    /// The time from which effects of the start are over.
     pub settled_ms: u64,
     pub surge_from_ms: u64,
     pub surge_to_ms: u64,
     pub end_ms: u64,
-    /// How often and how soon callers resend; they heed no Retry-After unless `polite`.
+    /// How often and how soon callers resend. They ignore Retry-After unless `polite`.
     pub resends: u32,
     pub resend_ms: u64,
     pub polite: bool,
-    /// Share of root requests that stay at the first service, in percent.
+    /// The share of root requests that stay at the first service, in percent.
     pub shallow_percent: u64,
     pub targets: usize,
     pub slots: usize,
@@ -48,22 +48,22 @@
     pub announced_percent: u32,
     pub own_us: u64,
     pub deep_us: u64,
-    /// The part of service times that varies, exponentially, in percent.
+    /// The exponentially distributed part of service times, in percent.
     pub spread_percent: u64,
-    /// The deep backend servers shed what exceeds their slots instead of queueing it inside.
+    /// The deep backend servers shed calls beyond their slots instead of queueing them.
     pub sheds: bool,
-    /// One deep target joins at this time, cold: until `warm_ms` it takes four times as long.
+    /// One deep target joins cold at this time. Until `warm_ms` it takes four times as long.
     pub joins_ms: u64,
     pub warm_ms: u64,
-    /// Resends come as new requests, so that each has a rank of its own.
+    /// Resends are new requests, so that each has its own rank.
     pub new_rank: bool,
     /// The share of each class in percent, most important first.
     pub classes: [u64; 4],
 }
 
-/// Longest wait of each class, most important first.
+/// The maximum wait of each class, most important first.
 pub const WAIT_MS: [u32; 4] = [2_000, 1_000, 500, 200];
-/// Deadline of each class, most important first.
+/// The deadline of each class, most important first.
 pub const DEADLINE_MS: [u64; 4] = [8_000, 4_000, 3_000, 2_000];
 
 impl Default for Scenario {
@@ -73,7 +73,7 @@
 }
 
 impl Scenario {
-    /// The scenario that the others are variants of.
+    /// The base scenario, of which the others are variants.
     pub const ORDINARY: Self = Self {
         seed: 1,
         depth: 4,
@@ -103,17 +103,17 @@
         classes: [10, 20, 30, 40],
     };
 
-    /// What the deep service can run in a second, ordinarily.
+    /// The ordinary capacity of the deep service, in calls per second.
     pub fn capacity(&self) -> f64 {
         (self.targets * self.deep_slots) as f64 * 1e6 / self.deep_us as f64
     }
 
-    /// What it can run in a second while it is slow.
+    /// The capacity of the slowed deep service, in calls per second.
     pub fn slow_capacity(&self) -> f64 {
         self.capacity() * 100.0 / self.slow_percent as f64
     }
 
-    /// Deep root requests offered per second at a time.
+    /// The offered rate of deep root requests at a time, per second.
     pub fn rate(&self, now_ms: u64) -> f64 {
         if self.in_surge(now_ms) {
             self.slow_capacity() * self.surge_percent as f64 / 100.0
@@ -122,7 +122,7 @@
         }
     }
 
-    /// The load before and after the surge: seven tenths of what could be run.
+    /// The load before and after the surge: 70% of the capacity.
     pub fn ordinary_rate(&self) -> f64 {
         self.capacity() * 0.7
     }
--- a/tests/node_answers.rs
+++ b/tests/node_answers.rs
@@ -1,4 +1,4 @@
-//! Callers get the whole answer to their own call, or an error that looks like one.
+//! Callers get the complete answer to their own call, or an error.
 
 mod support;
 
@@ -51,22 +51,22 @@
     Response::new(full_body(text))
 }
 
-/// How a peer answers in the place of a guard.
+/// The fault in the answer of a peer that stands in for a guard.
 #[derive(Clone, Copy, Debug)]
-enum Lie {
+enum AnswerFault {
     OtherAttempt,
     OtherLength,
     NoHeader,
     OtherVersion,
 }
 
-async fn lying_peer(lie: Lie) -> SocketAddr {
+async fn faulty_peer(fault: AnswerFault) -> SocketAddr {
     let listener = bind(loopback()).await.expect("a port is free");
     let address = listener.local_addr().expect("the port is bound");
     tokio::spawn(serve(listener, move |request, _| async move {
         let call = CallHeader::from_headers(request.headers()).expect("a node sends it");
         let mut response = Response::new(full_body("for another caller"));
-        if let Some(value) = lying_header(lie, &call) {
+        if let Some(value) = faulty_header(fault, &call) {
             let value = HeaderValue::from_str(&value).expect("base64");
             response.headers_mut().insert("sassafrasgap-answer", value);
         }
@@ -75,7 +75,7 @@
     address
 }
 
-fn lying_header(lie: Lie, call: &CallHeader) -> Option<String> {
+fn faulty_header(fault: AnswerFault, call: &CallHeader) -> Option<String> {
     let mut header = AnswerHeader {
         attempt: call.attempt,
         run_state: RunState::Ran,
@@ -87,29 +87,29 @@
         body_len: Some(18),
         owner: None,
     };
-    match lie {
-        Lie::OtherAttempt => header.attempt = AttemptId(7),
-        Lie::OtherLength => header.body_len = Some(19),
-        Lie::NoHeader => return None,
-        Lie::OtherVersion => return Some("Ag".to_owned()),
+    match fault {
+        AnswerFault::OtherAttempt => header.attempt = AttemptId(7),
+        AnswerFault::OtherLength => header.body_len = Some(19),
+        AnswerFault::NoHeader => return None,
+        AnswerFault::OtherVersion => return Some("Ag".to_owned()),
     }
     Some(header.encode())
 }
 
-/// Something between two nodes mixes up answers, or a peer has a fault: the answer that comes is
-/// that of another call, or not all of it. The caller must get neither. An idempotent call goes to
-/// another target; of a non-idempotent one nobody knows whether it ran.
+/// A relay mixes up answers, or a peer has a fault, so the answer belongs to another call or is
+/// incomplete. The caller must not receive it. An idempotent call goes to another target. Of a
+/// non-idempotent one it is unknown whether it ran.
 #[rstest]
-#[case::other_attempt(Lie::OtherAttempt)]
-#[case::other_length(Lie::OtherLength)]
-#[case::no_header(Lie::NoHeader)]
-#[case::other_version(Lie::OtherVersion)]
+#[case::other_attempt(AnswerFault::OtherAttempt)]
+#[case::other_length(AnswerFault::OtherLength)]
+#[case::no_header(AnswerFault::NoHeader)]
+#[case::other_version(AnswerFault::OtherVersion)]
 #[tokio::test]
-async fn a_wrong_answer_is_never_passed_on(#[case] lie: Lie) {
+async fn a_wrong_answer_is_never_passed_on(#[case] fault: AnswerFault) {
     let mut mesh = TestMesh::new();
     let entry = mesh.add("one", "menus", hello).await;
-    mesh.add_stranger("two", "orders", lying_peer(lie).await);
-    mesh.add_stranger("three", "orders", lying_peer(lie).await);
+    mesh.add_external_target("two", "orders", faulty_peer(fault).await);
+    mesh.add_external_target("three", "orders", faulty_peer(fault).await);
     let read = mesh.get(entry, "/orders/7").await;
     assert_eq!(read.status, 503, "{read:?}");
     assert_eq!(read.header("sassafrasgap-outcome"), "unknown");
@@ -138,8 +138,9 @@
     address
 }
 
-/// A backend server breaks off in the middle of its answer, or announces no length at all, so that
-/// its end cannot be told from a break. The caller must not take the part for the whole.
+/// A backend server disconnects in the middle of its answer, or sends no length, so that the end
+/// cannot be told from a broken connection. The caller must not take the truncated answer for a
+/// complete one.
 #[rstest]
 #[case::shorter("HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nfour")]
 #[case::chunks_cut("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nfour\r\n")]
@@ -170,7 +171,8 @@
     assert_eq!(&got.body[..], b"four");
 }
 
-/// Nothing listens where the backend server was: no call was started, and that is said.
+/// Nothing listens at the backend server's address, so no call was started and the refusal says
+/// `not_run`.
 #[tokio::test]
 async fn a_backend_server_that_is_down_did_not_run_it() {
     let mut mesh = TestMesh::new();
@@ -207,8 +209,9 @@
     Response::new(body.boxed_unsync())
 }
 
-/// An archive is streamed, and its backend server fails after 300 KB. The caller has the head of a
-/// success already; the break must reach it as one, or it keeps a cut archive for a whole one.
+/// The backend server of a streamed answer fails after 300 KB, when the caller already has a
+/// successful head. The caller must see an error, or it takes the truncated answer for a complete
+/// one.
 #[tokio::test]
 async fn a_streamed_answer_that_breaks_off_breaks_the_callers_connection() {
     let mut mesh = TestMesh::new();
@@ -228,8 +231,8 @@
     Response::new(body.boxed_unsync())
 }
 
-/// An archive is streamed, and after 300 KB nothing more comes, though no connection is closed. An
-/// analyst who waits for it loses the afternoon. The stream is broken off visibly after a while.
+/// A streamed answer stalls after 300 KB without a closed connection. It must be aborted with a
+/// visible error, or the caller waits indefinitely.
 #[tokio::test]
 async fn a_streamed_answer_that_stalls_is_broken_off() {
     let mut mesh = TestMesh::new();
--- a/tests/node_bad_input.rs
+++ b/tests/node_bad_input.rs
@@ -1,4 +1,5 @@
-//! What callers and other nodes send that is wrong: a typed refusal, counted, and nothing crashes.
+//! Invalid input of callers and other nodes is refused with a reason and counted, and nothing
+//! crashes.
 
 mod support;
 
@@ -25,7 +26,7 @@
 use support::test_mesh::Got;
 use support::test_mesh::TestMesh;
 
-/// Answers with the internal headers that it was given, and counts its runs.
+/// A backend server that answers with the internal headers it received and counts its runs.
 struct Backend {
     runs: Arc<AtomicU32>,
 }
@@ -67,8 +68,8 @@
     assert!(!got.header("retry-after").is_empty());
 }
 
-/// A caller claims a class, an allotment and the identity of a live call. If it were believed, it
-/// could outrank billing and multiply its retries. The entry drops what it must not set.
+/// A caller sets a class, an allotment and the context of a live call. If they were trusted, it
+/// could outrank billing and multiply its retries. The entry drops internal headers.
 #[tokio::test]
 async fn forged_internal_headers_are_dropped_and_counted() {
     let (mesh, _) = Backend::mesh().await;
@@ -117,8 +118,8 @@
     assert_eq!(backend.runs(), 0);
 }
 
-/// A key that no ledger takes must not be left out silently: the order would run without it, and
-/// twice when it is sent again.
+/// A key that no ledger accepts must not be ignored silently. The order would run without it, and a
+/// second time when it is sent again.
 #[rstest]
 #[case::too_long(&["k"; 1], 300)]
 #[case::twice(&["a", "b"], 1)]
@@ -147,8 +148,8 @@
     assert_eq!(backend.runs(), 0);
 }
 
-/// A caller announces ten bytes, sends four and goes away. If the four were passed on, half an
-/// order would run. The entry waits for the announced length and drops the call.
+/// A caller announces ten bytes, sends four and disconnects. If the four bytes were forwarded, half
+/// an order would run. The entry waits for the announced length and drops the call.
 #[tokio::test]
 async fn a_request_cut_short_never_reaches_the_backend_server() {
     let (mesh, backend) = Backend::mesh().await;
@@ -168,13 +169,13 @@
     assert_eq!(backend.runs(), 0);
 }
 
-/// A header with a version and no message after it.
+/// Encodes a header that has a version and no message.
 fn version_byte(version: u8) -> String {
     URL_SAFE_NO_PAD.encode([version])
 }
 
-/// A node of another protocol version forwards a call. Misread, it would run under wrong terms. The
-/// guard refuses it in plain headers, which every version understands.
+/// A node of another protocol version forwards a call. If it were decoded wrongly, it would run
+/// with wrong settings. The guard refuses it in plain headers, which every version understands.
 #[rstest]
 #[case::other_version(version_byte(PROTOCOL_VERSION + 1), RefusalReason::PeerVersion)]
 #[case::earlier_version(version_byte(PROTOCOL_VERSION - 1), RefusalReason::PeerVersion)]
--- a/tests/node_child_keys.rs
+++ b/tests/node_child_keys.rs
@@ -1,4 +1,4 @@
-//! Keys of calls that a backend server makes on behalf of a keyed call.
+//! Keys of child calls that a backend server makes on behalf of a keyed call.
 
 mod support;
 
@@ -22,8 +22,8 @@
 
 const PARENT_KEY: &str = "job-1";
 
-/// Calls on with `child_key` in the received context, `times` times, and repeats the last status.
-async fn call_on(
+/// Makes `times` child calls with `child_key` in the received context and returns the last status.
+async fn call_child(
     request: Request<Body>,
     local: SocketAddr,
     child_key: &'static str,
@@ -50,7 +50,7 @@
     Response::new(full_body("deep"))
 }
 
-/// Puts the ledger of one node into its grace period, as after a take-over.
+/// Starts the grace period of one node's ledger, as after a take-over.
 fn begin_grace(mesh: &TestMesh, place: usize) {
     let claims = mesh.nodes[place].node.inputs.claims.as_ref();
     let ledger = claims.and_then(|claims| claims.ledger()).expect("a ledger");
@@ -71,9 +71,9 @@
     mesh.send(request).await
 }
 
-/// A user sees jobs fail for the length of the resend window after one scheduler crashed, though it
-/// is back at once. The new owner of its slots refuses every key that it has not seen. Cause: it
-/// cannot tell a first sending from a resend; the parent's node can, when the key is the parent's.
+/// After a crash of one scheduler, the new owner of its slots refuses unseen keys, and jobs fail
+/// for the length of the resend window. The owner cannot tell a first attempt from a resend. The
+/// parent's node can, if the key extends the parent's key.
 #[rstest]
 #[case::own_key("job-1/deep", 1, 200)]
 #[case::key_of_another_call("job-2/deep", 1, 503)]
@@ -88,7 +88,7 @@
     let mut mesh = TestMesh::new();
     let front = mesh
         .add("front-1", "front", move |request, local| {
-            call_on(request, local, child_key, times)
+            call_child(request, local, child_key, times)
         })
         .await;
     let deep = mesh.add("deep-1", "deep", answer_at_once).await;
@@ -97,8 +97,8 @@
     assert_eq!(got.status, status, "{got:?}");
 }
 
-/// A user's own key is refused during the grace period, whatever its looks: an earlier sending of
-/// it may have reached the owner that crashed.
+/// A root key is refused during the grace period whatever its form, since an earlier attempt may
+/// have reached the owner that crashed.
 #[tokio::test]
 async fn a_root_key_waits_for_the_end_of_the_grace_period() {
     let mut mesh = TestMesh::new();
@@ -109,15 +109,15 @@
     assert_eq!(got.header(headers::OUTCOME), "unknown");
 }
 
-/// A user is told that a job was not run and sends it again: a charge is made twice. The backend
-/// server made the charge on behalf of the job and then answered that it had shed it unstarted.
-/// Cause: its word was believed over the calls that passed the node.
+/// A backend server makes a charge on behalf of a job and then claims that it shed the job
+/// unstarted. If the claim overrode the child call that the node recorded, the job would be
+/// reported as not run, and the charge made twice when it is sent again.
 #[tokio::test]
-async fn a_call_that_called_on_was_not_shed_before_its_start() {
+async fn a_call_with_child_calls_was_not_shed_before_its_start() {
     let mut mesh = TestMesh::new();
     let front = mesh
         .add("front-1", "front", |request, local| async move {
-            call_on(request, local, "job-1/deep", 1).await;
+            call_child(request, local, "job-1/deep", 1).await;
             Response::builder()
                 .status(503)
                 .header(headers::SHED, "1")
--- a/tests/node_faults.rs
+++ b/tests/node_faults.rs
@@ -1,4 +1,5 @@
-//! Real processes: a planned stop of a node under load, and a request that crashes backend servers.
+//! Planned stop of a node under load, and a request that crashes backend servers, with real
+//! processes.
 
 mod mesh_support;
 
@@ -18,11 +19,11 @@
 use mesh_support::start;
 
 const CALLERS: usize = 8;
-/// The time a call takes, so that many are in flight when the node is stopped.
+/// The duration of a call, chosen so that many are in flight when the node is stopped.
 const CALL_MS: f64 = 150.0;
 const EXIT_WAIT_MS: u64 = 15_000;
 
-/// Calls one entry again and again, reads and orders in turn, and returns the calls that failed.
+/// Calls one entry repeatedly, alternating reads and orders, and returns the calls that failed.
 async fn call_repeatedly(web: Web, entry: SocketAddr, calls: usize) -> Vec<String> {
     let mut failed = Vec::new();
     for call in 0..calls {
@@ -41,9 +42,9 @@
     failed
 }
 
-/// An operator stops a node while calls run at its backend server and more keep coming through the
-/// other nodes. A stop that breaks connections cuts off what is in flight; one that only stops to
-/// listen loses what is on its way. Every call must get its answer.
+/// An operator stops a node while calls run at its backend server and more arrive through other
+/// nodes. A stop that closes connections interrupts calls in flight, and one that only stops
+/// listening loses calls on their way. Every call must be answered.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_cuts_off_no_call() {
     let mut plan = menus_plan();
@@ -69,7 +70,7 @@
     assert!(mesh.runs().starts_of("menus", "/0") > 0);
 }
 
-/// Sends a request through one entry, whatever becomes of it.
+/// Sends a request through one entry and returns the reason or error.
 async fn send_poison(mesh: &Mesh, entry: usize) -> String {
     let uri = mesh.targets[entry].caller_uri("/menus/poison/7");
     let got = mesh.web.send(Method::GET, &uri, &[], Bytes::new()).await;
@@ -79,9 +80,9 @@
     )
 }
 
-/// One request crashes each backend server that runs it, and its caller sends it again through one
-/// node after the other, each time as a new request. Without memory of it, every backend server of
-/// the service goes down. Two crashes at most, and other work goes on.
+/// One request crashes each backend server that runs it, and its caller sends it again through
+/// other nodes, each time as a new request. Without a record of it, all backend servers of the
+/// service go down. At most two may crash, and other requests must succeed.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_poisoned_request_crashes_two_backend_servers_at_most() {
     let mut mesh = start(menus_plan()).await;
--- a/tests/node_path.rs
+++ b/tests/node_path.rs
@@ -1,4 +1,4 @@
-//! The whole way of a call: caller, entry, guard, backend server, its local node, next guard.
+//! The complete path of a call: caller, entry, guard, backend server, its local node, next guard.
 
 mod support;
 
@@ -35,7 +35,7 @@
     Response::new(full_body(text))
 }
 
-/// Calls `catalogue` on behalf of the request that it serves.
+/// Calls `catalogue` on behalf of the request being served.
 async fn notebooks(request: Request<Body>, local: SocketAddr) -> Response<Body> {
     let child = Request::get(format!("http://{local}/catalogue/sets?of=7"))
         .header(
--- a/tests/node_rate_limit.rs
+++ b/tests/node_rate_limit.rs
@@ -1,4 +1,4 @@
-//! A backend server that names a rate in its answers, on the product's own interface.
+//! A backend server that advertises a rate in its answers, on this product's own interface.
 
 mod support;
 
@@ -19,7 +19,7 @@
 
 const WINDOW: Duration = Duration::from_secs(4);
 
-/// What a backend server does: the rate that it names, and when calls arrived.
+/// The state of a backend server: the rate it advertises, and when calls arrived.
 #[derive(Clone, Default)]
 struct Limited {
     rate: Arc<Mutex<Option<&'static str>>>,
@@ -38,11 +38,11 @@
         answer
     }
 
-    fn name(&self, rate: Option<&'static str>) {
+    fn advertise(&self, rate: Option<&'static str>) {
         *self.rate.lock().unwrap() = rate;
     }
 
-    fn most_in_a_window(&self) -> usize {
+    fn max_in_window(&self) -> usize {
         let arrived = self.arrived.lock().unwrap();
         let within = |first: &Instant| {
             let last = *first + WINDOW;
@@ -64,11 +64,11 @@
     (mesh, entry, limited)
 }
 
-/// Guards against a backend server that names a rate and gets all that it got before.
+/// Fails if a backend server that advertises a rate still gets all calls.
 #[tokio::test]
-async fn a_named_rate_bounds_what_the_backend_server_gets() {
+async fn an_advertised_rate_limits_calls_to_the_backend_server() {
     let (mesh, entry, limited) = mesh().await;
-    limited.name(Some("5"));
+    limited.advertise(Some("5"));
     assert_eq!(mesh.get(entry, "/orders/first").await.status, 200);
     let mesh = &mesh;
     let sends = (0..220_u32).map(|order| async move {
@@ -87,18 +87,18 @@
             refused += 1;
         }
     }
-    let most = limited.most_in_a_window();
-    assert!(most <= 35, "{most} of 35");
+    let max = limited.max_in_window();
+    assert!(max <= 35, "{max} of 35");
     assert!(refused > 100, "{refused}");
 }
 
-/// Guards against a limit that stays after the backend server named none any more.
+/// Fails if the limit stays in force after the backend server stops advertising it.
 #[tokio::test]
-async fn a_rate_that_is_named_no_more_bounds_nothing() {
+async fn a_withdrawn_rate_limits_nothing() {
     let (mesh, entry, limited) = mesh().await;
-    limited.name(Some("5"));
+    limited.advertise(Some("5"));
     assert_eq!(mesh.get(entry, "/orders/first").await.status, 200);
-    limited.name(None);
+    limited.advertise(None);
     let mut served_in_row = 0;
     for order in 0..100 {
         let status = mesh.get(entry, &format!("/orders/{order}")).await.status;
--- a/tests/node_retries.rs
+++ b/tests/node_retries.rs
@@ -1,4 +1,4 @@
-//! Attempts of one root stay within calls plus allotment, and resends join.
+//! Attempts of a root are bounded by its calls plus its allotment, and resends join a running call.
 
 mod support;
 
@@ -24,29 +24,36 @@
 
 use support::test_mesh::TestMesh;
 
-/// What a call tree did.
+/// Counts of a call tree.
 #[derive(Debug, Default)]
 struct Tree {
     calls: u64,
     attempts: u64,
 }
 
-/// What random says of each attempt: it fails, and its answer, with the unused share, is lost.
-struct Luck {
+/// Random faults of attempts: an attempt fails, or its answer is lost together with the unused
+/// share.
+struct RandomFaults {
     random: fastrand::Rng,
     failure_percent: u8,
     lost_percent: u8,
 }
 
-impl Luck {
+impl RandomFaults {
     fn draw(&mut self, percent: u8) -> bool {
         self.random.u8(..100) < percent
     }
 }
 
-/// Plays a call with its children as guards and entries do: a share goes along with each attempt,
-/// what is left of it comes back unless the answer is lost, and each further attempt is paid for.
-fn play(depth: u8, fan_out: u8, holder: &mut Allotment, luck: &mut Luck, tree: &mut Tree) {
+/// Simulates a call with its children like guards and entries. A share goes with each attempt, its
+/// unused part is returned unless the answer is lost, and each retry is charged.
+fn simulate_call(
+    depth: u8,
+    fan_out: u8,
+    holder: &mut Allotment,
+    faults: &mut RandomFaults,
+    tree: &mut Tree,
+) {
     tree.calls += 1;
     loop {
         tree.attempts += 1;
@@ -54,16 +61,16 @@
         let mut own = Allotment::new(share);
         if depth > 1 {
             for _ in 0..fan_out {
-                play(depth - 1, fan_out, &mut own, luck, tree);
+                simulate_call(depth - 1, fan_out, &mut own, faults, tree);
             }
         }
-        let unused = if luck.draw(luck.lost_percent) {
+        let unused = if faults.draw(faults.lost_percent) {
             0
         } else {
             own.left()
         };
         holder.take_back(share, unused);
-        if !luck.draw(luck.failure_percent) || !holder.spend() {
+        if !faults.draw(faults.failure_percent) || !holder.spend() {
             return;
         }
     }
@@ -72,9 +79,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, ..ProptestConfig::default() })]
 
-    /// Every hop of a deep chain fails and retries. Three retries a hop are 65,536 attempts at
-    /// depth 8. With one allotment for the whole tree, further attempts are bounded by it; calls
-    /// made anew below a repeated attempt are calls of that attempt.
+    /// Every hop of a deep chain fails and retries. With three retries per hop, depth 8 gives
+    /// 65,536 attempts. With one allotment for the whole tree, retries are bounded by the
+    /// allotment. Calls made again below a retried attempt count as calls of that attempt.
     #[test]
     fn attempts_are_calls_plus_allotment_at_most(
         seed: u64,
@@ -85,17 +92,18 @@
         lost_percent in 0_u8..=100,
     ) {
         let random = fastrand::Rng::with_seed(seed);
-        let mut luck = Luck { random, failure_percent, lost_percent };
+        let mut faults = RandomFaults { random, failure_percent, lost_percent };
         let mut root = Allotment::new(granted);
         let mut tree = Tree::default();
-        play(depth, fan_out, &mut root, &mut luck, &mut tree);
+        simulate_call(depth, fan_out, &mut root, &mut faults, &mut tree);
         let bound = tree.calls + u64::from(granted);
         prop_assert!(tree.attempts <= bound, "{tree:?} granted={granted}");
     }
 
-    /// A child claims to have left more than it was given. Believed, it would make allotment.
+    /// A child reports more unused allotment than it was given. If accepted, this would create
+    /// allotment.
     #[test]
-    fn allotment_is_never_made(granted in 0_u16..40, claims in proptest::collection::vec(0_u16..100, 0..20)) {
+    fn allotment_is_never_created(granted in 0_u16..40, claims in proptest::collection::vec(0_u16..100, 0..20)) {
         let mut holder = Allotment::new(granted);
         for claim in claims {
             let share = holder.hand_out();
@@ -105,9 +113,8 @@
     }
 }
 
-/// Every target sheds what it gets, and each hop would try again. The backend servers must see one
-/// attempt for each call plus the allotment at most, and overload is no reason for another attempt
-/// at a target without room.
+/// All targets shed, and each hop could retry. The backend servers must see at most one attempt per
+/// call plus the allotment, and overload must not cause a retry at a target without room.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_chain_that_sheds_is_not_flooded() {
     let runs = Arc::new(AtomicU32::new(0));
@@ -135,10 +142,10 @@
     response
 }
 
-/// One target's node is gone but still known. The call must reach the other one, also when it is
+/// One target's node is gone but still listed. The call must reach the other target, also if it is
 /// non-idempotent: no connection was made, so nothing was started.
 #[tokio::test]
-async fn a_target_that_cannot_be_reached_is_passed_over() {
+async fn an_unreachable_target_is_skipped() {
     let mut mesh = TestMesh::new();
     mesh.add("one", "menus", |_, _| async {
         Response::new(full_body(""))
@@ -149,7 +156,7 @@
     })
     .await;
     let gone = SocketAddr::from(([127, 0, 0, 1], 1));
-    mesh.add_stranger("three", "orders", gone);
+    mesh.add_external_target("three", "orders", gone);
     for _ in 0..8 {
         let got = mesh.post(0, "/orders/7", "two sacks").await;
         assert_eq!(&got.body[..], b"ran", "{got:?}");
@@ -157,8 +164,8 @@
     assert!(mesh.nodes[0].node.metrics.retries(RetryReason::Unreachable) <= 8);
 }
 
-/// A backend server calls on without naming the call that it works for. Its call is a root of its
-/// own then, and must get no retries: they would not be bounded by the allotment of the real root.
+/// A backend server makes a call without the context of its parent. The call is then a root of its
+/// own and must get no retries, which the allotment of the real root would not bound.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_call_without_context_gets_no_retries() {
     let mut mesh = TestMesh::new();
@@ -168,7 +175,7 @@
     .await;
     let gone = SocketAddr::from(([127, 0, 0, 1], 1));
     for name in ["two", "three"] {
-        mesh.add_stranger(name, "orders", gone);
+        mesh.add_external_target(name, "orders", gone);
     }
     let uri = format!("http://{}/orders/7", mesh.nodes[0].local_address);
     let got = mesh
@@ -180,8 +187,8 @@
     assert_eq!(metrics.retries(RetryReason::Unreachable), 0);
 }
 
-/// A caller sends an order, hears nothing for a while and sends it again, through another node and
-/// while the first still runs; later once more. It runs once, and all three get its answer.
+/// A caller resends an order through another node while the first attempt runs, and once more
+/// later. The order must run once, and all three get its answer.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn resends_with_the_key_of_a_live_call_join_it() {
     let runs = Arc::new(AtomicU32::new(0));
@@ -221,8 +228,8 @@
     assert_eq!(metrics.repeated_answers.get(), 1);
 }
 
-/// A caller sends an order without a key and goes away while it runs. To break it off would leave
-/// it half done; it runs to its end. A read is cancelled instead: nobody wants it any more.
+/// A caller sends an order without a key and disconnects while it runs. Cancelling would leave it
+/// half done, so it must run to its end. A read must be cancelled instead.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn an_order_runs_to_its_end_though_its_caller_went_away() {
     let ended = Arc::new(AtomicU32::new(0));
--- a/tests/node_silence.rs
+++ b/tests/node_silence.rs
@@ -1,4 +1,4 @@
-//! Connections between nodes that go silent for good while new ones work.
+//! Connections between nodes that become half-open while new ones work.
 
 mod support;
 
@@ -31,7 +31,7 @@
 use support::test_relay::Lost;
 use support::test_relay::TestRelay;
 
-/// An entry, and a target of `orders` behind a relay; the runs are counted.
+/// An entry, and a target of `orders` behind a relay, with its runs counted.
 struct Scenario {
     mesh: TestMesh,
     relay: TestRelay,
@@ -63,8 +63,8 @@
         .await;
     let relay = TestRelay::start(mesh.nodes[target].peer_address).await;
     mesh.move_target("two", relay.address);
-    // A guard's word on an attempt counts when its memory reaches back beyond the sending by more
-    // than two clocks may differ.
+    // A guard's report that an attempt was never seen is trusted only if its record reaches back
+    // beyond the sending by more than the clock drift.
     tokio::time::sleep(Duration::from_millis(100)).await;
     Scenario { mesh, relay, runs }
 }
@@ -82,14 +82,14 @@
             .await
     }
 
-    /// Replaces the target's memory of attempts by that of a new process after its n-th run began.
+    /// Replaces the target's record of attempts by that of a new process after the given run began.
     async fn restart_after_run(&self, run: u32) {
         while self.runs.load(Ordering::SeqCst) < run {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         let new_process = (Arc::new(Attempts::default()), Clock::new());
         let address = self.mesh.nodes[1].peer_address;
-        self.mesh.note_attempts(address, new_process);
+        self.mesh.set_attempts(address, new_process);
     }
 
     fn retries(&self, reason: RetryReason) -> u64 {
@@ -97,9 +97,9 @@
     }
 }
 
-/// An order goes out on a kept connection that something in between has lost track of: the guard
-/// never sees it, and nothing is ever closed. The entry asks over another connection, learns that
-/// the order was never seen, and sends it again. It runs once.
+/// An order is sent on a kept connection that is half-open: the guard never sees it, and nothing is
+/// closed. The entry queries the guard over another connection, learns that the order was never
+/// seen, and sends it again. It must run once.
 #[rstest]
 #[case::order("POST", None)]
 #[case::order_with_key("POST", Some("order-7"))]
@@ -111,7 +111,7 @@
         &scenario.order("PUT", None).await.body[..],
         b"run 1 of two sacks"
     );
-    scenario.relay.silence(Lost::Requests);
+    scenario.relay.make_half_open(Lost::Requests);
     let got = scenario.order(method, key).await;
     assert_eq!(got.status, 200, "{got:?}");
     assert_eq!(&got.body[..], b"run 2 of two sacks");
@@ -120,8 +120,8 @@
     assert!(scenario.relay.accepted() >= 2);
 }
 
-/// The order runs, but its answer is lost on a connection gone silent. Sent again it would run
-/// twice; given up, its caller would not know. The entry asks and gets the kept answer.
+/// The order runs, but its answer is lost on a half-open connection. A resend would run it twice,
+/// and giving up would leave the caller without the outcome. The entry must fetch the kept answer.
 #[rstest]
 #[case::order("POST", None)]
 #[case::order_with_key("POST", Some("order-7"))]
@@ -131,11 +131,11 @@
     let scenario = scenario().await;
     scenario.order("PUT", None).await;
     if key.is_some() {
-        // The owner's stamp is known before, so that the order goes out on the kept connection.
+        // The owner's stamp is known before, so that the order is sent on the kept connection.
         scenario.order("POST", Some("order-6")).await;
     }
     let before = scenario.runs.load(Ordering::SeqCst);
-    scenario.relay.silence(Lost::Answers);
+    scenario.relay.make_half_open(Lost::Answers);
     let got = scenario.order(method, key).await;
     assert_eq!(got.status, 200, "{got:?}");
     assert_eq!(got.body, format!("run {} of two sacks", before + 1));
@@ -144,20 +144,22 @@
     assert!(metrics.silent_connections.get() >= 1);
 }
 
-/// Connections go silent again and again, both ways; each call still completes and runs once.
+/// Connections become half-open repeatedly in both directions. Each call must still complete and
+/// run once.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn repeated_silence_costs_no_call() {
+async fn repeated_half_open_connections_lose_no_call() {
     let scenario = scenario().await;
     for round in 1..=4 {
-        scenario.relay.silence(Lost::Both);
+        scenario.relay.make_half_open(Lost::Both);
         let got = scenario.order("POST", None).await;
         assert_eq!(got.body, format!("run {round} of two sacks"));
     }
     assert_eq!(scenario.runs.load(Ordering::SeqCst), 4);
 }
 
-/// The sender was told that its attempt was never seen, and has sent the order anew. Then the
-/// silent connection delivers the first attempt after all. It must not run beside the second.
+/// The sender was told that its attempt was never seen and has sent the order again. Then the
+/// half-open connection delivers the first attempt after all. It must not run in addition to the
+/// second.
 #[tokio::test]
 async fn a_revoked_attempt_that_arrives_late_is_refused() {
     let scenario = scenario().await;
@@ -192,23 +194,24 @@
     assert_eq!(refusals, 1);
 }
 
-/// A charge runs, its answer is lost on a connection gone silent, and the guard's process is
-/// started anew. Asked, the new process has never seen the attempt. Were that believed, the charge
-/// would run twice; the entry says that it does not know.
+/// A charge runs, its answer is lost on a half-open connection, and the guard's process restarts.
+/// The new process has never seen the attempt. If its report were trusted, the charge would run
+/// twice. The entry must return `unknown`.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_guard_started_anew_is_not_believed_to_have_seen_nothing() {
+async fn a_restarted_guard_is_not_trusted_about_earlier_attempts() {
     let scenario = scenario().await;
     scenario.order("PUT", None).await;
-    scenario.relay.silence(Lost::Answers);
+    scenario.relay.make_half_open(Lost::Answers);
     let (got, ()) = tokio::join!(scenario.order("POST", None), scenario.restart_after_run(2));
     assert_eq!(got.header("sassafrasgap-outcome"), "unknown", "{got:?}");
     assert_eq!(scenario.runs.load(Ordering::SeqCst), 2);
 }
 
-/// A charge ran so long ago that the guard has forgotten the attempt. Its sender, which could not
-/// ask before, must not hear that it was never seen: the memory does not reach back so far.
+/// A charge ran so long ago that the guard has forgotten the attempt. The sender, which could not
+/// query earlier, must not be told that it was never seen, since the record does not reach back
+/// that far.
 #[test]
-fn what_is_forgotten_counts_as_never_seen_no_more() {
+fn the_record_does_not_cover_forgotten_attempts() {
     let attempts = Attempts::default();
     let attempt = AttemptId(7);
     attempts.arrive(TimeMs(1_000), attempt);
--- a/tests/support/ctl.rs
+++ b/tests/support/ctl.rs
@@ -1,11 +1,11 @@
-//! Runs the operators' tool as a process.
+//! Runs the operators' command line tool as a process.
 
 use std::process::Output;
 
 use serde_json::Value;
 use tokio::process::Command;
 
-/// What the tool printed and how it ended.
+/// The output and exit code of the tool.
 #[derive(Debug)]
 pub struct CtlRun {
     pub code: i32,
@@ -14,13 +14,13 @@
 }
 
 impl CtlRun {
-    /// The printed JSON.
+    /// Parses the printed JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.stdout).unwrap_or_else(|_| panic!("no JSON: {self:?}"))
     }
 }
 
-/// Runs the tool; the environment names no platform and no node.
+/// Runs the tool in an environment that names no platform and no node.
 pub async fn ctl(arguments: &[&str]) -> CtlRun {
     let run = Command::new(env!("CARGO_BIN_EXE_sassafrasgap-ctl"))
         .args(arguments)
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What several test files share.
+//! Helpers shared by several test files.
 
 #![allow(dead_code)]
 #![allow(unused_imports)]
--- a/tests/support/presets.rs
+++ b/tests/support/presets.rs
@@ -4,7 +4,7 @@
 use sassafrasgap::control::ConfigDocument;
 use sassafrasgap::core::Name;
 
-/// A small good preset; `wait_ms` tells revisions apart.
+/// A small valid preset, whose `wait_ms` distinguishes revisions.
 pub fn preset_text(name: &str, wait_ms: u64) -> String {
     format!(
         "preset: {name}\norder: [jobs]\nclasses:\n  jobs: {{wait_ms: {wait_ms}, deadline_ms: \
@@ -12,7 +12,7 @@
     )
 }
 
-/// A document as nodes hand it on; its content follows from its version.
+/// A configuration document as passed between nodes. Its content is derived from its version.
 pub fn document(version: u64) -> ConfigDocument {
     ConfigDocument {
         version,
@@ -21,7 +21,7 @@
     }
 }
 
-/// A change by an operator under an id.
+/// A change with an identifier, made by an operator.
 pub fn change(change_id: &str, operator: &str) -> Change {
     Change {
         change_id: Name::from(change_id),
--- a/tests/support/test_mesh.rs
+++ b/tests/support/test_mesh.rs
@@ -1,4 +1,4 @@
-//! Nodes in one process, with backend servers that are closures.
+//! Nodes in one process, with closures as backend servers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -53,7 +53,7 @@
     pub nodes: Vec<RunningNode>,
     pub client: HttpClient,
     targets: Vec<Target>,
-    /// Stands in for the control calls between nodes.
+    /// Replaces the control calls between nodes.
     attempts: AttemptsByNode,
     backends: JoinSet<()>,
 }
@@ -61,7 +61,7 @@
 /// The attempts of each guard by its control address.
 type AttemptsByNode = Arc<Mutex<FastMap<SocketAddr, (Arc<Attempts>, Clock)>>>;
 
-/// What a client got, whole.
+/// A complete response as received by a client.
 #[derive(Debug)]
 pub struct Got {
     pub status: u16,
@@ -111,7 +111,7 @@
     }
 }
 
-/// One class; `POST` is non-idempotent as by default.
+/// A preset with one class, where `POST` is non-idempotent by default.
 pub fn plain_preset() -> Preset {
     Preset {
         name: Name::from("ordinary"),
@@ -138,8 +138,8 @@
         }
     }
 
-    /// Starts a node whose backend server is `handler`; it gets the address of its local listener
-    /// with each request.
+    /// Starts a node whose backend server is `handler`, which gets the address of the local
+    /// listener with each request.
     pub async fn add<F, R>(&mut self, name: &str, service: &str, handler: F) -> usize
     where
         F: Fn(Request<Body>, SocketAddr) -> R + Send + Sync + 'static,
@@ -192,7 +192,7 @@
         let running = RunningNode::start(settings, inputs)
             .await
             .expect("the node starts");
-        self.note_attempts(running.peer_address, known);
+        self.set_attempts(running.peer_address, known);
         self.targets.push(target_of(&running, service));
         self.nodes.push(running);
         self.announce(self.nodes.len() - 1, service, address).await;
@@ -200,7 +200,7 @@
         self.nodes.len() - 1
     }
 
-    pub fn note_attempts(&self, address: SocketAddr, known: (Arc<Attempts>, Clock)) {
+    pub fn set_attempts(&self, address: SocketAddr, known: (Arc<Attempts>, Clock)) {
         let mut attempts = self.attempts.lock().expect("no holder panics");
         attempts.insert(address, known);
     }
@@ -220,8 +220,8 @@
         assert_eq!(got.status, 204, "{got:?}");
     }
 
-    /// Adds a target that is no node of this mesh.
-    pub fn add_stranger(&mut self, name: &str, service: &str, peer_address: SocketAddr) {
+    /// Adds a target that is not a node of this mesh.
+    pub fn add_external_target(&mut self, name: &str, service: &str, peer_address: SocketAddr) {
         let mut target = self.targets[0].clone();
         target.node = Name::from(name);
         target.service = Name::from(service);
@@ -230,7 +230,7 @@
         self.publish();
     }
 
-    /// Tells every node another address of a target's listener for nodes.
+    /// Publishes another address of a target's listener for nodes.
     pub fn move_target(&mut self, name: &str, peer_address: SocketAddr) {
         let mut targets = self.targets.iter_mut();
         let target = targets.find(|target| &*target.node == name);
@@ -238,7 +238,7 @@
         self.publish();
     }
 
-    /// Tells every node of every target.
+    /// Publishes all targets to every node.
     pub fn publish(&self) {
         let view = Arc::new(view_of(&self.targets));
         for running in &self.nodes {
@@ -251,7 +251,7 @@
         format!("http://{}{path}", self.nodes[place].caller_address)
     }
 
-    /// Sends a request and takes in the whole answer.
+    /// Sends a request and reads the complete response.
     pub async fn send(&self, request: Request<Body>) -> Got {
         send(&self.client, request).await
     }
@@ -268,7 +268,7 @@
     }
 }
 
-/// Sends a request and takes in the whole answer.
+/// Sends a request and reads the complete response.
 pub async fn send(client: &HttpClient, request: Request<Body>) -> Got {
     let response = client.request(request).await.expect("an answer comes");
     let (parts, body) = response.into_parts();
@@ -290,7 +290,7 @@
     })
 }
 
-/// The first target of a service owns all its slots for good.
+/// Creates claims in which the first target of a service owns all its slots permanently.
 fn fixed_claims(
     settings: &NodeSettings,
     service: &str,
--- a/tests/support/test_platform.rs
+++ b/tests/support/test_platform.rs
@@ -1,4 +1,4 @@
-//! A stand-in platform within the test's process.
+//! A platform server within the test process.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,10 +18,10 @@
 use sassafrasgap::table_service::Stats;
 use tokio::task::JoinHandle;
 
-/// How long its clients wait for an answer.
+/// How long its clients wait for an answer, in milliseconds.
 pub const TIMEOUT_MS: u64 = 300;
 
-/// Stops with the test.
+/// Stops when it is dropped.
 pub struct TestPlatform {
     pub address: SocketAddr,
     task: JoinHandle<()>,
@@ -52,7 +52,7 @@
         serde_json::from_slice(&content).unwrap()
     }
 
-    /// Adds a fault that begins now, as JSON.
+    /// Adds a fault, given as JSON, that begins now.
     pub async fn add_fault(&self, step: serde_json::Value) {
         self.ask(Method::POST, "/fault", step.to_string()).await;
     }
--- a/tests/support/test_relay.rs
+++ b/tests/support/test_relay.rs
@@ -1,4 +1,4 @@
-//! A relay in front of a listener whose connections can go silent.
+//! A relay in front of a listener, whose connections can be made half-open.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 
 use super::test_mesh::loopback;
 
-/// Which way bytes are lost.
+/// The direction in which bytes are lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lost {
     Requests,
@@ -22,8 +22,8 @@
     Both,
 }
 
-/// Relays connections to `target`. Those made before the last [`Self::silence`] lose bytes without
-/// being closed; new ones work.
+/// Relays connections to `target`. Those accepted before the last [`Self::make_half_open`] lose
+/// bytes without being closed, and new ones work.
 #[derive(Clone)]
 pub struct TestRelay {
     pub address: SocketAddr,
@@ -45,8 +45,8 @@
         relay
     }
 
-    /// From now on the connections that exist lose bytes.
-    pub fn silence(&self, lost: Lost) {
+    /// Makes all present connections lose bytes from now on.
+    pub fn make_half_open(&self, lost: Lost) {
         let accepted = self.accepted.load(Ordering::SeqCst);
         if lost != Lost::Answers {
             self.requests_lost_below.store(accepted, Ordering::SeqCst);
@@ -56,7 +56,7 @@
         }
     }
 
-    /// How many connections were made.
+    /// The number of accepted connections.
     pub fn accepted(&self) -> u64 {
         self.accepted.load(Ordering::SeqCst)
     }
@@ -87,7 +87,7 @@
     while let Ok(bytes) = from.read(&mut buffer).await {
         let is_lost = number < lost_below.load(Ordering::SeqCst);
         if is_lost && bytes == 0 {
-            // Also the end of the connection is lost on the other side.
+            // The end of the connection is not passed on either.
             std::future::pending::<()>().await;
         }
         if is_lost {
