--- a/src/node/gate.rs
+++ b/src/node/gate.rs
@@ -130,7 +130,8 @@
         self.poll();
     }
 
-    /// Caps the limit by the slots that the backend server announces or advertises.
+    /// Caps the limit by the number of slots that the backend server states, by announcement or
+    /// otherwise.
     pub(crate) fn set_slots(&self, slots: u32) {
         self.lock().admission.set_slots(slots);
     }
--- a/src/node/keyed_forward.rs
+++ b/src/node/keyed_forward.rs
@@ -31,7 +31,7 @@
 /// The maximum number of probes for the owner, made before a body is sent that cannot be sent
 /// twice.
 const MAX_PROBES: u32 = 3;
-/// The number of redirects that are followed without a delay. Beyond it, two guards usually
+/// The number of redirects that are followed without a delay. Further ones mean that two guards
 /// redirect the call to each other: the former owner has read the row that names the next owner,
 /// and the next owner has not read it yet. Without a delay all redirects would be used up within
 /// milliseconds, and the call would be refused during a planned stop. The delay gives the next
@@ -67,7 +67,7 @@
     if claims.is_some_and(|claims| claims.may_predate_pause(now)) {
         return Err(unknown_refusal(RefusalReason::StaleAttempt));
     }
-    let attempts_until = call.arrived_at + attempt_window_ms(node);
+    let attempts_until = call.arrived_at + send_window_ms(node);
     node.targets.first_attempt(&call.service);
     let mut progress = Progress::default();
     if !call.body_is_held {
@@ -111,7 +111,7 @@
 }
 
 /// For how long after its arrival attempts of a call may be sent, in milliseconds.
-fn attempt_window_ms(node: &Node) -> u64 {
+fn send_window_ms(node: &Node) -> u64 {
     let in_force = node.inputs.in_force.load();
     let known = in_force.as_ref().as_ref();
     let window_ms = known.map_or(0, |known| known.preset.resend_window_ms);
@@ -183,8 +183,8 @@
 }
 
 /// Decides whether to retry after a lost attempt. The owner may get the call once more, since its
-/// ledger joins it to the running call or repeats the answer. If the owner is unreachable, only a
-/// target that names another owner helps.
+/// ledger joins it to the running call or repeats the answer. No other target may run the call in
+/// place of an unreachable owner.
 fn retry_after_loss(
     node: &Node,
     call: &mut Call,
--- a/src/node/node_process.rs
+++ b/src/node/node_process.rs
@@ -100,12 +100,14 @@
     let clock = inputs.clock;
     let poison = inputs.poison.clone();
     let local = inputs.local.clone();
-    let asked = configuration.clone();
-    let told = configuration.clone();
+    let queried = configuration.clone();
+    let notified = configuration.clone();
     ControlHandlers {
-        report_suspects: Arc::new(move |news| take_suspects(&poison, &local, clock.now(), &news)),
-        config_above: Arc::new(move |above| asked.document_above(above)),
-        config_news: Arc::new(move |from, version, _| told.note_news(from, version)),
+        report_suspects: Arc::new(move |suspects| {
+            take_suspects(&poison, &local, clock.now(), &suspects)
+        }),
+        config_above: Arc::new(move |above| queried.document_above(above)),
+        config_news: Arc::new(move |from, version, _| notified.note_news(from, version)),
         attempt_status: Arc::new(move |attempt| {
             let status = attempts.status(clock.now(), attempt);
             ready(status).boxed()
@@ -116,11 +118,11 @@
 
 fn report_suspects(control: &ControlHandle) -> ReportSuspects {
     let clients = control.clients.clone();
-    Arc::new(move |address, news| {
+    Arc::new(move |address, suspects| {
         let clients = clients.clone();
-        let news = news.clone();
+        let suspects = suspects.clone();
         let report = async move {
-            if let Err(error) = clients.report_suspects(address, news).await {
+            if let Err(error) = clients.report_suspects(address, suspects).await {
                 log::warn!("poison: cannot deliver a crash report, peer={address} error={error}");
             }
         };
@@ -136,15 +138,15 @@
 /// Handles requests that operators make through another node. The node is available only after its
 /// control thread has started, so the status is empty until then.
 fn add_operator_handlers(handlers: &mut ControlHandlers, served: &Arc<OnceLock<Weak<Node>>>) {
-    let asked = served.clone();
+    let queried = served.clone();
     handlers.node_status = Arc::new(move || {
-        let node = asked.get().and_then(Weak::upgrade);
+        let node = queried.get().and_then(Weak::upgrade);
         let status = node.map(|node| serde_json::to_string(&Status::without_members(&node)));
         status.and_then(Result::ok).unwrap_or_default()
     });
-    let told = served.clone();
+    let notified = served.clone();
     handlers.drain = Arc::new(move || {
-        if let Some(node) = told.get().and_then(Weak::upgrade) {
+        if let Some(node) = notified.get().and_then(Weak::upgrade) {
             log::info!("node: draining at the request of an operator at another node");
             node.drain();
         }
@@ -169,12 +171,12 @@
     poison: &PoisonGuard,
     local: &watch::Sender<LocalBackend>,
     now: TimeMs,
-    news: &Suspects,
+    suspects: &Suspects,
 ) {
     let local = local.borrow();
-    let is_ours = |announced: &Announcement| announced.service == news.service;
+    let is_ours = |announced: &Announcement| announced.service == suspects.service;
     if local.announced.as_ref().is_some_and(is_ours) {
-        poison.merge(now, news);
+        poison.merge(now, suspects);
     }
 }
 
--- a/src/node/peer_call.rs
+++ b/src/node/peer_call.rs
@@ -105,9 +105,9 @@
     in_flight: &mut InFlightAt,
 ) -> AttemptEnd {
     let client = node.peer_client.load_full();
-    let status = tokio::select! {
+    let overdue = tokio::select! {
         end = exchange(node, &client, sent, request, in_flight) => return end,
-        status = watch_overdue(node, target, sent.attempt, sent.may_give_up) => status,
+        overdue = watch_overdue(node, target, sent.attempt, sent.may_give_up) => overdue,
     };
     log::info!(
         "entry: a connection is half-open, peer={} attempt={}",
@@ -116,7 +116,7 @@
     );
     node.metrics.silent_connections.inc();
     node.renew_peer_client(&client);
-    match status {
+    match overdue {
         OverdueStatus::NeverSeen => lost(RefusalReason::Revoked, RunState::NotRun),
         OverdueStatus::Answered(kept) => receive(node, sent, response_of(&kept), in_flight).await,
         OverdueStatus::AnswerNotKept => lost(
--- a/src/node/peer_operations.rs
+++ b/src/node/peer_operations.rs
@@ -36,14 +36,14 @@
 
     /// Operations that reach peers by control calls.
     pub fn over(clients: &Arc<PeerClients>) -> Self {
-        let (asked, told) = (clients.clone(), clients.clone());
+        let (status_clients, drain_clients) = (clients.clone(), clients.clone());
         Self {
             status: Arc::new(move |address| {
-                let clients = asked.clone();
+                let clients = status_clients.clone();
                 async move { clients.node_status(address).await }.boxed()
             }),
             drain: Arc::new(move |address| {
-                let clients = told.clone();
+                let clients = drain_clients.clone();
                 async move { clients.drain(address).await }.boxed()
             }),
         }
--- a/src/node/targets.rs
+++ b/src/node/targets.rs
@@ -37,7 +37,7 @@
 const SMOOTHING_DIVISOR: u64 = 32;
 
 #[derive(Default)]
-struct TargetsState {
+struct TrackedTargets {
     stats: FastMap<Name, TargetStats>,
     budgets: FastMap<Name, RetryBudget>,
     reach: DomainReachability,
@@ -49,7 +49,7 @@
 
 /// Shared by all calls. Bounded by the view: targets that are no longer in it are evicted.
 pub(crate) struct Targets {
-    state: Mutex<TargetsState>,
+    tracked: Mutex<TrackedTargets>,
     conf: PickerConf,
     /// Changes whenever a failure domain becomes unreachable.
     unreachable_changes: watch::Sender<()>,
@@ -63,7 +63,7 @@
     /// Creates targets with a configuration of the picker.
     pub(crate) fn with_conf(conf: PickerConf) -> Self {
         Self {
-            state: Mutex::default(),
+            tracked: Mutex::default(),
             conf,
             unreachable_changes: watch::Sender::new(()),
         }
@@ -79,13 +79,13 @@
         is_large: bool,
         now: TimeMs,
     ) -> Pick {
-        let mut state = self.lock();
-        state.evict_gone(view);
-        let mut avoided = state.reach.avoided(now);
+        let mut tracked = self.lock();
+        tracked.evict_gone(view);
+        let mut avoided = tracked.reach.avoided(now);
         avoided.extend_from_slice(&view.cut_off_domains);
         let choice = PickContext {
             targets: view.targets(service),
-            stats: &state.stats,
+            stats: &tracked.stats,
             own_domain,
             cut_off_domains: &avoided,
             tried,
@@ -93,8 +93,8 @@
         };
         let picked = pick(&choice, &self.conf, now, |n| fastrand::usize(..n));
         if let Pick::Take(target) = &picked {
-            state.stats_of(&target.node, now).in_flight += 1;
-            state.record_sent(target, own_domain, now);
+            tracked.stats_of(&target.node, now).in_flight += 1;
+            tracked.record_sent(target, own_domain, now);
         }
         picked
     }
@@ -124,65 +124,67 @@
         view: &View,
         service: &str,
         node: &Name,
-        reported: TargetPressure,
+        reported_pressure: TargetPressure,
         is_limited: bool,
         now: TimeMs,
     ) -> u32 {
-        let mut state = self.lock();
-        state.stats_of(node, now).note_pressure(reported, now);
+        let mut tracked = self.lock();
+        tracked
+            .stats_of(node, now)
+            .note_pressure(reported_pressure, now);
         let pressure_of = |target: &Arc<Target>| {
-            let stats = state.stats.get(&target.node)?;
+            let stats = tracked.stats.get(&target.node)?;
             stats.pressure(now)
         };
         let targets = view.targets(service);
-        let reported_pressures = targets.iter().filter_map(pressure_of);
+        let pressures = targets.iter().filter_map(pressure_of);
         if !is_limited {
-            return TargetPressure::of_service(reported_pressures).unwrap_or(reported.permille);
+            return TargetPressure::of_service(pressures).unwrap_or(reported_pressure.permille);
         }
         let unreported = targets
             .iter()
             .filter(|target| target.state.takes_work() && pressure_of(target).is_none());
         let largest = unreported.map(|target| target.slots).max();
         let with_room = largest.map(TargetPressure::assumed_idle);
-        TargetPressure::of_service(reported_pressures.chain(with_room)).unwrap_or(reported.permille)
+        TargetPressure::of_service(pressures.chain(with_room)).unwrap_or(reported_pressure.permille)
     }
 
     /// The usual latency of a target's answers, or 0 while unknown.
     pub(crate) fn usual_latency_ms(&self, node: &Name) -> u64 {
-        let state = self.lock();
-        state.stats.get(node).map_or(0, TargetStats::latency_ms)
+        let tracked = self.lock();
+        tracked.stats.get(node).map_or(0, TargetStats::latency_ms)
     }
 
     /// Whether a target that was not tried has room, as far as known. A target to which this node
     /// has sent nothing yet counts as having room: calls stay in their failure domain, so targets
     /// of other domains are unknown until they are needed.
     pub(crate) fn has_room(&self, view: &View, service: &str, tried: &[Name], now: TimeMs) -> bool {
-        let state = self.lock();
+        let tracked = self.lock();
         view.targets(service)
             .iter()
             .filter(|target| target.state.takes_work() && !tried.contains(&target.node))
             .any(|target| {
-                let stats = state.stats.get(&target.node);
+                let stats = tracked.stats.get(&target.node);
                 stats.is_none_or(|stats| stats.load_permille(target.slots, now) < 1_000)
             })
     }
 
     /// Records the end of an attempt. `ran` is the route of a call that completed.
     pub(crate) fn ended(&self, node: &Name, end: AttemptOutcome, ran: Option<&Name>, now: TimeMs) {
-        let mut state = self.lock();
-        let state = &mut *state;
+        let mut tracked = self.lock();
+        let tracked = &mut *tracked;
         if let Some(route) = ran {
-            state.record_run(node, route, end.took_ms);
+            tracked.record_run(node, route, end.took_ms);
         }
-        let Some(stats) = state.stats.get_mut(node) else {
+        let Some(stats) = tracked.stats.get_mut(node) else {
             return;
         };
         stats.in_flight = stats.in_flight.saturating_sub(1);
         if let Some(domain) = &stats.remote_domain {
             if end.report.is_some() {
-                state.reach.note_answer(domain);
+                tracked.reach.note_answer(domain);
             }
-            if end.is_lost && state.reach.note_lost(now, domain, node) {
+            if end.is_lost && tracked.reach.note_lost(now, domain, node) {
                 self.unreachable_changes.send_replace(());
             }
         }
@@ -210,12 +212,12 @@
         self.lock().budget_of(service).try_retry()
     }
 
-    fn lock(&self) -> MutexGuard<'_, TargetsState> {
-        self.state.lock().expect("no holder panics")
+    fn lock(&self) -> MutexGuard<'_, TrackedTargets> {
+        self.tracked.lock().expect("no holder panics")
     }
 }
 
-impl TargetsState {
+impl TrackedTargets {
     fn stats_of(&mut self, node: &Name, now: TimeMs) -> &mut TargetStats {
         self.stats
             .entry(node.clone())
--- a/tests/node_rate_limit.rs
+++ b/tests/node_rate_limit.rs
@@ -87,8 +87,8 @@
             refused += 1;
         }
     }
-    let max = limited.max_in_window();
-    assert!(max <= 35, "{max} of 35");
+    let max_calls = limited.max_in_window();
+    assert!(max_calls <= 35, "{max_calls} of 35");
     assert!(refused > 100, "{refused}");
 }
 
