--- a/src/node/backend_call.rs
+++ b/src/node/backend_call.rs
@@ -100,7 +100,7 @@
     let now = node.inputs.clock.now();
     node.backend_rate_limit
         .record_answer(&node.gate, now, sent_at, response.headers());
-    take_answer(node, &method, response).await
+    read_answer(node, &method, response).await
 }
 
 /// A running call. It is registered as live and counted as in flight until this is dropped.
@@ -199,7 +199,7 @@
     }
 }
 
-async fn take_answer(
+async fn read_answer(
     node: &Node,
     method: &Method,
     response: Response<Incoming>,
--- a/src/node/entry.rs
+++ b/src/node/entry.rs
@@ -14,10 +14,10 @@
 use crate::node::forward::forward;
 use crate::node::keyed_forward::unknown_unless_ran;
 use crate::node::live_calls::LiveCall;
+use crate::node::prepare_call::prepare_call;
+use crate::node::prepare_call::split_path;
 use crate::node::refusal_response::refusal_response;
 use crate::node::refusal_response::set_outcome;
-use crate::node::take_call::split_path;
-use crate::node::take_call::take_call;
 use crate::wire::headers;
 
 /// Where a call comes from.
@@ -38,7 +38,7 @@
     let started_us = node.inputs.clock.now_us();
     node.metrics.entry_calls.inc();
     let is_keyed = may_be_keyed(node, &request);
-    let response = match take_call(node, request, origin).await {
+    let response = match prepare_call(node, request, origin).await {
         Ok(mut call) => answer_call(node, &mut call).await,
         Err(refusal) if is_keyed => refused(node, unknown_unless_ran(refusal), None),
         Err(refusal) => refused(node, refusal, None),
--- a/src/node/fleet.rs
+++ b/src/node/fleet.rs
@@ -12,7 +12,7 @@
 use crate::node::Status;
 
 /// The maximum number of nodes queried concurrently. Operators query rarely, and answers are small.
-const ASKED_AT_ONCE: usize = 32;
+const MAX_CONCURRENT_QUERIES: usize = 32;
 
 /// A node as known from gossip, with its own status.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -36,16 +36,16 @@
 
 impl FleetStatus {
     /// Queries all nodes that may be alive.
-    pub(super) async fn ask(node: &Node) -> Self {
+    pub(super) async fn collect(node: &Node) -> Self {
         let view = node.inputs.view.load_full();
         let targets: Vec<Target> = view.nodes.values().map(|t| t.as_ref().clone()).collect();
-        let ask = |target: Target| async move {
+        let query = |target: Target| async move {
             let status = status_of(node, &target).await;
             FleetNode { target, status }
         };
         let mut nodes: Vec<FleetNode> = stream::iter(targets)
-            .map(ask)
-            .buffer_unordered(ASKED_AT_ONCE)
+            .map(query)
+            .buffer_unordered(MAX_CONCURRENT_QUERIES)
             .collect()
             .await;
         nodes.sort_by(|a, b| {
--- a/src/node/guard.rs
+++ b/src/node/guard.rs
@@ -25,24 +25,24 @@
 use crate::node::guard_answer::AnswerContext;
 use crate::node::guard_answer::answer;
 use crate::node::guard_answer::refuse;
-use crate::node::guard_answer::refuse_unreadable;
+use crate::node::guard_answer::refuse_invalid_header;
 use crate::node::guard_run;
 use crate::node::guarded_call::GuardedCall;
 use crate::node::keyed_guard::key_of;
 use crate::node::keyed_guard::unknown_if_keyed;
 use crate::node::live_calls::LiveCall;
-use crate::node::take_call::split_path;
+use crate::node::prepare_call::split_path;
 use crate::wire::CallHeader;
 
 /// The minimum retry delay after a refusal that is unrelated to load, in milliseconds.
-const LATER_MS: u64 = 500;
+const MIN_RETRY_AFTER_MS: u64 = 500;
 
 /// Serves one forwarded call.
 pub(super) async fn serve_peer(node: &Arc<Node>, request: Request<Body>) -> Response<Body> {
     node.metrics.guard_calls.inc();
     let header = match CallHeader::from_headers(request.headers()) {
         Ok(header) => header,
-        Err(error) => return refuse_unreadable(node, &error, later_ms()),
+        Err(error) => return refuse_invalid_header(node, &error, retry_after_ms()),
     };
     let mut context = AnswerContext::new(&header);
     let call = match read_call(node, header, request).await {
@@ -56,7 +56,7 @@
             return refuse(node, &context, not_run(RefusalReason::Revoked));
         }
         Arrival::Repeated => {
-            let repeated = Refusal::unknown(RefusalReason::BadRequest, later_ms());
+            let repeated = Refusal::unknown(RefusalReason::BadRequest, retry_after_ms());
             return refuse(node, &context, repeated);
         }
     }
@@ -112,7 +112,11 @@
         Ok(Err(_)) => RefusalReason::BackendBroke,
         Err(_) => RefusalReason::DeadlineExceeded,
     };
-    refuse(node, &timeout_context, Refusal::unknown(reason, later_ms()))
+    refuse(
+        node,
+        &timeout_context,
+        Refusal::unknown(reason, retry_after_ms()),
+    )
 }
 
 /// Counts an attempt as in progress until it is dropped, however the attempt ends.
@@ -218,9 +222,9 @@
 }
 
 fn not_run(reason: RefusalReason) -> Refusal {
-    Refusal::not_run(reason, later_ms())
+    Refusal::not_run(reason, retry_after_ms())
 }
 
-fn later_ms() -> u64 {
-    LATER_MS + fastrand::u64(..LATER_MS)
+fn retry_after_ms() -> u64 {
+    MIN_RETRY_AFTER_MS + fastrand::u64(..MIN_RETRY_AFTER_MS)
 }
--- a/src/node/guard_answer.rs
+++ b/src/node/guard_answer.rs
@@ -79,7 +79,7 @@
 
 /// Refuses a call whose header cannot be decoded, without running it. The refusal is written in
 /// plain headers, which every version of the protocol understands.
-pub(super) fn refuse_unreadable(
+pub(super) fn refuse_invalid_header(
     node: &Node,
     error: &WireError,
     retry_after_ms: u64,
--- a/src/node/guard_run.rs
+++ b/src/node/guard_run.rs
@@ -17,7 +17,7 @@
 use crate::poison::Verdict;
 
 /// The minimum retry delay after a refusal that is unrelated to load, in milliseconds.
-const LATER_MS: u64 = 500;
+const MIN_RETRY_AFTER_MS: u64 = 500;
 
 /// Runs a call unless it must be refused.
 ///
@@ -106,9 +106,9 @@
 }
 
 fn not_run(reason: RefusalReason) -> Refusal {
-    Refusal::not_run(reason, later_ms())
+    Refusal::not_run(reason, retry_after_ms())
 }
 
-fn later_ms() -> u64 {
-    LATER_MS + fastrand::u64(..LATER_MS)
+fn retry_after_ms() -> u64 {
+    MIN_RETRY_AFTER_MS + fastrand::u64(..MIN_RETRY_AFTER_MS)
 }
--- a/src/node/keyed_guard.rs
+++ b/src/node/keyed_guard.rs
@@ -31,7 +31,7 @@
 /// are told that it ran.
 const MAX_KEPT_BODY_BYTES: usize = 64 * 1024;
 /// The retry delay when the guard has no ledger yet, in milliseconds.
-const NO_LEDGER_RETRY_MS: u64 = 1_000;
+const NO_LEDGER_RETRY_AFTER_MS: u64 = 1_000;
 
 /// Returns the key of a call that may run at most once, if it is such a call.
 pub(super) fn key_of(header: &CallHeader) -> Option<&Name> {
@@ -88,7 +88,7 @@
 fn admit(node: &Node, call: &GuardedCall, key: &Name) -> KeyedAdmission {
     let Some(ledger) = ledger(node) else {
         let reason = RefusalReason::NotOwner;
-        return KeyedAdmission::Refuse(Refusal::unknown(reason, NO_LEDGER_RETRY_MS));
+        return KeyedAdmission::Refuse(Refusal::unknown(reason, NO_LEDGER_RETRY_AFTER_MS));
     };
     ledger.begin(&KeyedCall {
         key,
--- a/src/node/local_listener.rs
+++ b/src/node/local_listener.rs
@@ -47,7 +47,7 @@
     };
     match serde_json::from_slice::<Announcement>(&body.to_bytes()) {
         Ok(announcement) => {
-            node.take_announcement(announcement);
+            node.apply_announcement(announcement);
             with_status(StatusCode::NO_CONTENT)
         }
         Err(error) => answer(StatusCode::BAD_REQUEST, &format!("{error}\n")),
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -120,7 +120,7 @@
     }
 
     /// Applies an announcement of the local backend server.
-    pub(super) fn take_announcement(&self, announcement: Announcement) {
+    pub(super) fn apply_announcement(&self, announcement: Announcement) {
         self.gate.set_slots(announcement.slots);
         let details = format!(
             "service={} address={} slots={} state={:?}",
--- a/src/node/node_inputs.rs
+++ b/src/node/node_inputs.rs
@@ -24,7 +24,7 @@
 use crate::preset::InForce;
 
 /// Queries the node with this control address for the outcome of an attempt.
-pub type AskAttempt = Arc<
+pub type QueryAttempt = Arc<
     dyn Fn(SocketAddr, AttemptId) -> BoxFuture<'static, Result<AttemptStatus, PeerCallError>>
         + Send
         + Sync,
@@ -54,7 +54,7 @@
     /// Requests suspected of crashing backend servers of the local service.
     pub poison: Arc<PoisonGuard>,
     pub report_suspects: ReportSuspects,
-    pub ask_attempt: AskAttempt,
+    pub query_attempt: QueryAttempt,
     pub record_peer_config: RecordPeerConfig,
     pub operations: PeerOperations,
 }
@@ -74,7 +74,7 @@
             record_peer_config: Arc::new(|_, _| {}),
             operations: PeerOperations::none(),
             claims: None,
-            ask_attempt: Arc::new(|_, _| ready(Err(PeerCallError::Stopped)).boxed()),
+            query_attempt: Arc::new(|_, _| ready(Err(PeerCallError::Stopped)).boxed()),
         }
     }
 }
--- a/src/node/node_process.rs
+++ b/src/node/node_process.rs
@@ -20,13 +20,13 @@
 use crate::core::TimeMs;
 use crate::errors::NodeError;
 use crate::node::Announcement;
-use crate::node::AskAttempt;
 use crate::node::Listeners;
 use crate::node::LocalBackend;
 use crate::node::Node;
 use crate::node::NodeInputs;
 use crate::node::PeerOperations;
 use crate::node::PoisonGuard;
+use crate::node::QueryAttempt;
 use crate::node::RecordPeerConfig;
 use crate::node::ReportSuspects;
 use crate::node::RunningNode;
@@ -37,7 +37,7 @@
 use crate::table_service::PlatformClient;
 
 /// How long one query for an attempt may take, in milliseconds.
-const ASK_ATTEMPT_MS: u64 = 400;
+const ATTEMPT_QUERY_TIMEOUT_MS: u64 = 400;
 
 /// A node with its control thread.
 pub struct NodeProcess {
@@ -76,7 +76,7 @@
             inputs.claims = Some(claims);
         }
         inputs.view = control.view.clone();
-        inputs.ask_attempt = ask_attempt(&control);
+        inputs.query_attempt = query_attempt(&control);
         inputs.report_suspects = report_suspects(&control);
         control
             .runtime
@@ -104,7 +104,7 @@
     let notified = configuration.clone();
     ControlHandlers {
         report_suspects: Arc::new(move |suspects| {
-            take_suspects(&poison, &local, clock.now(), &suspects)
+            merge_suspects(&poison, &local, clock.now(), &suspects)
         }),
         config_above: Arc::new(move |above| queried.document_above(above)),
         config_news: Arc::new(move |from, version, _| notified.note_news(from, version)),
@@ -153,21 +153,21 @@
     });
 }
 
-fn ask_attempt(control: &ControlHandle) -> AskAttempt {
+fn query_attempt(control: &ControlHandle) -> QueryAttempt {
     let clients = control.clients.clone();
     Arc::new(move |address, attempt| {
         let clients = clients.clone();
-        let ask = async move {
+        let query = async move {
             clients
-                .attempt_status(address, attempt, ASK_ATTEMPT_MS)
+                .attempt_status(address, attempt, ATTEMPT_QUERY_TIMEOUT_MS)
                 .await
         };
-        ask.boxed()
+        query.boxed()
     })
 }
 
 /// Ignores reports of other services, which say nothing about the local one.
-fn take_suspects(
+fn merge_suspects(
     poison: &PoisonGuard,
     local: &watch::Sender<LocalBackend>,
     now: TimeMs,
--- a/src/node/operators.rs
+++ b/src/node/operators.rs
@@ -22,7 +22,7 @@
         (&Method::GET, "/metrics") => metrics(node),
         (&Method::GET, "/status") => json(&Status::of(node)),
         (&Method::GET, "/health") => text(StatusCode::OK, "serving\n"),
-        (&Method::GET, "/fleet") => json(&FleetStatus::ask(node).await),
+        (&Method::GET, "/fleet") => json(&FleetStatus::collect(node).await),
         (&Method::POST, "/drain") => drain(node),
         (&Method::POST, path) => match drained_node(path) {
             Some(name) => drain_by_name(node, name).await,
--- a/src/node/overdue.rs
+++ b/src/node/overdue.rs
@@ -48,7 +48,7 @@
     node: &Node,
     target: &Target,
     attempt: AttemptId,
-    may_give_up: bool,
+    may_abandon: bool,
 ) -> OverdueStatus {
     let sent_at = node.inputs.clock.now();
     let usual_ms = node.targets.usual_latency_ms(&target.node);
@@ -56,7 +56,7 @@
     loop {
         sleep(Duration::from_millis(pause_ms)).await;
         node.metrics.attempt_questions.inc();
-        match (node.inputs.ask_attempt)(target.control_address, attempt).await {
+        match (node.inputs.query_attempt)(target.control_address, attempt).await {
             Ok(AttemptStatus::NeverSeen { complete_for_ms }) => {
                 return never_seen(node.inputs.clock.now().since(sent_at), complete_for_ms);
             }
@@ -68,7 +68,7 @@
             Ok(AttemptStatus::InProgress) => {}
             Err(error) => {
                 log::debug!("entry: cannot query an attempt, attempt={attempt} error={error}");
-                if may_give_up {
+                if may_abandon {
                     return OverdueStatus::Unreachable;
                 }
             }
--- a/src/node/peer_call.rs
+++ b/src/node/peer_call.rs
@@ -35,7 +35,7 @@
 use crate::node::kept_answer::headers_of;
 use crate::node::overdue::OverdueStatus;
 use crate::node::overdue::watch_overdue;
-use crate::node::targets::InFlightAt;
+use crate::node::targets::InFlightAttempt;
 use crate::node::watched_body::BodyEnd;
 use crate::node::watched_body::watched;
 use crate::wire::AnswerHeader;
@@ -63,7 +63,7 @@
     non_idempotent: bool,
     /// Whether the attempt may be abandoned: the call may be sent again, or its key prevents a
     /// second run.
-    may_give_up: bool,
+    may_abandon: bool,
 }
 
 /// Sends the call to one target, with `share` of its allotment, and waits for the end.
@@ -73,13 +73,13 @@
     target: &Target,
     share: u16,
 ) -> AttemptEnd {
-    let mut in_flight = InFlightAt::new(node.clone(), target.node.clone());
+    let mut in_flight = InFlightAttempt::new(node.clone(), target.node.clone());
     let sent = SentAttempt {
         attempt: AttemptId::random(),
         request: call.request,
         method: call.method.clone(),
         non_idempotent: call.non_idempotent,
-        may_give_up: !call.non_idempotent || call.key.is_some(),
+        may_abandon: !call.non_idempotent || call.key.is_some(),
     };
     let Some(request) = peer_request(node, call, target, sent.attempt, share) else {
         return lost(RefusalReason::BadRequest, RunState::NotRun);
@@ -102,12 +102,12 @@
     sent: &SentAttempt,
     request: Request<Body>,
     target: &Target,
-    in_flight: &mut InFlightAt,
+    in_flight: &mut InFlightAttempt,
 ) -> AttemptEnd {
     let client = node.peer_client.load_full();
     let overdue = tokio::select! {
         end = exchange(node, &client, sent, request, in_flight) => return end,
-        overdue = watch_overdue(node, target, sent.attempt, sent.may_give_up) => overdue,
+        overdue = watch_overdue(node, target, sent.attempt, sent.may_abandon) => overdue,
     };
     log::info!(
         "entry: a connection is half-open, peer={} attempt={}",
@@ -176,7 +176,7 @@
     client: &HttpClient,
     sent: &SentAttempt,
     request: Request<Body>,
-    in_flight: &mut InFlightAt,
+    in_flight: &mut InFlightAttempt,
 ) -> AttemptEnd {
     match client.request(request).await {
         Ok(response) => {
@@ -200,13 +200,13 @@
     node: &Node,
     sent: &SentAttempt,
     response: Response<Body>,
-    in_flight: &mut InFlightAt,
+    in_flight: &mut InFlightAttempt,
 ) -> AttemptEnd {
     let body_len = response.body().size_hint().exact();
     match check_head(response.headers(), sent.attempt, body_len) {
         Ok(header) => {
             in_flight.reported(&header);
-            take_answer(node, sent, response, header).await
+            read_answer(node, sent, response, header).await
         }
         Err(error) if is_plain_not_run(response.headers(), &error) => {
             lost(RefusalReason::PeerVersion, RunState::NotRun)
@@ -239,7 +239,7 @@
     }
 }
 
-async fn take_answer(
+async fn read_answer(
     node: &Node,
     sent: &SentAttempt,
     response: Response<Body>,
@@ -286,7 +286,7 @@
 }
 
 /// Counts a streamed answer as in flight until its end, and checks its length meanwhile.
-fn track_body(node: &Arc<Node>, mut answer: Answer, in_flight: InFlightAt) -> Answer {
+fn track_body(node: &Arc<Node>, mut answer: Answer, in_flight: InFlightAttempt) -> Answer {
     if let NodeBody::Streamed { body, len } = answer.body {
         let stall_ms = node.stall_ms();
         let node = node.clone();
--- a/src/node/peer_operations.rs
+++ b/src/node/peer_operations.rs
@@ -11,18 +11,18 @@
 use crate::errors::PeerCallError;
 
 /// Queries the status of the node with a control address, in JSON.
-pub type AskStatus =
+pub type QueryStatus =
     Arc<dyn Fn(SocketAddr) -> BoxFuture<'static, Result<String, PeerCallError>> + Send + Sync>;
 /// Tells the node with a control address to drain.
-pub type TellDrain =
+pub type RequestDrain =
     Arc<dyn Fn(SocketAddr) -> BoxFuture<'static, Result<(), PeerCallError>> + Send + Sync>;
 
 /// Operators connect to the operators' listener of one node. Requests to other nodes go over
 /// control calls.
 #[derive(Clone)]
 pub struct PeerOperations {
-    pub status: AskStatus,
-    pub drain: TellDrain,
+    pub status: QueryStatus,
+    pub drain: RequestDrain,
 }
 
 impl PeerOperations {
--- a/src/node/take_call.rs
+++ b/src/node/prepare_call.rs
@@ -25,10 +25,10 @@
 use crate::wire::headers;
 
 /// The minimum retry delay after a refusal that retrying sooner cannot resolve, in milliseconds.
-const LATER_MS: u64 = 1_000;
+const MIN_RETRY_AFTER_MS: u64 = 1_000;
 
 /// Classifies a call and reads its body.
-pub(super) async fn take_call(
+pub(super) async fn prepare_call(
     node: &Arc<Node>,
     request: Request<Body>,
     origin: Origin,
@@ -161,5 +161,8 @@
 }
 
 fn not_run(reason: RefusalReason) -> Refusal {
-    Refusal::not_run(reason, LATER_MS + fastrand::u64(..LATER_MS))
+    Refusal::not_run(
+        reason,
+        MIN_RETRY_AFTER_MS + fastrand::u64(..MIN_RETRY_AFTER_MS),
+    )
 }
--- a/src/node/targets.rs
+++ b/src/node/targets.rs
@@ -279,14 +279,14 @@
 }
 
 /// Counts an attempt as in flight at its target until it has ended, however it ends.
-pub(crate) struct InFlightAt {
+pub(crate) struct InFlightAttempt {
     node: Arc<Node>,
     target: Name,
     since: TimeMs,
     outcome: AttemptOutcome,
 }
 
-impl InFlightAt {
+impl InFlightAttempt {
     pub(crate) fn new(node: Arc<Node>, target: Name) -> Self {
         node.metrics.entry_in_flight.inc();
         Self {
@@ -312,7 +312,7 @@
     }
 }
 
-impl Drop for InFlightAt {
+impl Drop for InFlightAttempt {
     fn drop(&mut self) {
         self.node.metrics.entry_in_flight.dec();
         let now = self.node.inputs.clock.now();
--- a/src/node/watched_body.rs
+++ b/src/node/watched_body.rs
@@ -37,7 +37,7 @@
     on_end: Option<OnEnd>,
     stall: Duration,
     /// The stall timer. It runs while the sender is awaited, and not while the receiver is slow.
-    waits: Option<Pin<Box<Sleep>>>,
+    stall_timer: Option<Pin<Box<Sleep>>>,
 }
 
 /// Wraps a body so that a truncated answer does not look complete to its receiver. A truncated body
@@ -56,7 +56,7 @@
         left_bytes: len,
         on_end: Some(Box::new(on_end)),
         stall: Duration::from_millis(stall_ms),
-        waits: None,
+        stall_timer: None,
     };
     watched.boxed_unsync()
 }
@@ -70,8 +70,10 @@
 
     fn wait(&mut self, context: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         let stall = self.stall;
-        let waits = self.waits.get_or_insert_with(|| Box::pin(sleep(stall)));
-        match waits.as_mut().poll(context) {
+        let stall_timer = self
+            .stall_timer
+            .get_or_insert_with(|| Box::pin(sleep(stall)));
+        match stall_timer.as_mut().poll(context) {
             Poll::Pending => Poll::Pending,
             Poll::Ready(()) => self.broken(io::Error::other(BodyError::Stalled)),
         }
@@ -108,7 +110,7 @@
         match Pin::new(&mut self.inner).poll_frame(context) {
             Poll::Pending => self.wait(context),
             Poll::Ready(Some(Ok(frame))) => {
-                self.waits = None;
+                self.stall_timer = None;
                 self.take(frame)
             }
             Poll::Ready(Some(Err(error))) => self.broken(error),
--- a/tests/support/test_mesh.rs
+++ b/tests/support/test_mesh.rs
@@ -40,9 +40,9 @@
 use sassafrasgap::core::View;
 use sassafrasgap::errors::PeerCallError;
 use sassafrasgap::node::Announcement;
-use sassafrasgap::node::AskAttempt;
 use sassafrasgap::node::Attempts;
 use sassafrasgap::node::NodeInputs;
+use sassafrasgap::node::QueryAttempt;
 use sassafrasgap::node::RunningNode;
 use sassafrasgap::preset::ClassPolicy;
 use sassafrasgap::preset::InForce;
@@ -182,7 +182,7 @@
         let owner = self.targets.iter().find(same_service);
         let owner = owner.map(|target| target.node.clone());
         inputs.claims = Some(fixed_claims(&settings, service, owner, inputs.clock));
-        inputs.ask_attempt = ask_attempt(&self.attempts);
+        inputs.query_attempt = query_attempt(&self.attempts);
         let known = (inputs.attempts.clone(), inputs.clock);
         let in_force = InForce {
             version: 1,
@@ -280,7 +280,7 @@
     }
 }
 
-fn ask_attempt(attempts: &AttemptsByNode) -> AskAttempt {
+fn query_attempt(attempts: &AttemptsByNode) -> QueryAttempt {
     let attempts = attempts.clone();
     Arc::new(move |address, attempt| {
         let attempts = attempts.lock().expect("no holder panics");
