--- a/src/node/backend_call.rs
+++ b/src/node/backend_call.rs
@@ -190,7 +190,7 @@
     request: RequestId,
     error: &hyper_util::client::legacy::Error,
 ) -> Refusal {
-    log::debug!("guard: request to the backend server failed, request={request} error={error}");
+    log::debug!("guard: connection to the backend server failed, request={request} error={error}");
     if error.is_connect() {
         node.record_connection(false);
         not_run(RefusalReason::BackendDown)
--- a/src/node/guard_answer.rs
+++ b/src/node/guard_answer.rs
@@ -88,7 +88,7 @@
         WireError::Version { .. } => RefusalReason::PeerVersion,
         _ => RefusalReason::BadRequest,
     };
-    log::warn!("guard: refused a call with an unreadable header, error={error}");
+    log::warn!("guard: invalid header in a call, error={error}");
     let refusal = Refusal::not_run(reason, retry_after_ms);
     let context = AnswerContext {
         attempt: AttemptId(0),
--- a/src/node/node_process.rs
+++ b/src/node/node_process.rs
@@ -123,7 +123,7 @@
         let suspects = suspects.clone();
         let report = async move {
             if let Err(error) = clients.report_suspects(address, suspects).await {
-                log::warn!("poison: cannot deliver a crash report, peer={address} error={error}");
+                log::warn!("poison: crash report not delivered, peer={address} error={error}");
             }
         };
         report.boxed()
--- a/src/node/peer_call.rs
+++ b/src/node/peer_call.rs
@@ -187,7 +187,7 @@
         Err(error) => {
             in_flight.lost();
             log::debug!(
-                "entry: request to a peer failed, request={} error={error}",
+                "entry: call to a peer failed, request={} error={error}",
                 sent.request
             );
             lost(RefusalReason::PeerLost, run_state_of(&error))
--- a/src/node/planned_stop.rs
+++ b/src/node/planned_stop.rs
@@ -45,7 +45,7 @@
             .await
             .is_err()
         {
-            log::error!("node: the control thread could not be stopped");
+            log::error!("node: control thread could not be stopped");
         }
     }
 }
