--- a/src/node/attempts.rs
+++ b/src/node/attempts.rs
@@ -1,7 +1,7 @@
 //! Outcomes of recent attempts, for senders whose connection is half-open.
 //!
-//! Without this, a sender whose connection was dropped by a middlebox waits for an answer that
-//! never comes, although the call runs or ran. The sender therefore queries the outcome over
+//! Without this, if a middlebox drops the state of a connection, the sender waits for an answer
+//! that never comes, although the call runs or ran. The sender therefore queries the outcome over
 //! another connection. A query for an unseen attempt revokes it, so the sender's next attempt
 //! cannot run together with a late arrival of the first.
 
@@ -71,7 +71,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Arrival {
     Fresh,
-    /// The sender was told that the attempt was never seen.
+    /// A query reported the attempt as never seen, so the sender may have sent the call again.
     Revoked,
     /// The attempt arrived before.
     Repeated,
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Reports for how long the record is complete. A guard that was restarted or has forgotten the
+    /// Reports for how long the record is complete. A guard that was restarted or has evicted the
     /// attempt would otherwise report it as never seen, and the call would run a second time. The
     /// sender trusts the report only for attempts that are younger than the record.
     fn never_seen(&self, now: TimeMs) -> AttemptStatus {
--- a/src/node/backend_call.rs
+++ b/src/node/backend_call.rs
@@ -114,7 +114,7 @@
 impl RunningCall {
     fn new(node: &Arc<Node>, live: Arc<LiveCall>, permit: Permit) -> Self {
         Self {
-            context: node.live_calls.enter(live.clone()),
+            context: node.live_calls.register(live.clone()),
             node: node.clone(),
             live,
             permit,
@@ -160,7 +160,7 @@
 
 impl Drop for RunningCall {
     fn drop(&mut self) {
-        self.node.live_calls.leave(self.context);
+        self.node.live_calls.unregister(self.context);
     }
 }
 
--- a/src/node/backend_rate_limit.rs
+++ b/src/node/backend_rate_limit.rs
@@ -16,8 +16,8 @@
 
 const RATE_LIMIT: HeaderName = HeaderName::from_static(headers::RATE_LIMIT);
 
-/// The advertised rate, which the gate enforces. On this interface a departure is announced at
-/// `/announce` instead.
+/// The advertised rate, which the gate enforces. A backend server states its departure at
+/// `/announce`, not in its answers.
 #[derive(Debug, Default)]
 pub(super) struct BackendRateLimit {
     rate: Mutex<RateLimitState>,
--- a/src/node/baseline.rs
+++ b/src/node/baseline.rs
@@ -15,7 +15,7 @@
 use crate::node::peer_call::call_peer;
 
 /// The maximum number of retries of each call at each hop.
-const RETRIES: u32 = 3;
+const MAX_RETRIES: u32 = 3;
 /// The retry delay returned with a refusal, in milliseconds.
 const RETRY_AFTER_MS: u64 = 500;
 
@@ -33,7 +33,7 @@
         };
         let may_run_twice = call.non_idempotent && refusal.run_state != RunState::NotRun;
         let is_late = call.deadline <= node.inputs.clock.now();
-        if may_run_twice || is_late || !call.body_is_held || retries >= RETRIES {
+        if may_run_twice || is_late || !call.body_is_held || retries >= MAX_RETRIES {
             return Err(refusal);
         }
         retries += 1;
@@ -44,7 +44,8 @@
 fn any_target(node: &Node, call: &Call) -> Option<Arc<Target>> {
     let view = node.inputs.view.load();
     let targets = view.targets(&call.service).iter();
-    let open: Vec<&Arc<Target>> = targets.filter(|it| it.state.takes_work()).collect();
-    let place = fastrand::usize(..open.len().max(1));
-    open.get(place).map(|target| (*target).clone())
+    let candidates: Vec<&Arc<Target>> =
+        targets.filter(|target| target.state.takes_work()).collect();
+    let index = fastrand::usize(..candidates.len().max(1));
+    candidates.get(index).map(|target| (*target).clone())
 }
--- a/src/node/call_context.rs
+++ b/src/node/call_context.rs
@@ -23,7 +23,7 @@
 }
 
 /// Builds the context of a call. A call of the backend server that names no live call is a root
-/// without retries.
+/// without retries, which the allotment of the real root would not bound.
 pub(super) fn call_context(
     in_force: &InForce,
     policy: CallPolicy,
@@ -40,8 +40,7 @@
     }
 }
 
-/// The whole chain has one priority, except that a child whose own class is more important keeps
-/// that class: a charge made on behalf of low-priority work is still a charge.
+/// A child call inherits the priority of its parent, unless its own class is more important: a charge made on behalf of low-priority work is still a charge.
 fn child(policy: CallPolicy, parent: Arc<LiveCall>) -> CallContext {
     let class = policy.class.min(parent.priority.class());
     CallContext {
--- a/src/node/caller_headers.rs
+++ b/src/node/caller_headers.rs
@@ -51,8 +51,8 @@
     }
 }
 
-/// Like [`strip`], for an answer. The answer to `HEAD` keeps its length, which tells how long the
-/// body would be.
+/// Like [`strip`], for an answer. The answer to `HEAD` keeps its length, which is the length that
+/// the body would have.
 pub(crate) fn strip_answer(map: &mut HeaderMap, method: &Method) {
     let len = map.get(CONTENT_LENGTH).cloned();
     strip(map);
--- a/src/node/child_keys.rs
+++ b/src/node/child_keys.rs
@@ -2,9 +2,9 @@
 //!
 //! After a crash of a target, the new owner of its slots refuses unseen keys during the grace
 //! period, since an earlier attempt may have run. Jobs would then fail for the length of the resend
-//! window even though all targets are back. This is unnecessary where no earlier attempt can exist,
-//! as for a child key that begins with its parent's key: it belongs to the parent's single run, all
-//! of whose calls pass this node, and it is sent here for the first time. See docs/DESIGN.md, "Keys
+//! window even though all targets are back. The refusal is unnecessary if no earlier attempt can
+//! exist. That is so for a child key that begins with its parent's key and is sent for the first
+//! time: it belongs to the single run of the parent, and all calls of that run pass this node. See docs/DESIGN.md, "Keys
 //! of child calls".
 
 use std::sync::Mutex;
@@ -19,15 +19,15 @@
 
 /// The child keys sent on behalf of a call that runs under a key.
 pub(super) struct ChildKeys {
-    own: Name,
+    parent_key: Name,
     sent: Mutex<FastSet<(Name, Name)>>,
 }
 
 impl ChildKeys {
-    /// Creates the set for the call that runs under the key `own`.
-    pub(super) fn new(own: Name) -> Self {
+    /// Creates the set for the call that runs under `parent_key`.
+    pub(super) fn new(parent_key: Name) -> Self {
         Self {
-            own,
+            parent_key,
             sent: Mutex::new(FastSet::default()),
         }
     }
@@ -35,8 +35,8 @@
     /// Records that `key` is sent to `service`. Returns true if the key belongs to this call alone
     /// and was not sent before.
     pub(super) fn is_first_sending(&self, service: &Name, key: &Name) -> bool {
-        let added = key.strip_prefix(&*self.own);
-        let is_own = added.is_some_and(|added| added.starts_with(KEY_SEPARATOR));
+        let suffix = key.strip_prefix(&*self.parent_key);
+        let is_own = suffix.is_some_and(|suffix| suffix.starts_with(KEY_SEPARATOR));
         let mut sent = self.sent.lock().expect("no holder panics");
         if !is_own || sent.len() >= MAX_KEYS {
             return false;
--- a/src/node/entry.rs
+++ b/src/node/entry.rs
@@ -49,7 +49,7 @@
 }
 
 /// Whether the call has a key under which it may have run before. If so, a refusal that only this
-/// entry decided must not say `not_run`.
+/// entry decided must not state `not_run`, which is about all attempts with the key.
 fn may_be_keyed(node: &Node, request: &Request<Body>) -> bool {
     if !request.headers().contains_key(headers::IDEMPOTENCY_KEY) {
         return false;
--- a/src/node/forward.rs
+++ b/src/node/forward.rs
@@ -23,6 +23,7 @@
 
 /// The minimum retry delay when no target accepts work, in milliseconds.
 const NO_TARGET_RETRY_AFTER_MS: u64 = 500;
+
 /// Forwards a call until it is answered or no further attempt is allowed.
 ///
 /// # Errors
--- a/src/node/gate.rs
+++ b/src/node/gate.rs
@@ -76,7 +76,7 @@
     /// not run.
     ///
     /// # Errors
-    /// The refusal, which may come at once.
+    /// The refusal, either immediately or after waiting.
     pub(crate) async fn admit(self: &Arc<Self>, mut call: OfferedCall) -> AdmitResult {
         let (_cancel, result) = {
             let mut state = self.lock();
@@ -111,8 +111,8 @@
             let actions = state.admission.poll(self.clock.now());
             self.resolve(&mut state, actions)
         };
-        // The results are sent after the lock is released, since a permit that is no longer wanted
-        // is returned through it.
+        // The results are sent after the lock is released, since a permit whose receiver
+        // is gone is dropped here, and its drop acquires the lock.
         for (sender, result) in results {
             drop(sender.send(result));
         }
@@ -130,8 +130,7 @@
         self.poll();
     }
 
-    /// Caps the limit by the number of slots that the backend server states, by announcement or
-    /// otherwise.
+    /// Caps the limit by the number of slots that the backend server offers.
     pub(crate) fn set_slots(&self, slots: u32) {
         self.lock().admission.set_slots(slots);
     }
--- a/src/node/guard_answer.rs
+++ b/src/node/guard_answer.rs
@@ -27,7 +27,7 @@
     pub(super) attempt: AttemptId,
     pub(super) route: Name,
     pub(super) allotment_unused: u16,
-    /// The key of a non-idempotent call. The sender is told the owner of its slot.
+    /// The key of a non-idempotent call. The answer header names the owner of its slot.
     pub(super) key: Option<Name>,
 }
 
--- a/src/node/guard_run.rs
+++ b/src/node/guard_run.rs
@@ -34,7 +34,7 @@
 /// Waits for admission and runs the call.
 ///
 /// # Errors
-/// The refusal. It says `not_run` only if the call was certainly not started.
+/// The refusal. Its outcome is `not_run` only if the call was certainly not started.
 pub(super) async fn admit_and_run(node: &Arc<Node>, call: GuardedCall) -> Result<Answer, Refusal> {
     check_accepting(node, &call)?;
     if call.deadline <= node.inputs.clock.now() {
@@ -43,10 +43,12 @@
     check_poison(node, &call)?;
     check_downstream_level(node, &call)?;
     let offered = OfferedCall {
+        // Set by the gate.
         ticket: 0,
         priority: call.header.priority,
         depth: call.header.depth,
         wait_ms: call.header.wait_ms,
+        // The same for all calls, so that class, depth and rank decide the order.
         due: TimeMs(0),
         deadline: call.deadline,
     };
@@ -54,7 +56,7 @@
     let permit = node.gate.admit(offered).await?;
     let waited_us = permit.since_us.saturating_sub(arrived_us);
     node.metrics.guard_wait.observe(waited_us as f64 / 1e6);
-    // Both may have changed while the call was queued.
+    // The state and the suspected requests may have changed while the call was queued.
     check_accepting(node, &call)?;
     check_poison(node, &call)?;
     backend_call::run(node, call, permit).await
@@ -77,8 +79,8 @@
     }
 }
 
-/// Refuses a call that a downstream service would shed, before it takes a slot here. Its sender let
-/// it pass because it knew an older level than this node.
+/// Refuses a call that a downstream service would shed, before it takes a slot here. Its sender admitted
+/// it by an older level than the one known here.
 fn check_downstream_level(node: &Node, call: &GuardedCall) -> Result<(), Refusal> {
     let now = node.inputs.clock.now();
     let level = node
--- a/src/node/join_claims.rs
+++ b/src/node/join_claims.rs
@@ -16,7 +16,7 @@
 use crate::node::NodeInputs;
 use crate::table_service::PlatformClient;
 
-/// Creates the claims of a node whose listener for other nodes is bound to `bound`.
+/// Creates the claims of a node. `bound` is the address of its listener for other nodes.
 pub(super) fn new_claims(
     settings: &NodeSettings,
     inputs: &NodeInputs,
--- a/src/node/join_configuration.rs
+++ b/src/node/join_configuration.rs
@@ -94,8 +94,8 @@
     }
 }
 
-/// Lists peers to query at start. Peers of the own failure domain come first, since they knew what
-/// this node knew before a restart. The seeds follow, some of which are in the own domain, and then
+/// Lists peers to query at start. Peers of the own failure domain come first, since they
+/// have the versions that this node had before a restart. The seeds follow, some of which are in the own domain, and then
 /// all others.
 fn first_peers(view: &View, settings: &NodeSettings) -> Vec<SocketAddr> {
     let of_domain = |own: bool| {
--- a/src/node/keyed_forward.rs
+++ b/src/node/keyed_forward.rs
@@ -37,7 +37,7 @@
 /// milliseconds, and the call would be refused during a planned stop. The delay gives the next
 /// owner time to read the row.
 const IMMEDIATE_REDIRECTS: u32 = 2;
-/// The first delay before the owner is tried again while its slot changes hands, in milliseconds.
+/// The first delay before the owner is tried again while its slot is handed over, in milliseconds.
 /// It doubles with each redirect up to the maximum.
 const REDIRECT_WAIT_MS: u64 = 50;
 const MAX_REDIRECT_WAIT_MS: u64 = 400;
@@ -56,7 +56,8 @@
 /// Forwards a keyed call until it is answered or no further attempt is allowed.
 ///
 /// # Errors
-/// The refusal to return to the caller. It says `not_run` only if the owner's ledger said so.
+/// The refusal to return to the caller. Its outcome is `not_run` only if the owner's ledger
+/// confirmed it.
 pub(super) async fn forward_keyed(
     node: &Arc<Node>,
     call: &mut Call,
@@ -64,6 +65,8 @@
 ) -> Result<Answer, Refusal> {
     let claims = node.inputs.claims.as_ref();
     let now = node.inputs.clock.now();
+    // A call that waited in the receive buffer while this process was paused may have run since, by
+    // a resend through another entry.
     if claims.is_some_and(|claims| claims.may_predate_pause(now)) {
         return Err(unknown_refusal(RefusalReason::StaleAttempt));
     }
@@ -122,7 +125,7 @@
 enum Redirect {
     /// The owner is known, or returned its stamp.
     Known(RetryReason),
-    /// The target knows no owner at present, since the slot changes hands.
+    /// The target does not know the owner at present, since the slot is being handed over.
     NoOwner,
 }
 
@@ -161,9 +164,9 @@
     }
     match redirect? {
         Redirect::Known(reason) => {
-            let again = progress.redirects.saturating_sub(IMMEDIATE_REDIRECTS);
-            if reason == RetryReason::OwnerMoved && again > 0 {
-                wait_for_owner(again - 1).await;
+            let delayed = progress.redirects.saturating_sub(IMMEDIATE_REDIRECTS);
+            if reason == RetryReason::OwnerMoved && delayed > 0 {
+                wait_for_owner(delayed - 1).await;
             }
             Some(reason)
         }
@@ -175,7 +178,7 @@
     }
 }
 
-/// Waits for a slot to change hands, with an exponential delay.
+/// Waits for a slot to be handed over, with an exponentially growing delay.
 async fn wait_for_owner(times_before: u32) {
     let wait_ms = REDIRECT_WAIT_MS << times_before.min(8);
     let wait_ms = wait_ms.min(MAX_REDIRECT_WAIT_MS);
@@ -235,7 +238,7 @@
             Some(target)
         }
         None => {
-            // Another guard may know of a take-over. If it names the same owner, the search ends.
+            // Another guard may return a new owner after a take-over. If it names the same owner, the search ends.
             node.slot_router().forget(&call.service, key);
             search.note_unreachable(hint.node);
             choose(node, call, &search.tried())
@@ -280,8 +283,8 @@
     }
 }
 
-/// Adjusts a guard's refusal. It covers all attempts that the guard has seen, but not one that was
-/// lost on the way and may still arrive.
+/// Replaces `not_run` by `unknown` if an attempt was lost on the way and may still arrive. A guard's
+/// refusal covers only the attempts that the guard has seen.
 fn qualify_refusal(refusal: Refusal, progress: &Progress) -> Refusal {
     if progress.may_be_in_flight {
         unknown_unless_ran(refusal)
--- a/src/node/keyed_guard.rs
+++ b/src/node/keyed_guard.rs
@@ -1,7 +1,7 @@
 //! Non-idempotent calls with a key at the guard. The ledger decides before a call is queued.
 //!
-//! A refusal here is about the key and not only about this attempt. It says `not_run` only when the
-//! ledger says so (docs/AT_MOST_ONCE.md, "What refusals say").
+//! A refusal here is about the key and not only about this attempt. Its outcome is `not_run` only if
+//! the ledger confirmed it (docs/AT_MOST_ONCE.md, "What refusals say").
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,8 +27,8 @@
 use crate::wire::CallHeader;
 use crate::wire::OwnerHint;
 
-/// The largest answer that is kept for resends, in bytes. Resends of a call with a larger answer
-/// are told that it ran.
+/// The largest answer that is kept for resends, in bytes. A resend of a call with a larger answer
+/// is refused with the outcome `ran`.
 const MAX_KEPT_BODY_BYTES: usize = 64 * 1024;
 /// The retry delay when the guard has no ledger yet, in milliseconds.
 const NO_LEDGER_RETRY_AFTER_MS: u64 = 1_000;
@@ -40,8 +40,8 @@
 
 /// Replaces `not_run` by `unknown` in a refusal of a keyed call that was decided before the ledger
 /// was consulted. An earlier attempt with the same key may have run.
-pub(super) fn unknown_if_keyed(header_key: Option<&Name>, refusal: Refusal) -> Refusal {
-    match (header_key, refusal.run_state) {
+pub(super) fn unknown_if_keyed(key: Option<&Name>, refusal: Refusal) -> Refusal {
+    match (key, refusal.run_state) {
         (Some(_), RunState::NotRun) => Refusal {
             run_state: RunState::Unknown,
             ..refusal
@@ -75,7 +75,7 @@
         }
         KeyedAdmission::Join(receiver) => {
             node.metrics.joined_calls.inc();
-            answer_of(receive_within(left, receiver).await?)
+            answer_of_outcome(receive_within(left, receiver).await?)
         }
         KeyedAdmission::Answer(kept) => {
             node.metrics.repeated_answers.inc();
@@ -138,7 +138,7 @@
     }
 }
 
-fn answer_of(outcome: KeyedCallOutcome) -> Result<Answer, Refusal> {
+fn answer_of_outcome(outcome: KeyedCallOutcome) -> Result<Answer, Refusal> {
     match outcome {
         KeyedCallOutcome::Ran(Some(kept)) => Ok(kept_answer::answer_of(&kept)),
         KeyedCallOutcome::Ran(None) => Err(Refusal {
--- a/src/node/live_calls.rs
+++ b/src/node/live_calls.rs
@@ -14,8 +14,8 @@
 use crate::poison::RunningRequest;
 use crate::retry::Allotment;
 
-/// The data that a child call inherits. A caller's own call also has one at its entry, for the
-/// allotment.
+/// A call that runs at the local backend server, with the data that its child calls inherit. An
+/// entry also creates one for each root call, to hold its allotment.
 pub(super) struct LiveCall {
     pub(super) request: RequestId,
     pub(super) priority: Priority,
@@ -67,7 +67,7 @@
     }
 
     /// The entry of this call in a crash report.
-    pub(super) fn running(&self) -> RunningRequest {
+    pub(super) fn running_request(&self) -> RunningRequest {
         RunningRequest {
             request: self.request,
             fingerprint: self.fingerprint,
@@ -146,7 +146,7 @@
     }
 
     /// Adds a call and returns the context for the backend server.
-    pub(super) fn enter(&self, call: Arc<LiveCall>) -> u128 {
+    pub(super) fn register(&self, call: Arc<LiveCall>) -> u128 {
         let context = fastrand::u128(..);
         self.lock().insert(context, call);
         context
@@ -160,11 +160,14 @@
 
     /// All running calls.
     pub(super) fn running(&self) -> Vec<RunningRequest> {
-        self.lock().values().map(|call| call.running()).collect()
+        self.lock()
+            .values()
+            .map(|call| call.running_request())
+            .collect()
     }
 
     /// Removes a call that has ended.
-    pub(super) fn leave(&self, context: u128) {
+    pub(super) fn unregister(&self, context: u128) {
         self.lock().remove(&context);
     }
 
--- a/src/node/local_backend.rs
+++ b/src/node/local_backend.rs
@@ -30,7 +30,7 @@
     TargetState::Up
 }
 
-/// What this node knows about its backend server.
+/// The state of the local backend server, with that of the node.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LocalBackend {
     /// `None` until the backend server has announced itself.
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -28,7 +28,7 @@
 use crate::node::status::LedgerFigures;
 use crate::node::targets::Targets;
 
-/// A streamed answer is aborted after no data for `silence_ms` times this. The time is longer than
+/// A streamed answer is aborted if no data arrives for `silence_ms` times this. The time is longer than
 /// for answer heads, since no node can be queried for the rest and slow storage pauses too.
 const STALL_FACTOR: u64 = 20;
 /// The number of consecutive refused connections after which the backend server counts as down.
@@ -105,8 +105,8 @@
         self.draining.load(Ordering::Acquire)
     }
 
-    /// The known owners of keys. A poisoned lock does no harm, since owners check what they
-    /// receive.
+    /// The known owners of keys. The contents of a poisoned lock are still used, since each
+    /// guard checks whether it owns the key of a call.
     pub(super) fn slot_router(&self) -> MutexGuard<'_, SlotRouter> {
         self.slot_router
             .lock()
@@ -137,10 +137,10 @@
     }
 
     /// Records whether the backend server accepted a connection. After several consecutive refusals
-    /// it is marked as starting, and the other nodes are told, until it announces itself again. A
-    /// backend server that crashed does not report this itself.
-    pub(super) fn record_connection(&self, taken: bool) {
-        if taken {
+    /// it is marked as starting, also to the other nodes, until it announces itself again. A crashed
+    /// backend server cannot announce this itself.
+    pub(super) fn record_connection(&self, accepted: bool) {
+        if accepted {
             self.connections_refused.store(0, Ordering::Relaxed);
             return;
         }
--- a/src/node/node_process.rs
+++ b/src/node/node_process.rs
@@ -166,7 +166,7 @@
     })
 }
 
-/// Ignores reports of other services, which say nothing about the local one.
+/// Merges a crash report, unless it is about another service than the local one.
 fn merge_suspects(
     poison: &PoisonGuard,
     local: &watch::Sender<LocalBackend>,
--- a/src/node/overdue.rs
+++ b/src/node/overdue.rs
@@ -22,7 +22,7 @@
 /// How long an answer that has left the guard may take to arrive, in milliseconds.
 const ANSWER_TRANSIT_MS: u64 = 200;
 
-/// Two clocks drift apart by at most one part in this.
+/// The assumed maximum drift between two clocks is the elapsed time divided by this, which is 2%.
 const CLOCK_DRIFT_DIVISOR: u64 = 50;
 /// The resolution of both clocks, in milliseconds.
 const CLOCK_RESOLUTION_MS: u64 = 2;
@@ -35,15 +35,16 @@
     Answered(KeptAnswer),
     /// The attempt ended, but its answer is not kept.
     AnswerNotKept,
-    /// The guard's record does not reach back far enough, so the call may have run.
+    /// The attempt was not seen, but the guard's record does not reach back to its sending, so the
+    /// call may have run.
     Forgotten,
     /// The guard cannot be reached for the query either.
     Unreachable,
 }
 
 /// Waits until the answer is overdue and then queries the guard repeatedly while the call is in
-/// progress. While the guard is unreachable, a call that must not be abandoned is awaited until its
-/// deadline, since its answer may still come.
+/// progress. If the guard is unreachable, this returns at once if the call `may_abandon`. Otherwise
+/// the queries go on until the deadline, since the answer may still come.
 pub(super) async fn watch_overdue(
     node: &Node,
     target: &Target,
--- a/src/node/planned_stop.rs
+++ b/src/node/planned_stop.rs
@@ -10,8 +10,8 @@
 
 /// How often the calls in flight are checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The minimum time for which the node continues to serve, so that callers and other nodes learn of
-/// the stop.
+/// The minimum time for which the node continues to serve, so that the stop becomes known to
+/// callers and other nodes.
 const MIN_DRAIN: Duration = Duration::from_millis(1_500);
 /// How long no call must have been in flight, so that the last answers have left the sockets.
 const QUIET_PERIOD: Duration = Duration::from_millis(300);
@@ -21,7 +21,7 @@
 const MAX_LEAVE_MS: u64 = 5_000;
 
 impl NodeProcess {
-    /// Performs a planned stop: refuses new work at the guard, tells the other nodes, finishes
+    /// Performs a planned stop: refuses new work at the guard, notifies the other nodes, finishes
     /// calls in flight within the drain time-out of the settings, and leaves.
     ///
     /// Calls of callers that still arrive are forwarded to other targets, and their connections are
--- a/src/node/poison_guard.rs
+++ b/src/node/poison_guard.rs
@@ -31,7 +31,7 @@
 /// The crash detected last.
 struct LastCrash {
     id: CrashId,
-    /// When it was detected, in microseconds. Calls sent earlier broke in this crash.
+    /// When it was detected, in microseconds. Broken calls that were sent earlier belong to it.
     at_us: u64,
     running: Vec<RunningRequest>,
 }
@@ -39,12 +39,12 @@
 /// The suspected requests of the local service.
 pub struct PoisonGuard {
     suspects: Mutex<Suspects>,
-    /// Held while a crash is reported, so that no call that broke in it is answered before.
+    /// Locked while a crash is reported, so that no call that broke in it is answered earlier.
     last_crash: tokio::sync::Mutex<Option<LastCrash>>,
 }
 
 impl PoisonGuard {
-    /// Creates a guard without suspects.
+    /// Creates a guard that suspects no request.
     pub fn new() -> Self {
         Self {
             suspects: Mutex::new(Suspects::new(PoisonSettings::default())),
@@ -80,9 +80,9 @@
     }
 }
 
-/// Handles a broken call, which must still count as running. If the backend server crashed, all
-/// targets of the service are told what was running before this returns, within the report
-/// time-out.
+/// Handles a call whose connection to the backend server broke. The call must still be registered
+/// as live. If the backend server crashed, the running requests are reported to all targets of the
+/// service before this returns, within [`REPORT_TIMEOUT`].
 pub(super) async fn handle_broken_call(
     node: &Node,
     address: SocketAddr,
@@ -94,7 +94,7 @@
     }
     let poison = &node.inputs.poison;
     let mut last = poison.last_crash.lock().await;
-    let this = live.running();
+    let this = live.running_request();
     let id = match last.as_mut() {
         Some(crash) if since_us <= crash.at_us => {
             if crash.running.contains(&this) {
@@ -103,8 +103,8 @@
             crash.running.push(this);
             crash.id
         }
-        // The call reached a backend server that was still down. If it counted as a suspect, every
-        // such call would be refused after two of them.
+        // The call was sent to a backend server that was still down, so it did not cause a crash.
+        // If it counted as a suspect, a request that met this twice would be refused as poison.
         Some(_) if is_down(node) => return,
         _ => last.insert(new_crash(node, this)).id,
     };
@@ -143,7 +143,7 @@
         return false;
     };
     let mut byte = [0];
-    // No request was sent, so a live server sends nothing.
+    // No request was sent, so a running server sends nothing and the read times out.
     timeout(PROBE_TIMEOUT, stream.read(&mut byte))
         .await
         .is_err()
--- a/src/node/status.rs
+++ b/src/node/status.rs
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The current status of a node, for a list of many nodes.
+    /// The current status of a node without the members, for a list of many nodes.
     pub fn without_members(node: &Node) -> Self {
         let view = node.inputs.view.load();
         let in_force = node.inputs.in_force.load();
--- a/src/node/targets.rs
+++ b/src/node/targets.rs
@@ -30,10 +30,10 @@
 /// Retries allowed in a row without first attempts in between.
 const BUDGET_BURST: u32 = 20;
 
-/// The maximum number of routes whose usual latency is remembered. Beyond it, all are measured
-/// anew.
+/// The maximum number of routes for which a usual latency is kept. When it is reached, all are
+/// cleared and measured again.
 const MAX_ROUTES: usize = 4_096;
-/// Each new latency enters the usual latency of its route with a weight of one part in this.
+/// A new latency changes the usual latency of its route by the difference divided by this.
 const SMOOTHING_DIVISOR: u64 = 32;
 
 #[derive(Default)]
@@ -265,7 +265,7 @@
     }
 }
 
-/// What one attempt showed about its target.
+/// What one attempt revealed about its target.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct AttemptOutcome {
     pub(crate) report: Option<LoadReport>,
@@ -274,7 +274,7 @@
     pub(crate) took_ms: u64,
     /// The target was unreachable or stopped answering.
     pub(crate) is_lost: bool,
-    /// Its guard accepts no work, since it drains or its backend server is down.
+    /// Its guard accepts no work, because it is draining or its backend server is down.
     pub(crate) is_closed: bool,
 }
 
--- a/tests/fake_chain/report.rs
+++ b/tests/fake_chain/report.rs
@@ -14,7 +14,7 @@
     pub class: usize,
 }
 
-/// A root request that its caller gave up.
+/// A root request that its caller abandoned.
 #[derive(Clone, Copy, Debug)]
 pub struct Lost {
     pub first_sent_ms: u64,
--- a/tests/node_answers.rs
+++ b/tests/node_answers.rs
@@ -51,7 +51,7 @@
     Response::new(full_body(text))
 }
 
-/// The fault in the answer of a peer that stands in for a guard.
+/// The fault in the answer of a simulated guard.
 #[derive(Clone, Copy, Debug)]
 enum AnswerFault {
     OtherAttempt,
@@ -139,8 +139,7 @@
 }
 
 /// A backend server disconnects in the middle of its answer, or sends no length, so that the end
-/// cannot be told from a broken connection. The caller must not take the truncated answer for a
-/// complete one.
+/// looks like a broken connection. The caller must get an error instead of the truncated answer.
 #[rstest]
 #[case::shorter("HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nfour")]
 #[case::chunks_cut("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nfour\r\n")]
@@ -202,7 +201,7 @@
     assert_eq!(&got.body[..], LARGE_BYTES.to_string().as_bytes());
 }
 
-async fn breaks_off(_request: Request<Body>, _local: SocketAddr) -> Response<Body> {
+async fn fails_midway(_request: Request<Body>, _local: SocketAddr) -> Response<Body> {
     let good = (0..20).map(|_| Ok(Frame::data(Bytes::from(vec![7_u8; 16_384]))));
     let bad = [Err(std::io::Error::other("the disk failed"))];
     let body = StreamBody::new(stream::iter(good.chain(bad)));
@@ -213,15 +212,15 @@
 /// successful head. The caller must see an error, or it takes the truncated answer for a complete
 /// one.
 #[tokio::test]
-async fn a_streamed_answer_that_breaks_off_breaks_the_callers_connection() {
+async fn a_failed_stream_closes_the_callers_connection() {
     let mut mesh = TestMesh::new();
-    let entry = mesh.add("one", "archives", breaks_off).await;
+    let entry = mesh.add("one", "archives", fails_midway).await;
     let request = Request::get(mesh.uri(entry, "/archives/7")).body(full_body(""));
     let response = mesh.client.request(request.expect("valid")).await;
     let response = response.expect("the head comes");
     assert_eq!(response.status(), 200);
     let body = response.into_body().collect().await;
-    assert!(body.is_err(), "a cut archive must not look whole");
+    assert!(body.is_err(), "a truncated archive must end in an error");
     assert!(mesh.nodes[entry].node.metrics.broken_answers.get() >= 1);
 }
 
@@ -234,7 +233,7 @@
 /// A streamed answer stalls after 300 KB without a closed connection. It must be aborted with a
 /// visible error, or the caller waits indefinitely.
 #[tokio::test]
-async fn a_streamed_answer_that_stalls_is_broken_off() {
+async fn a_streamed_answer_that_stalls_is_aborted() {
     let mut mesh = TestMesh::new();
     let mut settings = node_settings("one");
     settings.silence_ms = 50;
@@ -245,6 +244,6 @@
     let response = mesh.client.request(request.expect("valid")).await;
     let response = response.expect("the head comes");
     let body = response.into_body().collect().await;
-    assert!(body.is_err(), "a cut archive must not look whole");
+    assert!(body.is_err(), "a truncated archive must end in an error");
     assert!(mesh.nodes[entry].node.metrics.broken_answers.get() >= 1);
 }
--- a/tests/node_bad_input.rs
+++ b/tests/node_bad_input.rs
@@ -23,7 +23,7 @@
 use sassafrasgap::core::RefusalReason;
 use sassafrasgap::wire::PROTOCOL_VERSION;
 
-use support::test_mesh::Got;
+use support::test_mesh::ClientResponse;
 use support::test_mesh::TestMesh;
 
 /// A backend server that answers with the internal headers it received and counts its runs.
@@ -61,7 +61,7 @@
     Response::new(full_body(format!("whole={whole} {}", internal.join(" "))))
 }
 
-fn assert_refused(got: &Got, status: u16, reason: RefusalReason, outcome: &str) {
+fn assert_refused(got: &ClientResponse, status: u16, reason: RefusalReason, outcome: &str) {
     assert_eq!(got.status, status, "{got:?}");
     assert_eq!(got.header("sassafrasgap-reason"), reason.as_str());
     assert_eq!(got.header("sassafrasgap-outcome"), outcome);
--- a/tests/node_child_keys.rs
+++ b/tests/node_child_keys.rs
@@ -16,7 +16,7 @@
 use sassafrasgap::core::TimeMs;
 use sassafrasgap::wire::headers;
 
-use support::test_mesh::Got;
+use support::test_mesh::ClientResponse;
 use support::test_mesh::TestMesh;
 use support::test_mesh::send;
 
@@ -63,7 +63,7 @@
     });
 }
 
-async fn post_with_key(mesh: &TestMesh, place: usize, path: &str) -> Got {
+async fn post_with_key(mesh: &TestMesh, place: usize, path: &str) -> ClientResponse {
     let request = Request::post(mesh.uri(place, path))
         .header(headers::IDEMPOTENCY_KEY, PARENT_KEY)
         .body(empty_body())
@@ -72,12 +72,12 @@
 }
 
 /// After a crash of one scheduler, the new owner of its slots refuses unseen keys, and jobs fail
-/// for the length of the resend window. The owner cannot tell a first attempt from a resend. The
-/// parent's node can, if the key extends the parent's key.
+/// for the length of the resend window. The owner cannot distinguish a first attempt from a
+/// resend. The parent's node can, if the key extends the parent's key.
 #[rstest]
 #[case::own_key("job-1/deep", 1, 200)]
 #[case::key_of_another_call("job-2/deep", 1, 503)]
-#[case::own_key_without_joint("job-12", 1, 503)]
+#[case::own_key_without_separator("job-12", 1, 503)]
 #[case::sent_twice_and_run_once("job-1/deep", 2, 200)]
 #[tokio::test]
 async fn a_child_key_of_the_parent_alone_needs_no_grace(
--- a/tests/node_faults.rs
+++ b/tests/node_faults.rs
@@ -46,7 +46,7 @@
 /// nodes. A stop that closes connections interrupts calls in flight, and one that only stops
 /// listening loses calls on their way. Every call must be answered.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_cuts_off_no_call() {
+async fn a_planned_stop_interrupts_no_call() {
     let mut plan = menus_plan();
     for target in &mut plan.targets {
         target.backend.service_time = ServiceTime::fixed(CALL_MS);
@@ -103,6 +103,6 @@
         crashed <= 2,
         "{crashed} backend servers crashed: {reasons:?}"
     );
-    assert!(crashed >= 1, "the request crashes who runs it: {reasons:?}");
+    assert!(crashed >= 1, "no backend server crashed: {reasons:?}");
     assert_eq!(reasons.last().map(String::as_str), Some("poisoned"));
 }
--- a/tests/node_half_open.rs
+++ b/tests/node_half_open.rs
@@ -70,7 +70,7 @@
 }
 
 impl Scenario {
-    async fn order(&self, method: &str, key: Option<&str>) -> support::test_mesh::Got {
+    async fn order(&self, method: &str, key: Option<&str>) -> support::test_mesh::ClientResponse {
         let mut request = Request::builder()
             .method(method)
             .uri(self.mesh.uri(0, "/orders/7"));
@@ -157,7 +157,7 @@
     assert_eq!(scenario.runs.load(Ordering::SeqCst), 4);
 }
 
-/// The sender was told that its attempt was never seen and has sent the order again. Then the
+/// The guard reported the attempt as never seen, and the sender has sent the order again. Then the
 /// half-open connection delivers the first attempt after all. It must not run in addition to the
 /// second.
 #[tokio::test]
@@ -207,18 +207,17 @@
     assert_eq!(scenario.runs.load(Ordering::SeqCst), 2);
 }
 
-/// A charge ran so long ago that the guard has forgotten the attempt. The sender, which could not
-/// query earlier, must not be told that it was never seen, since the record does not reach back
-/// that far.
+/// A charge ran so long ago that the guard has evicted the attempt. The sender, which could not
+/// query earlier, must not take it as never seen, since the record does not reach back that far.
 #[test]
 fn the_record_does_not_cover_forgotten_attempts() {
     let attempts = Attempts::default();
     let attempt = AttemptId(7);
     attempts.arrive(TimeMs(1_000), attempt);
     attempts.end(TimeMs(2_000), attempt, None);
-    let asked_at = TimeMs(60_000);
-    let AttemptStatus::NeverSeen { complete_for_ms } = attempts.status(asked_at, attempt) else {
-        panic!("it was forgotten long ago");
+    let queried_at = TimeMs(60_000);
+    let AttemptStatus::NeverSeen { complete_for_ms } = attempts.status(queried_at, attempt) else {
+        panic!("the attempt is still remembered");
     };
-    assert_eq!(complete_for_ms, asked_at.since(TimeMs(2_000)));
+    assert_eq!(complete_for_ms, queried_at.since(TimeMs(2_000)));
 }
--- a/tests/node_retries.rs
+++ b/tests/node_retries.rs
@@ -231,7 +231,7 @@
 /// A caller sends an order without a key and disconnects while it runs. Cancelling would leave it
 /// half done, so it must run to its end. A read must be cancelled instead.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn an_order_runs_to_its_end_though_its_caller_went_away() {
+async fn an_order_runs_to_its_end_after_its_caller_disconnects() {
     let ended = Arc::new(AtomicU32::new(0));
     let counted = ended.clone();
     let mut mesh = TestMesh::new();
@@ -253,7 +253,7 @@
             .expect("valid");
         let answer = mesh.client.request(request);
         let gone = tokio::time::timeout(Duration::from_millis(50), answer).await;
-        assert!(gone.is_err(), "the caller goes away first");
+        assert!(gone.is_err(), "the caller disconnects first");
     }
     tokio::time::sleep(Duration::from_millis(400)).await;
     assert_eq!(ended.load(Ordering::SeqCst), 1);
--- a/tests/support/test_mesh.rs
+++ b/tests/support/test_mesh.rs
@@ -48,7 +48,7 @@
 use sassafrasgap::preset::InForce;
 use sassafrasgap::preset::Preset;
 
-/// Nodes with one backend server each, which all know each other.
+/// Nodes with one backend server each. Each node has all others in its view.
 pub struct TestMesh {
     pub nodes: Vec<RunningNode>,
     pub client: HttpClient,
@@ -63,13 +63,13 @@
 
 /// A complete response as received by a client.
 #[derive(Debug)]
-pub struct Got {
+pub struct ClientResponse {
     pub status: u16,
     pub headers: http::HeaderMap,
     pub body: Bytes,
 }
 
-impl Got {
+impl ClientResponse {
     pub fn header(&self, name: &str) -> &str {
         self.headers
             .get(name)
@@ -252,16 +252,16 @@
     }
 
     /// Sends a request and reads the complete response.
-    pub async fn send(&self, request: Request<Body>) -> Got {
+    pub async fn send(&self, request: Request<Body>) -> ClientResponse {
         send(&self.client, request).await
     }
 
-    pub async fn get(&self, place: usize, path: &str) -> Got {
+    pub async fn get(&self, place: usize, path: &str) -> ClientResponse {
         let request = Request::get(self.uri(place, path));
         self.send(request.body(full_body("")).expect("valid")).await
     }
 
-    pub async fn post(&self, place: usize, path: &str, body: &'static str) -> Got {
+    pub async fn post(&self, place: usize, path: &str, body: &'static str) -> ClientResponse {
         let request = Request::post(self.uri(place, path));
         self.send(request.body(full_body(body)).expect("valid"))
             .await
@@ -269,11 +269,11 @@
 }
 
 /// Sends a request and reads the complete response.
-pub async fn send(client: &HttpClient, request: Request<Body>) -> Got {
+pub async fn send(client: &HttpClient, request: Request<Body>) -> ClientResponse {
     let response = client.request(request).await.expect("an answer comes");
     let (parts, body) = response.into_parts();
     let body = body.collect().await.expect("the answer is whole");
-    Got {
+    ClientResponse {
         status: parts.status.as_u16(),
         headers: parts.headers,
         body: body.to_bytes(),
--- a/tests/support/test_platform.rs
+++ b/tests/support/test_platform.rs
@@ -48,20 +48,20 @@
     }
 
     pub async fn stats(&self) -> Stats {
-        let content = self.ask(Method::GET, "/stats", String::new()).await;
+        let content = self.request(Method::GET, "/stats", String::new()).await;
         serde_json::from_slice(&content).unwrap()
     }
 
     /// Adds a fault, given as JSON, that begins now.
     pub async fn add_fault(&self, step: serde_json::Value) {
-        self.ask(Method::POST, "/fault", step.to_string()).await;
+        self.request(Method::POST, "/fault", step.to_string()).await;
     }
 
     pub async fn clear_faults(&self) {
-        self.ask(Method::DELETE, "/fault", String::new()).await;
+        self.request(Method::DELETE, "/fault", String::new()).await;
     }
 
-    async fn ask(&self, method: Method, path: &str, content: String) -> Vec<u8> {
+    async fn request(&self, method: Method, path: &str, content: String) -> Vec<u8> {
         let request = Request::builder()
             .method(method)
             .uri(format!("http://{}{path}", self.address))
