--- a/src/node/call_context.rs
+++ b/src/node/call_context.rs
@@ -40,7 +40,8 @@
     }
 }
 
-/// A child call inherits the priority of its parent, unless its own class is more important: a charge made on behalf of low-priority work is still a charge.
+/// A child call inherits the priority of its parent, unless its own class is more important: a
+/// charge made on behalf of low-priority work is still a charge.
 fn child(policy: CallPolicy, parent: Arc<LiveCall>) -> CallContext {
     let class = policy.class.min(parent.priority.class());
     CallContext {
--- a/src/node/child_keys.rs
+++ b/src/node/child_keys.rs
@@ -4,8 +4,8 @@
 //! period, since an earlier attempt may have run. Jobs would then fail for the length of the resend
 //! window even though all targets are back. The refusal is unnecessary if no earlier attempt can
 //! exist. That is so for a child key that begins with its parent's key and is sent for the first
-//! time: it belongs to the single run of the parent, and all calls of that run pass this node. See docs/DESIGN.md, "Keys
-//! of child calls".
+//! time: it belongs to the single run of the parent, and all calls of that run pass this node. See
+//! docs/DESIGN.md, "Keys of child calls".
 
 use std::sync::Mutex;
 
--- a/src/node/gate.rs
+++ b/src/node/gate.rs
@@ -111,8 +111,8 @@
             let actions = state.admission.poll(self.clock.now());
             self.resolve(&mut state, actions)
         };
-        // The results are sent after the lock is released, since a permit whose receiver
-        // is gone is dropped here, and its drop acquires the lock.
+        // The results are sent after the lock is released, since a permit whose receiver is gone is
+        // dropped here, and its drop acquires the lock.
         for (sender, result) in results {
             drop(sender.send(result));
         }
--- a/src/node/guard_run.rs
+++ b/src/node/guard_run.rs
@@ -79,8 +79,8 @@
     }
 }
 
-/// Refuses a call that a downstream service would shed, before it takes a slot here. Its sender admitted
-/// it by an older level than the one known here.
+/// Refuses a call that a downstream service would shed, before it takes a slot here. Its sender
+/// admitted it by an older level than the one known here.
 fn check_downstream_level(node: &Node, call: &GuardedCall) -> Result<(), Refusal> {
     let now = node.inputs.clock.now();
     let level = node
--- a/src/node/join_configuration.rs
+++ b/src/node/join_configuration.rs
@@ -94,9 +94,9 @@
     }
 }
 
-/// Lists peers to query at start. Peers of the own failure domain come first, since they
-/// have the versions that this node had before a restart. The seeds follow, some of which are in the own domain, and then
-/// all others.
+/// Lists peers to query at start. Peers of the own failure domain come first, since they have the
+/// versions that this node had before a restart. The seeds follow, some of which are in the own
+/// domain, and then all others.
 fn first_peers(view: &View, settings: &NodeSettings) -> Vec<SocketAddr> {
     let of_domain = |own: bool| {
         let nodes = view.nodes.values();
--- a/src/node/keyed_forward.rs
+++ b/src/node/keyed_forward.rs
@@ -238,7 +238,8 @@
             Some(target)
         }
         None => {
-            // Another guard may return a new owner after a take-over. If it names the same owner, the search ends.
+            // Another guard may return a new owner after a take-over. If it names the same owner,
+            // the search ends.
             node.slot_router().forget(&call.service, key);
             search.note_unreachable(hint.node);
             choose(node, call, &search.tried())
@@ -283,8 +284,8 @@
     }
 }
 
-/// Replaces `not_run` by `unknown` if an attempt was lost on the way and may still arrive. A guard's
-/// refusal covers only the attempts that the guard has seen.
+/// Replaces `not_run` by `unknown` if an attempt was lost on the way and may still arrive. A
+/// guard's refusal covers only the attempts that the guard has seen.
 fn qualify_refusal(refusal: Refusal, progress: &Progress) -> Refusal {
     if progress.may_be_in_flight {
         unknown_unless_ran(refusal)
--- a/src/node/keyed_guard.rs
+++ b/src/node/keyed_guard.rs
@@ -1,7 +1,7 @@
 //! Non-idempotent calls with a key at the guard. The ledger decides before a call is queued.
 //!
-//! A refusal here is about the key and not only about this attempt. Its outcome is `not_run` only if
-//! the ledger confirmed it (docs/AT_MOST_ONCE.md, "What refusals say").
+//! A refusal here is about the key and not only about this attempt. Its outcome is `not_run` only
+//! if the ledger confirmed it (docs/AT_MOST_ONCE.md, "What refusals say").
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -28,8 +28,8 @@
 use crate::node::status::LedgerFigures;
 use crate::node::targets::Targets;
 
-/// A streamed answer is aborted if no data arrives for `silence_ms` times this. The time is longer than
-/// for answer heads, since no node can be queried for the rest and slow storage pauses too.
+/// A streamed answer is aborted if no data arrives for `silence_ms` times this. The time is longer
+/// than for answer heads, since no node can be queried for the rest and slow storage pauses too.
 const STALL_FACTOR: u64 = 20;
 /// The number of consecutive refused connections after which the backend server counts as down.
 const DOWN_AFTER_REFUSALS: u32 = 3;
@@ -105,8 +105,8 @@
         self.draining.load(Ordering::Acquire)
     }
 
-    /// The known owners of keys. The contents of a poisoned lock are still used, since each
-    /// guard checks whether it owns the key of a call.
+    /// The known owners of keys. The contents of a poisoned lock are still used, since each guard
+    /// checks whether it owns the key of a call.
     pub(super) fn slot_router(&self) -> MutexGuard<'_, SlotRouter> {
         self.slot_router
             .lock()
@@ -137,8 +137,8 @@
     }
 
     /// Records whether the backend server accepted a connection. After several consecutive refusals
-    /// it is marked as starting, also to the other nodes, until it announces itself again. A crashed
-    /// backend server cannot announce this itself.
+    /// it is marked as starting, also to the other nodes, until it announces itself again. A
+    /// crashed backend server cannot announce this itself.
     pub(super) fn record_connection(&self, accepted: bool) {
         if accepted {
             self.connections_refused.store(0, Ordering::Relaxed);
--- a/src/node/targets.rs
+++ b/src/node/targets.rs
@@ -33,7 +33,7 @@
 /// The maximum number of routes for which a usual latency is kept. When it is reached, all are
 /// cleared and measured again.
 const MAX_ROUTES: usize = 4_096;
-/// A new latency changes the usual latency of its route by the difference divided by this.
+/// A new latency moves the usual latency of its route by the difference divided by this.
 const SMOOTHING_DIVISOR: u64 = 32;
 
 #[derive(Default)]
--- a/tests/fake_chain/chain.rs
+++ b/tests/fake_chain/chain.rs
@@ -60,8 +60,9 @@
     attempt: u32,
     sent_us: u64,
     over: bool,
-    /// Work done for the current attempt, and for those before.
+    /// Work done for the current attempt.
     work_us: u64,
+    /// Work done for the attempts before it.
     spent_us: u64,
 }
 
--- a/tests/node_child_keys.rs
+++ b/tests/node_child_keys.rs
@@ -72,8 +72,8 @@
 }
 
 /// After a crash of one scheduler, the new owner of its slots refuses unseen keys, and jobs fail
-/// for the length of the resend window. The owner cannot distinguish a first attempt from a
-/// resend. The parent's node can, if the key extends the parent's key.
+/// for the length of the resend window. The owner cannot distinguish a first attempt from a resend.
+/// The parent's node can, if the key extends the parent's key.
 #[rstest]
 #[case::own_key("job-1/deep", 1, 200)]
 #[case::key_of_another_call("job-2/deep", 1, 503)]
--- a/tests/node_rate_limit.rs
+++ b/tests/node_rate_limit.rs
@@ -87,6 +87,7 @@
             refused += 1;
         }
     }
+    // At 5 calls per second, the token bucket grants at most 1 + (0.5 + 4) x 5 = 23 calls in 4 s.
     let max_calls = limited.max_in_window();
     assert!(max_calls <= 35, "{max_calls} of 35");
     assert!(refused > 100, "{refused}");
