--- a/src/node/backend_call.rs
+++ b/src/node/backend_call.rs
@@ -1,4 +1,4 @@
-//! Running an admitted call at the local backend server.
+//! Runs an admitted call at the local backend server.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -31,42 +31,43 @@
 use crate::node::guarded_call::GuardedCall;
 use crate::node::live_calls::LiveCall;
 use crate::node::permit::Permit;
-use crate::node::poison_guard::backend_broke;
+use crate::node::poison_guard::handle_broken_call;
 use crate::node::watched_body::BodyEnd;
 use crate::node::watched_body::watched;
 use crate::wire::headers;
 
-/// How long a non-idempotent call may run on after its deadline, in milliseconds. Its end is
-/// still of use: the backend server's slot is known to be taken, and the ledger learns the outcome.
-const RUN_ON_MS: u64 = 60_000;
-/// When to come back after the backend server failed, in milliseconds.
+/// How long a non-idempotent call may run after its deadline, in milliseconds. Its end still
+/// matters: the slot of the backend server is known to be taken until then, and the ledger records
+/// the outcome.
+const MAX_OVERRUN_MS: u64 = 60_000;
+/// The minimum retry delay after the backend server failed, in milliseconds.
 const FAILED_RETRY_AFTER_MS: u64 = 500;
 
-/// Runs a call until its deadline. A non-idempotent one runs on for a while: it is not broken off
-/// once it may have started.
+/// Runs a call until its deadline. A non-idempotent call may overrun it by [`MAX_OVERRUN_MS`],
+/// since it must not be cancelled once it may have started.
 pub(super) async fn run(
     node: &Arc<Node>,
     mut call: GuardedCall,
     permit: Permit,
 ) -> Result<Answer, Refusal> {
-    let run_on_ms = if call.header.non_idempotent {
-        RUN_ON_MS
+    let overrun_ms = if call.header.non_idempotent {
+        MAX_OVERRUN_MS
     } else {
         0
     };
-    let left_ms = call.deadline.since(node.inputs.clock.now()) + run_on_ms;
-    let mut running = Running::new(node, call.live.clone(), permit);
+    let left_ms = call.deadline.since(node.inputs.clock.now()) + overrun_ms;
+    let mut running = RunningCall::new(node, call.live.clone(), permit);
     let exchange = exchange(node, &mut call, running.context);
     match timeout(Duration::from_millis(left_ms), exchange).await {
-        Ok(Ok(answer)) => Ok(holding(answer, running)),
+        Ok(Ok(answer)) => Ok(track_body(answer, running)),
         Ok(Err(refusal)) => {
-            let refusal = believed(refusal, &running.live);
+            let refusal = check_shed_claim(refusal, &running.live);
             running.failed(refusal);
             if let (RefusalReason::BackendBroke, Some(address)) =
                 (refusal.reason, node.backend_address())
             {
                 let since_us = running.permit.since_us;
-                backend_broke(node, address, &running.live, since_us).await;
+                handle_broken_call(node, address, &running.live, since_us).await;
             }
             Err(refusal)
         }
@@ -74,11 +75,11 @@
     }
 }
 
-/// Guards against a backend server that says it shed a call which it had begun: the call would run
-/// a second time elsewhere. It shows in the calls that it made on its behalf, all of which pass
-/// this node, so what was seen here goes before what the backend server says.
-fn believed(refusal: Refusal, live: &LiveCall) -> Refusal {
-    if refusal.reason == RefusalReason::BackendShed && live.has_called_on() {
+/// Checks whether the backend server may have run a call that it claims to have shed. If it had
+/// already started the call, another attempt elsewhere would run it a second time. All child calls
+/// pass this node, so a recorded child call overrides the claim.
+fn check_shed_claim(refusal: Refusal, live: &LiveCall) -> Refusal {
+    if refusal.reason == RefusalReason::BackendShed && live.has_made_calls() {
         return unknown(RefusalReason::BackendShed);
     }
     refusal
@@ -94,26 +95,26 @@
     let id = call.header.request;
     let sent_at = node.inputs.clock.now();
     let response = node.backend_client.request(request).await;
-    let response = response.map_err(|error| lost(node, id, &error))?;
-    node.note_connection(true);
+    let response = response.map_err(|error| connection_refusal(node, id, &error))?;
+    node.record_connection(true);
     let now = node.inputs.clock.now();
-    node.backend_words
-        .take(&node.gate, now, sent_at, response.headers());
-    take_answer(node, &method, response).await
+    node.backend_rate_limit
+        .record_answer(&node.gate, now, sent_at, response.headers());
+    read_answer(node, &method, response).await
 }
 
-/// A call that runs: entered among the live ones, and counted in flight, until it ends.
-struct Running {
+/// A running call. It is registered as live and counted as in flight until this is dropped.
+struct RunningCall {
     node: Arc<Node>,
     live: Arc<LiveCall>,
     context: u128,
     permit: Permit,
 }
 
-impl Running {
+impl RunningCall {
     fn new(node: &Arc<Node>, live: Arc<LiveCall>, permit: Permit) -> Self {
         Self {
-            context: node.live_calls.enter(live.clone()),
+            context: node.live_calls.register(live.clone()),
             node: node.clone(),
             live,
             permit,
@@ -125,20 +126,20 @@
             RefusalReason::BackendShed => CallOutcome::Shed,
             _ => CallOutcome::Failed,
         };
-        self.note(outcome);
+        self.record_completion(outcome);
     }
 
     fn succeeded(&mut self) {
-        self.node.inputs.poison.note_success(&self.live);
-        self.note(CallOutcome::Ok);
+        self.node.inputs.poison.record_success(&self.live);
+        self.record_completion(CallOutcome::Ok);
     }
 
-    fn note(&mut self, outcome: CallOutcome) {
+    fn record_completion(&mut self, outcome: CallOutcome) {
         let now_us = self.node.inputs.clock.now_us();
         let service_us = now_us.saturating_sub(self.permit.since_us);
         let seconds = service_us as f64 / 1e6;
         self.node.metrics.backend_latency.observe(seconds);
-        self.permit.note(Completion {
+        self.permit.set_completion(Completion {
             service_us,
             child_us: self.live.child_us(now_us),
             outcome,
@@ -150,16 +151,16 @@
             BodyEnd::Whole => self.succeeded(),
             BodyEnd::Broken => {
                 self.node.metrics.broken_answers.inc();
-                self.note(CallOutcome::Failed);
+                self.record_completion(CallOutcome::Failed);
             }
             BodyEnd::Dropped => {}
         }
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningCall {
     fn drop(&mut self) {
-        self.node.live_calls.leave(self.context);
+        self.node.live_calls.unregister(self.context);
     }
 }
 
@@ -184,17 +185,21 @@
     Some(request)
 }
 
-fn lost(node: &Node, request: RequestId, error: &hyper_util::client::legacy::Error) -> Refusal {
-    log::debug!("guard: lost the backend server, request={request} error={error}");
+fn connection_refusal(
+    node: &Node,
+    request: RequestId,
+    error: &hyper_util::client::legacy::Error,
+) -> Refusal {
+    log::debug!("guard: connection to the backend server failed, request={request} error={error}");
     if error.is_connect() {
-        node.note_connection(false);
+        node.record_connection(false);
         not_run(RefusalReason::BackendDown)
     } else {
         unknown(RefusalReason::BackendBroke)
     }
 }
 
-async fn take_answer(
+async fn read_answer(
     node: &Node,
     method: &Method,
     response: Response<Incoming>,
@@ -203,7 +208,7 @@
     if is_shed(parts.status, &parts.headers) {
         return Err(not_run(RefusalReason::BackendShed));
     }
-    if !has_end(method, parts.status, &parts.headers) {
+    if !has_delimited_body(method, parts.status, &parts.headers) {
         return Err(unknown(RefusalReason::BackendBroke));
     }
     caller_headers::strip_answer(&mut parts.headers, method);
@@ -223,17 +228,17 @@
         && caller_headers::text(map, headers::SHED) == Some("1")
 }
 
-/// Whether the end of the answer can be told from a connection that broke. Guards against an
-/// answer that ends with its connection (no length, no chunks): cut short, it looks whole.
-fn has_end(method: &Method, status: StatusCode, map: &HeaderMap) -> bool {
+/// Whether the end of the answer can be told from a broken connection. An answer that is delimited
+/// only by the close of its connection (no length, no chunks) looks complete when it is truncated.
+fn has_delimited_body(method: &Method, status: StatusCode, map: &HeaderMap) -> bool {
     let is_empty = *method == Method::HEAD
         || status == StatusCode::NO_CONTENT
         || status == StatusCode::NOT_MODIFIED;
     is_empty || map.contains_key(CONTENT_LENGTH) || map.contains_key(TRANSFER_ENCODING)
 }
 
-/// Keeps a streamed answer counted as running until its end.
-fn holding(mut answer: Answer, mut running: Running) -> Answer {
+/// Counts a streamed answer as running until its end.
+fn track_body(mut answer: Answer, mut running: RunningCall) -> Answer {
     match answer.body {
         NodeBody::Held(_) => running.succeeded(),
         NodeBody::Streamed { body, len } => {
--- a/src/node/forward.rs
+++ b/src/node/forward.rs
@@ -1,4 +1,4 @@
-//! Forwarding a call: choose a target, send, and perhaps try once more.
+//! Forwards a call: selects a target, sends the call, and retries if allowed.
 
 use std::sync::Arc;
 
@@ -21,12 +21,13 @@
 use crate::retry::retry_reason;
 use crate::routing::Pick;
 
-/// When to come back when no target takes work, in milliseconds.
+/// The minimum retry delay when no target accepts work, in milliseconds.
 const NO_TARGET_RETRY_AFTER_MS: u64 = 500;
-/// Forwards a call until it is answered or given up.
+
+/// Forwards a call until it is answered or no further attempt is allowed.
 ///
 /// # Errors
-/// The refusal to give to the caller.
+/// The refusal to return to the caller.
 pub(super) async fn forward(node: &Arc<Node>, call: &mut Call) -> Result<Answer, Refusal> {
     if !node.settings.control_enabled {
         return baseline::forward(node, call).await;
@@ -36,7 +37,7 @@
     }
     let mut tried: Vec<Name> = Vec::new();
     let mut last: Option<Refusal> = None;
-    let most_attempts = 1 + usize::from(call.holder.allotment_left());
+    let max_attempts = 1 + usize::from(call.allotment_holder.allotment_left());
     let mut attempts = 0;
     node.targets.first_attempt(&call.service);
     loop {
@@ -44,14 +45,19 @@
             return Err(last.unwrap_or_else(no_target));
         };
         attempts += 1;
-        // The siblings of a child may give back what they did not use, so that it may make more.
-        let is_within = attempts <= most_attempts || call.depth > 0;
-        check(&node.metrics, Invariant::AttemptsWithinAllotment, is_within);
+        // Siblings of a child call may return what they did not use of the allotment, so a child
+        // can make more attempts than its initial share allows.
+        let is_within_allotment = attempts <= max_attempts || call.depth > 0;
+        check(
+            &node.metrics,
+            Invariant::AttemptsWithinAllotment,
+            is_within_allotment,
+        );
         let refusal = match attempt(node, call, &target).await {
             AttemptEnd::Answered(answer, _) => return Ok(answer),
             AttemptEnd::Refused(refusal, _) => refusal,
         };
-        // A revoked attempt was lost with its connection; the target is as good as before.
+        // A revoked attempt was lost with its connection, so the target itself is not excluded.
         if refusal.reason != RefusalReason::Revoked {
             tried.push(target.node.clone());
         }
@@ -69,7 +75,7 @@
     }
 }
 
-/// The least loaded target of those that were not tried.
+/// Selects the least loaded target among those that were not tried.
 pub(super) fn choose(node: &Node, call: &Call, tried: &[Name]) -> Option<Arc<Target>> {
     let view = node.inputs.view.load();
     let now = node.inputs.clock.now();
@@ -83,9 +89,9 @@
     }
 }
 
-/// One attempt with a share of the allotment; what the share's holders left over comes back.
+/// Makes one attempt with a share of the allotment. The unused part of the share is returned.
 pub(super) async fn attempt(node: &Arc<Node>, call: &mut Call, target: &Target) -> AttemptEnd {
-    let share = call.holder.hand_out();
+    let share = call.allotment_holder.hand_out();
     let end = call_peer(node, call, target, share).await;
     let header = match &end {
         AttemptEnd::Answered(_, header) => Some(header),
@@ -93,17 +99,17 @@
     };
     let unused = header.map_or(0, |header| header.allotment_unused);
     check(&node.metrics, Invariant::AllotmentNotMade, unused <= share);
-    call.holder.take_back(share, unused);
+    call.allotment_holder.take_back(share, unused);
     if let Some(header) = header {
         let now = node.inputs.clock.now();
         node.levels
-            .note_answer(now, &call.service, &call.route, header.admit);
-        (node.inputs.note_config)(target.control_address, header.config_version);
+            .record_level(now, &call.service, &call.route, header.admit);
+        (node.inputs.record_peer_config)(target.control_address, header.config_version);
     }
     end
 }
 
-/// Decides on a further attempt and pays for it out of the allotment and the service's budget.
+/// Decides whether to retry, and charges the retry to the allotment and to the service's budget.
 fn next_attempt(node: &Node, call: &Call, refusal: Refusal, tried: &[Name]) -> Option<RetryReason> {
     let now = node.inputs.clock.now();
     let view = node.inputs.view.load();
@@ -111,14 +117,14 @@
         reason: refusal.reason,
         run_state: refusal.run_state,
     };
-    let situation = RetryContext {
+    let context = RetryContext {
         non_idempotent: call.non_idempotent,
         body_is_held: call.body_is_held,
         room_elsewhere: node.targets.has_room(&view, &call.service, tried, now),
         deadline_left_ms: call.deadline.since(now),
     };
-    let reason = retry_reason(failure, situation)?;
-    let paid = call.holder.spend() && node.targets.try_retry(&call.service);
+    let reason = retry_reason(failure, context)?;
+    let paid = call.allotment_holder.spend() && node.targets.try_retry(&call.service);
     paid.then_some(reason)
 }
 
--- a/src/node/keyed_forward.rs
+++ b/src/node/keyed_forward.rs
@@ -1,4 +1,4 @@
-//! Forwarding a non-idempotent call with a key: always to the owner of the key's slot.
+//! Forwards a non-idempotent call with a key. It always goes to the owner of the key's slot.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,36 +25,39 @@
 use crate::routing::OwnerSearch;
 use crate::wire::OwnerHint;
 
-/// How often a call is redirected at most. A redirection never reaches a backend server, so it is
-/// no retry and takes nothing from the allotment.
+/// The maximum number of redirects of a call. A redirected attempt never reaches a backend server,
+/// so it is no retry and is not charged to the allotment.
 const MAX_REDIRECTS: u32 = 10;
-/// How often the owner is looked for before a body is sent that cannot be sent twice.
+/// The maximum number of probes for the owner, made before a body is sent that cannot be sent
+/// twice.
 const MAX_PROBES: u32 = 3;
-/// Redirections that are followed at once. After them two guards send the call back and forth: the
-/// former owner has read the row that names the next one, which has not read it yet. Followed at
-/// once all the same, the redirections would be used up within milliseconds and the call refused
-/// in the middle of a planned stop; with a wait the next owner reads the row meanwhile.
-const REDIRECTS_AT_ONCE: u32 = 2;
-/// The first wait before the owner is asked again while its slot changes hands, in milliseconds;
-/// it doubles up to the longest.
+/// The number of redirects that are followed without a delay. Further ones mean that two guards
+/// redirect the call to each other: the former owner has read the row that names the next owner,
+/// and the next owner has not read it yet. Without a delay all redirects would be used up within
+/// milliseconds, and the call would be refused during a planned stop. The delay gives the next
+/// owner time to read the row.
+const IMMEDIATE_REDIRECTS: u32 = 2;
+/// The first delay before the owner is tried again while its slot is handed over, in milliseconds.
+/// It doubles with each redirect up to the maximum.
 const REDIRECT_WAIT_MS: u64 = 50;
-const LONGEST_REDIRECT_WAIT_MS: u64 = 400;
-/// When to come back when the owner is not found, in milliseconds.
+const MAX_REDIRECT_WAIT_MS: u64 = 400;
+/// The minimum retry delay when the owner is not found, in milliseconds.
 const NO_OWNER_RETRY_AFTER_MS: u64 = 1_000;
 
-/// How far a keyed call has come at its entry.
+/// The forwarding state of a keyed call.
 #[derive(Default)]
 struct Progress {
     redirects: u32,
-    /// An attempt may still be under way, and what a guard says later does not cover it.
-    may_be_under_way: bool,
+    /// An attempt may still be in flight, and later answers of a guard do not cover it.
+    may_be_in_flight: bool,
     search: OwnerSearch,
 }
 
-/// Forwards a keyed call until it is answered or given up.
+/// Forwards a keyed call until it is answered or no further attempt is allowed.
 ///
 /// # Errors
-/// The refusal to give to the caller. It says `not_run` only on the word of the owner's ledger.
+/// The refusal to return to the caller. Its outcome is `not_run` only if the owner's ledger
+/// confirmed it.
 pub(super) async fn forward_keyed(
     node: &Arc<Node>,
     call: &mut Call,
@@ -62,36 +65,41 @@
 ) -> Result<Answer, Refusal> {
     let claims = node.inputs.claims.as_ref();
     let now = node.inputs.clock.now();
+    // A call that waited in the receive buffer while this process was paused may have run since, by
+    // a resend through another entry.
     if claims.is_some_and(|claims| claims.may_predate_pause(now)) {
-        return Err(no_word(RefusalReason::StaleAttempt));
+        return Err(unknown_refusal(RefusalReason::StaleAttempt));
     }
-    let sends_until = call.arrived_at + sends_ms(node);
+    let attempts_until = call.arrived_at + send_window_ms(node);
     node.targets.first_attempt(&call.service);
     let mut progress = Progress::default();
     if !call.body_is_held {
-        find_owner(node, call, &key).await;
+        probe_owner(node, call, &key).await;
     }
     loop {
         let Some(target) = owner_or_any(node, call, &key, &mut progress.search) else {
-            return Err(no_word(RefusalReason::NoTarget));
+            return Err(unknown_refusal(RefusalReason::NoTarget));
         };
         let (refusal, again) = match attempt(node, call, &target).await {
             AttemptEnd::Answered(answer, header) => {
-                learn(node, call, &key, header.owner);
+                record_owner(node, call, &key, header.owner);
                 return Ok(answer);
             }
             AttemptEnd::Refused(refusal, Some(header)) => {
                 let again = redirect(node, call, &key, &target, refusal, header.owner);
-                let word = covered(refusal, &progress);
-                (word, follow(again, &target, &mut progress).await)
+                let qualified = qualify_refusal(refusal, &progress);
+                (
+                    qualified,
+                    follow_redirect(again, &target, &mut progress).await,
+                )
             }
             AttemptEnd::Refused(refusal, None) => {
-                let again = after_loss(node, call, &key, &target, refusal, &mut progress);
-                (without_word(refusal), again)
+                let again = retry_after_loss(node, call, &key, &target, refusal, &mut progress);
+                (unknown_unless_ran(refusal), again)
             }
         };
         let may_send =
-            call.body_is_held && node.inputs.clock.now() < sends_until.min(call.deadline);
+            call.body_is_held && node.inputs.clock.now() < attempts_until.min(call.deadline);
         let Some(reason) = again.filter(|_| may_send) else {
             return Err(refusal);
         };
@@ -105,23 +113,23 @@
     }
 }
 
-/// For how long after its arrival attempts of a call may be sent.
-fn sends_ms(node: &Node) -> u64 {
+/// For how long after its arrival attempts of a call may be sent, in milliseconds.
+fn send_window_ms(node: &Node) -> u64 {
     let in_force = node.inputs.in_force.load();
     let known = in_force.as_ref().as_ref();
     let window_ms = known.map_or(0, |known| known.preset.resend_window_ms);
     ResendLimits::new(window_ms).attempt_window_ms()
 }
 
-/// Where a call is sent again.
+/// Where to send a call again.
 enum Redirect {
-    /// The owner is known now, or gave out its stamp.
+    /// The owner is known, or returned its stamp.
     Known(RetryReason),
-    /// The target knows no owner at the moment: the slot changes hands.
-    Nobody,
+    /// The target does not know the owner at present, since the slot is being handed over.
+    NoOwner,
 }
 
-/// What a guard's refusal says about where to send the call.
+/// Decides from a guard's refusal where to send the call again.
 fn redirect(
     node: &Node,
     call: &Call,
@@ -133,19 +141,19 @@
     let elsewhere = owner
         .as_ref()
         .is_some_and(|owner| owner.node != target.node);
-    learn(node, call, key, owner);
+    record_owner(node, call, key, owner);
     match refusal.reason {
         RefusalReason::StaleAttempt => Some(Redirect::Known(RetryReason::StampRenewed)),
         RefusalReason::NotOwner if elsewhere => Some(Redirect::Known(RetryReason::OwnerMoved)),
         RefusalReason::NotOwner => {
             node.slot_router().forget(&call.service, key);
-            Some(Redirect::Nobody)
+            Some(Redirect::NoOwner)
         }
         _ => None,
     }
 }
 
-async fn follow(
+async fn follow_redirect(
     redirect: Option<Redirect>,
     target: &Target,
     progress: &mut Progress,
@@ -156,13 +164,13 @@
     }
     match redirect? {
         Redirect::Known(reason) => {
-            let again = progress.redirects.saturating_sub(REDIRECTS_AT_ONCE);
-            if reason == RetryReason::OwnerMoved && again > 0 {
-                wait_for_owner(again - 1).await;
+            let delayed = progress.redirects.saturating_sub(IMMEDIATE_REDIRECTS);
+            if reason == RetryReason::OwnerMoved && delayed > 0 {
+                wait_for_owner(delayed - 1).await;
             }
             Some(reason)
         }
-        Redirect::Nobody => {
+        Redirect::NoOwner => {
             progress.search.note_without_owner(target.node.clone());
             wait_for_owner(progress.redirects).await;
             Some(RetryReason::OwnerMoved)
@@ -170,16 +178,17 @@
     }
 }
 
-/// Waits for a slot to change hands, for longer each time.
+/// Waits for a slot to be handed over, with an exponentially growing delay.
 async fn wait_for_owner(times_before: u32) {
     let wait_ms = REDIRECT_WAIT_MS << times_before.min(8);
-    let wait_ms = wait_ms.min(LONGEST_REDIRECT_WAIT_MS);
+    let wait_ms = wait_ms.min(MAX_REDIRECT_WAIT_MS);
     tokio::time::sleep(Duration::from_millis(wait_ms)).await;
 }
 
-/// After a lost attempt the call may be sent to the owner once more: the ledger lets it join or
-/// repeats the answer. An owner that cannot be reached at all has no substitute.
-fn after_loss(
+/// Decides whether to retry after a lost attempt. The owner may get the call once more, since its
+/// ledger joins it to the running call or repeats the answer. No other target may run the call in
+/// place of an unreachable owner.
+fn retry_after_loss(
     node: &Node,
     call: &mut Call,
     key: &Name,
@@ -187,11 +196,11 @@
     refusal: Refusal,
     progress: &mut Progress,
 ) -> Option<RetryReason> {
-    let first_loss = !progress.may_be_under_way;
-    progress.may_be_under_way |= refusal.run_state != RunState::NotRun;
-    call.first_sending &= !progress.may_be_under_way;
+    let first_loss = !progress.may_be_in_flight;
+    progress.may_be_in_flight |= refusal.run_state != RunState::NotRun;
+    call.first_sending &= !progress.may_be_in_flight;
     let reason = match (refusal.reason, refusal.run_state) {
-        // Never seen and revoked: it is not under way, and the owner is as good as before.
+        // Never seen and revoked: the attempt is not in flight, and the owner is not excluded.
         (RefusalReason::Revoked, RunState::NotRun) => RetryReason::SilentConnection,
         (RefusalReason::PeerLost, RunState::NotRun) => {
             node.slot_router().forget(&call.service, key);
@@ -201,11 +210,11 @@
         (RefusalReason::PeerLost, _) if first_loss => RetryReason::ConnectionLost,
         _ => return None,
     };
-    let paid = call.holder.spend() && node.targets.try_retry(&call.service);
+    let paid = call.allotment_holder.spend() && node.targets.try_retry(&call.service);
     paid.then_some(reason)
 }
 
-/// The owner as far as it is known, else any target, whose guard names the owner.
+/// Selects the owner if it is known, otherwise any target, whose guard returns the owner.
 fn owner_or_any(
     node: &Node,
     call: &mut Call,
@@ -229,7 +238,8 @@
             Some(target)
         }
         None => {
-            // Another guard knows of a take-over; if it names the same owner, that is the end.
+            // Another guard may return a new owner after a take-over. If it names the same owner,
+            // the search ends.
             node.slot_router().forget(&call.service, key);
             search.note_unreachable(hint.node);
             choose(node, call, &search.tried())
@@ -237,16 +247,16 @@
     }
 }
 
-/// Whether membership holds the owner for reachable. To wait for one that is not would keep the
-/// caller from an answer that is known already.
+/// Whether the owner is reachable according to membership. Waiting for an unreachable one would
+/// only delay the refusal.
 fn is_reachable(view: &View, target: &Target) -> bool {
     let is_gone = matches!(target.state, TargetState::Dead | TargetState::Left);
     !is_gone && !view.cut_off_domains.contains(&target.domain)
 }
 
-/// A streamed body can be sent once only. So the owner and its stamp are asked for before, by an
-/// attempt without body and without stamp, which no guard starts.
-async fn find_owner(node: &Arc<Node>, call: &mut Call, key: &Name) {
+/// Finds the owner and its stamp before a streamed body is sent, which can be sent only once. The
+/// probe has neither body nor stamp, so no guard starts it.
+async fn probe_owner(node: &Arc<Node>, call: &mut Call, key: &Name) {
     let empty = NodeBody::Held(Bytes::new());
     let body = std::mem::replace(&mut call.body, empty);
     for _ in 0..MAX_PROBES {
@@ -260,7 +270,7 @@
         };
         let owner = header.and_then(|header| header.owner);
         let found = owner.as_ref().is_some_and(|owner| owner.stamp != 0);
-        learn(node, call, key, owner);
+        record_owner(node, call, key, owner);
         if found {
             break;
         }
@@ -268,24 +278,24 @@
     call.body = body;
 }
 
-fn learn(node: &Node, call: &Call, key: &Name, owner: Option<OwnerHint>) {
+fn record_owner(node: &Node, call: &Call, key: &Name, owner: Option<OwnerHint>) {
     if let Some(owner) = owner {
         node.slot_router().learn(&call.service, key, owner);
     }
 }
 
-/// What a guard says covers all sendings that it has seen, but not an attempt that was lost on the
-/// way and may still arrive.
-fn covered(refusal: Refusal, progress: &Progress) -> Refusal {
-    if progress.may_be_under_way {
-        without_word(refusal)
+/// Replaces `not_run` by `unknown` if an attempt was lost on the way and may still arrive. A
+/// guard's refusal covers only the attempts that the guard has seen.
+fn qualify_refusal(refusal: Refusal, progress: &Progress) -> Refusal {
+    if progress.may_be_in_flight {
+        unknown_unless_ran(refusal)
     } else {
         refusal
     }
 }
 
-/// The refusal of an entry that has no word of the ledger.
-pub(super) fn without_word(refusal: Refusal) -> Refusal {
+/// Replaces `not_run` by `unknown` in a refusal that no ledger has confirmed.
+pub(super) fn unknown_unless_ran(refusal: Refusal) -> Refusal {
     match refusal.run_state {
         RunState::NotRun => Refusal {
             run_state: RunState::Unknown,
@@ -295,7 +305,7 @@
     }
 }
 
-fn no_word(reason: RefusalReason) -> Refusal {
+fn unknown_refusal(reason: RefusalReason) -> Refusal {
     let retry_after_ms = NO_OWNER_RETRY_AFTER_MS + fastrand::u64(..NO_OWNER_RETRY_AFTER_MS);
     Refusal::unknown(reason, retry_after_ms)
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,15 +1,16 @@
-//! The data path of a node: entry for callers and for the local backend server's own calls, guard
-//! in front of the local backend server, and the operators' listener. See
+//! The data path of a node: the entry for callers and for calls of the local backend server, the
+//! guard in front of the local backend server, and the operators' listener. See
 //! [docs/DESIGN.md](../../docs/DESIGN.md), "A call's way".
 
 mod answer;
 mod answer_check;
 mod attempts;
 mod backend_call;
-mod backend_words;
+mod backend_rate_limit;
 mod baseline;
 mod body;
 mod call;
+mod call_context;
 pub(crate) mod caller_headers;
 mod child_clock;
 mod child_keys;
@@ -21,14 +22,12 @@
 mod guard_answer;
 mod guard_run;
 mod guarded_call;
-mod heritage;
 mod invariants;
 mod join_claims;
 mod join_configuration;
 mod kept_answer;
 mod keyed_forward;
 mod keyed_guard;
-mod learnt_levels;
 mod listeners;
 mod live_calls;
 mod local_backend;
@@ -37,16 +36,17 @@
 mod node_inputs;
 mod node_process;
 mod operators;
+mod overdue;
 mod peer_call;
 mod peer_operations;
 pub(crate) mod permit;
 mod planned_stop;
 mod poison_guard;
+mod prepare_call;
 mod refusal_response;
+mod reported_levels;
 mod running_node;
-mod silence;
 mod status;
-mod take_call;
 pub(crate) mod targets;
 mod watched_body;
 
@@ -60,9 +60,9 @@
 pub use local_backend::Announcement;
 pub use local_backend::LocalBackend;
 pub use node::Node;
-pub use node_inputs::AskAttempt;
 pub use node_inputs::NodeInputs;
-pub use node_inputs::NoteConfig;
+pub use node_inputs::QueryAttempt;
+pub use node_inputs::RecordPeerConfig;
 pub use node_inputs::ReportSuspects;
 pub use node_process::NodeProcess;
 pub use peer_operations::PeerOperations;
--- a/src/node/take_call.rs
+++ b/src/node/prepare_call.rs
@@ -1,4 +1,4 @@
-//! Classifying a call by the preset in force and taking in its body.
+//! Classifies a call by the preset in force and reads its body.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,19 +16,19 @@
 use crate::node::body::NodeBody;
 use crate::node::body::read_body;
 use crate::node::call::Call;
+use crate::node::call_context::call_context;
+use crate::node::call_context::deadline;
 use crate::node::caller_headers;
 use crate::node::entry::Origin;
-use crate::node::heritage::deadline;
-use crate::node::heritage::heritage;
 use crate::preset::CallPolicy;
 use crate::preset::InForce;
 use crate::wire::headers;
 
-/// When to come back after a refusal that waiting does not mend, in milliseconds.
-const LATER_MS: u64 = 1_000;
+/// The minimum retry delay after a refusal that retrying sooner cannot resolve, in milliseconds.
+const MIN_RETRY_AFTER_MS: u64 = 1_000;
 
-/// Classifies a call and takes in its body.
-pub(super) async fn take_call(
+/// Classifies a call and reads its body.
+pub(super) async fn prepare_call(
     node: &Arc<Node>,
     request: Request<Body>,
     origin: Origin,
@@ -44,23 +44,26 @@
     let deadline_ms = announced_deadline_ms(&parts.headers)?;
     let key = key_of(&parts.headers)?;
     let now = node.inputs.clock.now();
-    let heritage = heritage(&in_force, policy, &service, key.as_ref(), origin, now);
-    let deadline = deadline(deadline_ms, policy, heritage.deadline, now);
+    let call_context = call_context(&in_force, policy, &service, key.as_ref(), origin, now);
+    let deadline = deadline(deadline_ms, policy, call_context.deadline, now);
     if deadline <= now {
         return Err(not_run(RefusalReason::DeadlineExceeded));
     }
     let route = Name::from(route_of(split_path(parts.uri.path()).1));
-    if heritage.depth == 0
+    if call_context.depth == 0
         && node.settings.control_enabled
         && !node
             .levels
-            .may_pass(now, &service, &route, heritage.priority)
+            .may_pass(now, &service, &route, call_context.priority)
     {
         return Err(not_run(RefusalReason::ShedAtEntry));
     }
-    let first_sending = key
-        .as_ref()
-        .is_some_and(|key| heritage.is_child && heritage.holder.is_first_sending(&service, key));
+    let first_sending = key.as_ref().is_some_and(|key| {
+        call_context.is_child
+            && call_context
+                .allotment_holder
+                .is_first_sending(&service, key)
+    });
     let path_and_query = path_and_query.to_owned();
     caller_headers::strip(&mut parts.headers);
     let body = held_or_streamed(node, body, deadline.since(now)).await?;
@@ -72,9 +75,9 @@
         headers: parts.headers,
         body_is_held: body.held().is_some(),
         body,
-        request: heritage.holder.request,
-        priority: heritage.priority,
-        depth: heritage.depth,
+        request: call_context.allotment_holder.request,
+        priority: call_context.priority,
+        depth: call_context.depth,
         deadline,
         wait_ms: policy.wait_ms,
         non_idempotent: policy.non_idempotent,
@@ -83,11 +86,11 @@
         first_sending,
         arrived_at: now,
         config_version: in_force.version,
-        holder: heritage.holder,
+        allotment_holder: call_context.allotment_holder,
     })
 }
 
-/// The service named by the first segment of the path, if it has ever been announced.
+/// Returns the service named by the first path segment, if it was ever announced.
 fn service_of(node: &Node, path: &str) -> Result<Name, Refusal> {
     let (service, _) = split_path(path);
     let view = node.inputs.view.load();
@@ -120,8 +123,8 @@
     in_force.preset.classify(service, method, rest)
 }
 
-/// The caller's key. One that is no text, longer than a ledger takes or given twice is refused:
-/// to leave it out would let the call run twice.
+/// Returns the caller's idempotency key. A key that is not text, is longer than the ledger accepts,
+/// or is given twice is refused. If it were ignored, the call could run twice.
 fn key_of(map: &http::HeaderMap) -> Result<Option<Name>, Refusal> {
     let mut values = map.get_all(headers::IDEMPOTENCY_KEY).iter();
     let Some(value) = values.next() else {
@@ -146,8 +149,8 @@
         .ok_or_else(|| not_run(RefusalReason::BadRequest))
 }
 
-/// Takes in a body within the deadline: a caller whose connection went silent in the middle of it
-/// would be waited for for good.
+/// Reads a body within the deadline. Without a time-out, a caller whose connection became half-open
+/// in the middle of the body would be waited for indefinitely.
 async fn held_or_streamed(node: &Node, body: Body, left_ms: u64) -> Result<NodeBody, Refusal> {
     let reading = read_body(body, node.settings.max_held_body_bytes);
     match timeout(Duration::from_millis(left_ms), reading).await {
@@ -158,5 +161,8 @@
 }
 
 fn not_run(reason: RefusalReason) -> Refusal {
-    Refusal::not_run(reason, LATER_MS + fastrand::u64(..LATER_MS))
+    Refusal::not_run(
+        reason,
+        MIN_RETRY_AFTER_MS + fastrand::u64(..MIN_RETRY_AFTER_MS),
+    )
 }
--- a/src/node/watched_body.rs
+++ b/src/node/watched_body.rs
@@ -1,4 +1,4 @@
-//! A streamed body that is counted against its announced length and tells how it ended.
+//! A streamed body that is checked against its announced length and reports how it ended.
 
 use std::io;
 use std::pin::Pin;
@@ -21,11 +21,11 @@
 /// How a streamed body ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BodyEnd {
-    /// All of it was passed on.
+    /// All of it was forwarded.
     Whole,
-    /// The sender broke off, or sent another length than announced.
+    /// The sender disconnected, or sent another length than announced.
     Broken,
-    /// The receiver went away.
+    /// The receiver disconnected.
     Dropped,
 }
 
@@ -36,14 +36,15 @@
     left_bytes: Option<u64>,
     on_end: Option<OnEnd>,
     stall: Duration,
-    /// Runs while the sender is waited for, and not while the receiver takes its time.
-    waits: Option<Pin<Box<Sleep>>>,
+    /// The stall timer. It runs while the sender is awaited, and not while the receiver is slow.
+    stall_timer: Option<Pin<Box<Sleep>>>,
 }
 
-/// Watches a body. Guards against an answer cut short that looks whole to its receiver: the body
-/// then ends in an error, upon which the HTTP library closes the connection without the last
-/// chunk or before the announced length, and every HTTP client sees that as a failure. A sender of which nothing comes for `stall_ms` counts
-/// as gone: its connection may have gone silent, and the receiver would wait for good.
+/// Wraps a body so that a truncated answer does not look complete to its receiver. A truncated body
+/// ends in an error. The HTTP library then closes the connection without the last chunk or before
+/// the announced length, which every HTTP client reports as a failure. If no data arrives for
+/// `stall_ms`, the sender counts as lost, since its connection may be half-open and the receiver
+/// would wait indefinitely.
 pub(super) fn watched(
     inner: Body,
     len: Option<u64>,
@@ -55,7 +56,7 @@
         left_bytes: len,
         on_end: Some(Box::new(on_end)),
         stall: Duration::from_millis(stall_ms),
-        waits: None,
+        stall_timer: None,
     };
     watched.boxed_unsync()
 }
@@ -69,8 +70,10 @@
 
     fn wait(&mut self, context: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         let stall = self.stall;
-        let waits = self.waits.get_or_insert_with(|| Box::pin(sleep(stall)));
-        match waits.as_mut().poll(context) {
+        let stall_timer = self
+            .stall_timer
+            .get_or_insert_with(|| Box::pin(sleep(stall)));
+        match stall_timer.as_mut().poll(context) {
             Poll::Pending => Poll::Pending,
             Poll::Ready(()) => self.broken(io::Error::other(BodyError::Stalled)),
         }
@@ -107,7 +110,7 @@
         match Pin::new(&mut self.inner).poll_frame(context) {
             Poll::Pending => self.wait(context),
             Poll::Ready(Some(Ok(frame))) => {
-                self.waits = None;
+                self.stall_timer = None;
                 self.take(frame)
             }
             Poll::Ready(Some(Err(error))) => self.broken(error),
--- a/src/traffic/backend_answer.rs
+++ b/src/traffic/backend_answer.rs
@@ -114,7 +114,7 @@
 /// Logs the start, each change and the end of a rate limit, with the number of calls refused by it
 /// so far.
 fn log_rate_change(traffic: &Traffic, incarnation: &Name, change: RateChange) {
-    let turned_away = || traffic.gate.turned_away();
+    let turned_away = || traffic.gate.rate_limited_calls();
     match change {
         RateChange::Unchanged => {}
         RateChange::Begins { per_s } => {
--- a/src/traffic/forward.rs
+++ b/src/traffic/forward.rs
@@ -189,7 +189,7 @@
     }
     tokio::select! {
         end = sending => end,
-        () = traffic.targets.out_of_reach(&target.domain) => hop::lost_unreachable(),
+        () = traffic.targets.wait_until_unreachable(&target.domain) => hop::lost_unreachable(),
     }
 }
 
@@ -214,7 +214,7 @@
             .advertisement
             .as_ref()
             .and_then(|advertisement| advertisement.rate_milli);
-        pressure.permille = traffic.targets.note_pressure(
+        pressure.permille = traffic.targets.record_pressure(
             &view,
             &call.service,
             &target.node,
--- a/src/traffic/in_flight.rs
+++ b/src/traffic/in_flight.rs
@@ -5,7 +5,7 @@
 use crate::core::Name;
 use crate::core::RefusalReason;
 use crate::core::TimeMs;
-use crate::node::targets::AttemptNews;
+use crate::node::targets::AttemptOutcome;
 use crate::traffic::attempt::AttemptEnd;
 use crate::traffic::traffic::Traffic;
 
@@ -14,7 +14,7 @@
     traffic: Arc<Traffic>,
     target: Name,
     since: TimeMs,
-    outcome: AttemptNews,
+    outcome: AttemptOutcome,
     /// The route of the call, if it succeeded.
     succeeded_route: Option<Name>,
 }
@@ -27,7 +27,7 @@
             since: traffic.clock.now(),
             traffic,
             target,
-            outcome: AttemptNews::default(),
+            outcome: AttemptOutcome::default(),
             succeeded_route: None,
         }
     }
--- a/tests/support/test_platform.rs
+++ b/tests/support/test_platform.rs
@@ -1,4 +1,4 @@
-//! A stand-in platform within the test's process.
+//! A platform server within the test process.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,10 +18,10 @@
 use sassafrasgap::table_service::Stats;
 use tokio::task::JoinHandle;
 
-/// How long its clients wait for an answer.
+/// How long its clients wait for an answer, in milliseconds.
 pub const TIMEOUT_MS: u64 = 300;
 
-/// Stops with the test.
+/// Stops when it is dropped.
 pub struct TestPlatform {
     pub address: SocketAddr,
     task: JoinHandle<()>,
@@ -48,20 +48,20 @@
     }
 
     pub async fn stats(&self) -> Stats {
-        let content = self.ask(Method::GET, "/stats", String::new()).await;
+        let content = self.request(Method::GET, "/stats", String::new()).await;
         serde_json::from_slice(&content).unwrap()
     }
 
-    /// Adds a fault that begins now, as JSON.
+    /// Adds a fault, given as JSON, that begins now.
     pub async fn add_fault(&self, step: serde_json::Value) {
-        self.ask(Method::POST, "/fault", step.to_string()).await;
+        self.request(Method::POST, "/fault", step.to_string()).await;
     }
 
     pub async fn clear_faults(&self) {
-        self.ask(Method::DELETE, "/fault", String::new()).await;
+        self.request(Method::DELETE, "/fault", String::new()).await;
     }
 
-    async fn ask(&self, method: Method, path: &str, content: String) -> Vec<u8> {
+    async fn request(&self, method: Method, path: &str, content: String) -> Vec<u8> {
         let request = Request::builder()
             .method(method)
             .uri(format!("http://{}{path}", self.address))
