--- a/tests/node_answers.rs
+++ b/tests/node_answers.rs
@@ -105,7 +105,7 @@
 #[case::no_header(AnswerFault::NoHeader)]
 #[case::other_version(AnswerFault::OtherVersion)]
 #[tokio::test]
-async fn a_wrong_answer_is_never_passed_on(#[case] fault: AnswerFault) {
+async fn an_invalid_answer_is_never_forwarded(#[case] fault: AnswerFault) {
     let mut mesh = TestMesh::new();
     let entry = mesh.add("one", "menus", hello).await;
     mesh.add_external_target("two", "orders", faulty_peer(fault).await);
@@ -142,12 +142,12 @@
 /// looks like a broken connection. The caller must get an error instead of the truncated answer.
 #[rstest]
 #[case::shorter("HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nfour")]
-#[case::chunks_cut("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nfour\r\n")]
+#[case::truncated_chunks("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nfour\r\n")]
 #[case::no_end("HTTP/1.1 200 OK\r\n\r\nfour")]
 #[case::no_http("what?")]
 #[case::nothing("")]
 #[tokio::test]
-async fn an_answer_cut_short_is_an_error(#[case] answer: &'static str) {
+async fn a_truncated_answer_is_an_error(#[case] answer: &'static str) {
     let mut mesh = TestMesh::new();
     let address = raw_backend(answer).await;
     let entry = mesh
@@ -160,7 +160,7 @@
 }
 
 #[tokio::test]
-async fn nothing_beyond_the_announced_length_is_passed_on() {
+async fn nothing_beyond_the_announced_length_is_forwarded() {
     let mut mesh = TestMesh::new();
     let address = raw_backend("HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nfour and more").await;
     let entry = mesh
@@ -173,7 +173,7 @@
 /// Nothing listens at the backend server's address, so no call was started and the refusal says
 /// `not_run`.
 #[tokio::test]
-async fn a_backend_server_that_is_down_did_not_run_it() {
+async fn a_call_to_a_stopped_backend_server_was_not_run() {
     let mut mesh = TestMesh::new();
     let gone = bind(loopback()).await.expect("a port is free");
     let address = gone.local_addr().expect("the port is bound");
@@ -188,7 +188,7 @@
 }
 
 #[tokio::test]
-async fn bodies_larger_than_held_are_streamed_whole_both_ways() {
+async fn large_bodies_are_streamed_in_both_directions() {
     let mut mesh = TestMesh::new();
     let entry = mesh.add("one", "archives", large).await;
     mesh.add("two", "uploads", upload_len).await;
--- a/tests/node_bad_input.rs
+++ b/tests/node_bad_input.rs
@@ -101,7 +101,7 @@
 #[case::expired("/catalogue/x", &[("sassafrasgap-deadline-ms", "0")], 504, RefusalReason::DeadlineExceeded)]
 #[case::no_number("/catalogue/x", &[("sassafrasgap-deadline-ms", "soon")], 400, RefusalReason::BadRequest)]
 #[tokio::test]
-async fn a_wrong_request_is_refused_at_the_entry(
+async fn an_invalid_request_is_refused_at_the_entry(
     #[case] path: &str,
     #[case] headers: &[(&str, &str)],
     #[case] status: u16,
@@ -125,7 +125,7 @@
 #[case::twice(&["a", "b"], 1)]
 #[case::empty(&[""], 1)]
 #[tokio::test]
-async fn an_unfit_key_is_refused(#[case] keys: &[&str], #[case] times: usize) {
+async fn an_invalid_key_is_refused(#[case] keys: &[&str], #[case] times: usize) {
     let (mesh, backend) = Backend::mesh().await;
     let mut request = Request::post(mesh.uri(0, "/catalogue/orders"));
     for key in keys {
@@ -137,7 +137,7 @@
 }
 
 #[tokio::test]
-async fn oversize_headers_are_refused() {
+async fn oversized_headers_are_refused() {
     let (mesh, backend) = Backend::mesh().await;
     let request = Request::get(mesh.uri(0, "/catalogue/x"))
         .header("x-large", "x".repeat(20_000))
@@ -151,7 +151,7 @@
 /// A caller announces ten bytes, sends four and disconnects. If the four bytes were forwarded, half
 /// an order would run. The entry waits for the announced length and drops the call.
 #[tokio::test]
-async fn a_request_cut_short_never_reaches_the_backend_server() {
+async fn a_truncated_request_never_reaches_the_backend_server() {
     let (mesh, backend) = Backend::mesh().await;
     let mut stream = TcpStream::connect(mesh.nodes[0].caller_address)
         .await
@@ -182,10 +182,7 @@
 #[case::malformed(version_byte(PROTOCOL_VERSION), RefusalReason::BadRequest)]
 #[case::no_base64("!!".to_owned(), RefusalReason::BadRequest)]
 #[tokio::test]
-async fn a_call_header_that_cannot_be_read_is_refused(
-    #[case] header: String,
-    #[case] reason: RefusalReason,
-) {
+async fn an_invalid_call_header_is_refused(#[case] header: String, #[case] reason: RefusalReason) {
     let (mesh, backend) = Backend::mesh().await;
     let uri = format!("http://{}/catalogue/x", mesh.nodes[0].peer_address);
     let request = Request::get(uri)
@@ -200,7 +197,7 @@
 }
 
 #[tokio::test]
-async fn an_announcement_that_cannot_be_read_is_refused() {
+async fn an_invalid_announcement_is_refused() {
     let (mesh, _) = Backend::mesh().await;
     let uri = format!("http://{}/announce", mesh.nodes[0].local_address);
     let request = Request::post(uri).body(full_body("{\"service\": 7}"));
--- a/tests/node_child_keys.rs
+++ b/tests/node_child_keys.rs
@@ -51,8 +51,8 @@
 }
 
 /// Starts the grace period of one node's ledger, as after a take-over.
-fn begin_grace(mesh: &TestMesh, place: usize) {
-    let claims = mesh.nodes[place].node.inputs.claims.as_ref();
+fn begin_grace(mesh: &TestMesh, index: usize) {
+    let claims = mesh.nodes[index].node.inputs.claims.as_ref();
     let ledger = claims.and_then(|claims| claims.ledger()).expect("a ledger");
     ledger.with(|ledger, _| {
         let mut slot_lease = ledger.slot_lease().clone();
@@ -63,8 +63,8 @@
     });
 }
 
-async fn post_with_key(mesh: &TestMesh, place: usize, path: &str) -> ClientResponse {
-    let request = Request::post(mesh.uri(place, path))
+async fn post_with_key(mesh: &TestMesh, index: usize, path: &str) -> ClientResponse {
+    let request = Request::post(mesh.uri(index, path))
         .header(headers::IDEMPOTENCY_KEY, PARENT_KEY)
         .body(empty_body())
         .expect("valid");
--- a/tests/support/test_mesh.rs
+++ b/tests/support/test_mesh.rs
@@ -162,11 +162,11 @@
     {
         let listener = bind(loopback()).await.expect("a port is free");
         let address = listener.local_addr().expect("the port is bound");
-        let place = self.add_at(settings, preset, service, address).await;
-        let local = self.nodes[place].local_address;
+        let index = self.add_at(settings, preset, service, address).await;
+        let local = self.nodes[index].local_address;
         self.backends
             .spawn(serve(listener, move |request, _| handler(request, local)));
-        place
+        index
     }
 
     /// Starts a node in front of whatever listens at `address`.
@@ -205,7 +205,7 @@
         attempts.insert(address, known);
     }
 
-    async fn announce(&self, place: usize, service: &str, address: SocketAddr) {
+    async fn announce(&self, index: usize, service: &str, address: SocketAddr) {
         let announcement = Announcement {
             service: Name::from(service),
             address,
@@ -214,7 +214,7 @@
             state: TargetState::Up,
         };
         let body = serde_json::to_vec(&announcement).expect("plain structs always encode");
-        let uri = format!("http://{}/announce", self.nodes[place].local_address);
+        let uri = format!("http://{}/announce", self.nodes[index].local_address);
         let request = Request::post(uri).body(full_body(body)).expect("valid");
         let got = self.send(request).await;
         assert_eq!(got.status, 204, "{got:?}");
@@ -247,8 +247,8 @@
     }
 
     /// The URI of a path at one node's listener for callers.
-    pub fn uri(&self, place: usize, path: &str) -> String {
-        format!("http://{}{path}", self.nodes[place].caller_address)
+    pub fn uri(&self, index: usize, path: &str) -> String {
+        format!("http://{}{path}", self.nodes[index].caller_address)
     }
 
     /// Sends a request and reads the complete response.
@@ -256,13 +256,13 @@
         send(&self.client, request).await
     }
 
-    pub async fn get(&self, place: usize, path: &str) -> ClientResponse {
-        let request = Request::get(self.uri(place, path));
+    pub async fn get(&self, index: usize, path: &str) -> ClientResponse {
+        let request = Request::get(self.uri(index, path));
         self.send(request.body(full_body("")).expect("valid")).await
     }
 
-    pub async fn post(&self, place: usize, path: &str, body: &'static str) -> ClientResponse {
-        let request = Request::post(self.uri(place, path));
+    pub async fn post(&self, index: usize, path: &str, body: &'static str) -> ClientResponse {
+        let request = Request::post(self.uri(index, path));
         self.send(request.body(full_body(body)).expect("valid"))
             .await
     }
