--- a/src/node/backend_call.rs
+++ b/src/node/backend_call.rs
@@ -228,8 +228,9 @@
         && caller_headers::text(map, headers::SHED) == Some("1")
 }
 
-/// Whether the end of the answer can be told from a broken connection. An answer that is delimited
-/// only by the close of its connection (no length, no chunks) looks complete when it is truncated.
+/// Whether the end of the answer can be distinguished from a broken connection. An answer that is
+/// delimited only by the close of its connection (no length, no chunks) looks complete when it is
+/// truncated.
 fn has_delimited_body(method: &Method, status: StatusCode, map: &HeaderMap) -> bool {
     let is_empty = *method == Method::HEAD
         || status == StatusCode::NO_CONTENT
--- a/src/node/gate.rs
+++ b/src/node/gate.rs
@@ -230,7 +230,7 @@
 }
 
 /// Removes a waiting call when its caller disconnects, so that it does not take the place of a call
-/// that is still wanted.
+/// whose caller still waits.
 struct CancelOnDrop {
     gate: Arc<Gate>,
     ticket: u64,
--- a/src/node/peer_operations.rs
+++ b/src/node/peer_operations.rs
@@ -13,7 +13,7 @@
 /// Queries the status of the node with a control address, in JSON.
 pub type QueryStatus =
     Arc<dyn Fn(SocketAddr) -> BoxFuture<'static, Result<String, PeerCallError>> + Send + Sync>;
-/// Tells the node with a control address to drain.
+/// Requests a drain from the node with a control address.
 pub type RequestDrain =
     Arc<dyn Fn(SocketAddr) -> BoxFuture<'static, Result<(), PeerCallError>> + Send + Sync>;
 
--- a/src/node/poison_guard.rs
+++ b/src/node/poison_guard.rs
@@ -104,7 +104,8 @@
             crash.id
         }
         // The call was sent to a backend server that was still down, so it did not cause a crash.
-        // If it counted as a suspect, a request that met this twice would be refused as poison.
+        // If it counted as a suspect, a request that was sent to it twice would be refused as
+        // poison.
         Some(_) if is_down(node) => return,
         _ => last.insert(new_crash(node, this)).id,
     };
--- a/src/node/status.rs
+++ b/src/node/status.rs
@@ -44,7 +44,7 @@
 }
 
 impl Status {
-    /// The current status of a node, with all members that it knows.
+    /// The current status of a node, with all members in its view.
     pub fn of(node: &Node) -> Self {
         let view = node.inputs.view.load();
         let mut members: Vec<Target> = view.nodes.values().map(|t| t.as_ref().clone()).collect();
--- a/tests/fake_chain/chain.rs
+++ b/tests/fake_chain/chain.rs
@@ -59,7 +59,7 @@
     first_sent_us: u64,
     attempt: u32,
     sent_us: u64,
-    over: bool,
+    ended: bool,
     /// Work done for the current attempt.
     work_us: u64,
     /// Work done for the attempts before it.
@@ -90,8 +90,8 @@
     dependencies: Dependencies,
     slots: usize,
     busy: usize,
-    /// The queue inside the backend server, of calls beyond its slots.
-    inside: VecDeque<usize>,
+    /// Calls beyond the slots, which wait in the backend server.
+    backend_queue: VecDeque<usize>,
 }
 
 struct Chain<'a> {
@@ -148,7 +148,7 @@
                 dependencies: Dependencies::default(),
                 slots,
                 busy: 0,
-                inside: VecDeque::new(),
+                backend_queue: VecDeque::new(),
             }
         };
         let service = |service: usize| (0..scenario.targets).map(|t| node(service, t)).collect();
@@ -263,7 +263,7 @@
             let limit = if baseline { 1 } else { load.limit as usize };
             let calls = (load.in_flight + load.queued) as usize;
             let calls = if baseline {
-                node.busy + node.inside.len()
+                node.busy + node.backend_queue.len()
             } else {
                 calls
             };
@@ -287,7 +287,7 @@
         let (service, target, root) = (call.service, call.target, call.root);
         if self.scenario.control == Control::Baseline {
             let node = &self.services[service][target];
-            if node.busy + node.inside.len() >= BASELINE_CONNECTIONS {
+            if node.busy + node.backend_queue.len() >= BASELINE_CONNECTIONS {
                 self.refuse(index, 0);
             } else {
                 self.start(index);
--- a/tests/fake_chain/chain/backend_servers.rs
+++ b/tests/fake_chain/chain/backend_servers.rs
@@ -21,7 +21,7 @@
             self.calls[index].shed = true;
             self.finish(index, CallOutcome::Shed);
         } else {
-            node.inside.push_back(index);
+            node.backend_queue.push_back(index);
         }
     }
 
@@ -42,7 +42,7 @@
         let call = &self.calls[index];
         let root = &mut self.roots[call.root];
         self.report.work_us += work_us;
-        if call.attempt == root.attempt && !root.over {
+        if call.attempt == root.attempt && !root.ended {
             root.work_us += work_us;
         } else {
             self.report.wasted_us += work_us;
@@ -73,7 +73,7 @@
         let (service, target) = (self.calls[index].service, self.calls[index].target);
         let node = &mut self.services[service][target];
         node.busy -= 1;
-        if let Some(next) = node.inside.pop_front() {
+        if let Some(next) = node.backend_queue.pop_front() {
             node.busy += 1;
             self.work(next);
         }
--- a/tests/fake_chain/chain/callers.rs
+++ b/tests/fake_chain/chain/callers.rs
@@ -34,7 +34,7 @@
             first_sent_us: self.now_us,
             attempt: 0,
             sent_us: 0,
-            over: false,
+            ended: false,
             work_us: 0,
             spent_us: 0,
         };
@@ -62,10 +62,10 @@
 
     pub(super) fn root_done(&mut self, index: usize, attempt: u32) {
         let root = &mut self.roots[index];
-        if root.over || root.attempt != attempt {
+        if root.ended || root.attempt != attempt {
             return;
         }
-        root.over = true;
+        root.ended = true;
         self.report.wasted_us += root.spent_us;
         self.report.done.push(Done {
             at_ms: self.now_us / 1_000,
@@ -77,7 +77,7 @@
 
     pub(super) fn attempt_failed(&mut self, index: usize, attempt: u32, retry_after_ms: u64) {
         let root = &mut self.roots[index];
-        if root.over || root.attempt != attempt {
+        if root.ended || root.attempt != attempt {
             return;
         }
         self.report.failed_at_ms.push(self.now_us / 1_000);
@@ -85,7 +85,7 @@
         root.work_us = 0;
         root.attempt += 1;
         if root.attempt > self.scenario.resends {
-            root.over = true;
+            root.ended = true;
             self.report.wasted_us += root.spent_us;
             let lost = Lost {
                 first_sent_ms: root.first_sent_us / 1_000,
--- a/tests/node_answers.rs
+++ b/tests/node_answers.rs
@@ -170,7 +170,7 @@
     assert_eq!(&got.body[..], b"four");
 }
 
-/// Nothing listens at the backend server's address, so no call was started and the refusal says
+/// Nothing listens at the backend server's address, so no call was started and the outcome is
 /// `not_run`.
 #[tokio::test]
 async fn a_call_to_a_stopped_backend_server_was_not_run() {
--- a/tests/node_half_open.rs
+++ b/tests/node_half_open.rs
@@ -98,8 +98,8 @@
 }
 
 /// An order is sent on a kept connection that is half-open: the guard never sees it, and nothing is
-/// closed. The entry queries the guard over another connection, learns that the order was never
-/// seen, and sends it again. It must run once.
+/// closed. The entry queries the guard over another connection. The guard reports the order as
+/// never seen, and the entry sends it again. It must run once.
 #[rstest]
 #[case::order("POST", None)]
 #[case::order_with_key("POST", Some("order-7"))]
