--- a/src/desired/mod.rs
+++ b/src/desired/mod.rs
@@ -16,7 +16,7 @@
 pub use route::Repeatability;
 pub use route::Route;
 pub use route::WeightedService;
-pub use route_table::ActiveRoute;
+pub use route_table::RouteInForce;
 pub use route_table::RouteTable;
 pub use split::Split;
 pub use store_watch::StateFreshness;
--- a/src/desired/route_table.rs
+++ b/src/desired/route_table.rs
@@ -10,7 +10,7 @@
 
 /// A route and the weighted distribution of its requests.
 #[derive(Debug)]
-pub struct ActiveRoute {
+pub struct RouteInForce {
     pub route: Route,
     pub split: Split,
 }
@@ -21,29 +21,29 @@
 /// with thousands of routes as with one.
 #[derive(Debug, Default)]
 pub struct RouteTable {
-    by_host: FastMap<Name, FastMap<Name, Arc<ActiveRoute>>>,
+    by_host: FastMap<Name, FastMap<Name, Arc<RouteInForce>>>,
 }
 
 impl RouteTable {
     /// Indexes the routes of a desired state.
     pub fn new(state: &DesiredState) -> Self {
-        let mut by_host: FastMap<Name, FastMap<Name, Arc<ActiveRoute>>> = FastMap::default();
+        let mut by_host: FastMap<Name, FastMap<Name, Arc<RouteInForce>>> = FastMap::default();
         for route in &state.routes {
-            let active = ActiveRoute {
+            let in_force = RouteInForce {
                 split: Split::new(route.destinations.clone()),
                 route: route.clone(),
             };
             by_host
                 .entry(route.host.clone())
                 .or_default()
-                .insert(route.prefix.clone(), Arc::new(active));
+                .insert(route.prefix.clone(), Arc::new(in_force));
         }
         Self { by_host }
     }
 
     /// The route with the longest prefix of the path. `host` may include a port; `path` has no
     /// query.
-    pub fn find(&self, host: &str, path: &str) -> Option<&Arc<ActiveRoute>> {
+    pub fn find(&self, host: &str, path: &str) -> Option<&Arc<RouteInForce>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = match self.by_host.get(name) {
             Some(routes) => routes,
--- a/src/traffic/entry.rs
+++ b/src/traffic/entry.rs
@@ -23,7 +23,7 @@
 use crate::core::RefusalReason;
 use crate::core::RouteOrigin;
 use crate::core::RunState;
-use crate::desired::ActiveRoute;
+use crate::desired::RouteInForce;
 use crate::errors::SendError;
 use crate::traffic::InForce;
 use crate::traffic::call::Call;
@@ -208,7 +208,7 @@
     in_force: &'a InForce,
     headers: &HeaderMap,
     path: &str,
-) -> Option<&'a Arc<ActiveRoute>> {
+) -> Option<&'a Arc<RouteInForce>> {
     let host = headers.get(HOST)?.to_str().ok()?;
     in_force.routes.find(host, path)
 }
--- a/src/traffic/entry_account.rs
+++ b/src/traffic/entry_account.rs
@@ -14,7 +14,7 @@
 use crate::core::RefusalReason;
 use crate::core::RequestId;
 use crate::core::RouteOrigin;
-use crate::desired::ActiveRoute;
+use crate::desired::RouteInForce;
 use crate::traffic::HeaderNames;
 use crate::traffic::InForce;
 use crate::traffic::call::Call;
@@ -32,7 +32,7 @@
 pub(super) fn identify_caller(
     traffic: &Traffic,
     in_force: &InForce,
-    found: &ActiveRoute,
+    found: &RouteInForce,
     headers: &HeaderMap,
 ) -> Result<Caller, Refusal> {
     let route = &found.route;
@@ -83,7 +83,7 @@
 /// account and route.
 pub(super) fn class(
     ranking: &Ranking,
-    found: &ActiveRoute,
+    found: &RouteInForce,
     origin: Option<RouteOrigin>,
     caller: &Caller,
 ) -> u8 {
@@ -123,7 +123,7 @@
         return Ok(None);
     };
     let id = AccountId::of(&account.name);
-    let decision = traffic.allowances.ask(traffic.clock.now(), id, allowance);
+    let decision = traffic.allowances.admit(traffic.clock.now(), id, allowance);
     decision.map(|()| Some(id)).map_err(|exceeded| {
         log_allowance_exceeded(traffic, account, allowance, exceeded);
         Refusal::not_run(RefusalReason::AllowanceSpent, exceeded.retry_after_ms)
