--- a/src/node/forward.rs
+++ b/src/node/forward.rs
@@ -39,7 +39,7 @@
     let mut last: Option<Refusal> = None;
     let max_attempts = 1 + usize::from(call.allotment_holder.allotment_left());
     let mut attempts = 0;
-    node.targets.first_attempt(&call.service);
+    node.targets.record_first_attempt(&call.service);
     loop {
         let Some(target) = choose(node, call, &tried) else {
             return Err(last.unwrap_or_else(no_target));
--- a/src/node/join_configuration.rs
+++ b/src/node/join_configuration.rs
@@ -26,7 +26,7 @@
 /// The configuration of a node before its control thread runs.
 pub(super) struct JoinedConfiguration {
     pub(super) shared: Arc<ConfigShared>,
-    news: tokio::sync::mpsc::Receiver<crate::configuration::NewerConfig>,
+    updates: tokio::sync::mpsc::Receiver<crate::configuration::NewerConfig>,
 }
 
 impl JoinedConfiguration {
@@ -34,8 +34,8 @@
     /// When its metrics are already registered.
     pub(super) fn new(inputs: &NodeInputs) -> Result<Self, prometheus::Error> {
         let metrics = ConfigMetrics::new(inputs.metrics.registry())?;
-        let (shared, news) = ConfigShared::new(inputs.in_force.clone(), metrics);
-        Ok(Self { shared, news })
+        let (shared, updates) = ConfigShared::new(inputs.in_force.clone(), metrics);
+        Ok(Self { shared, updates })
     }
 
     /// Starts the task on the control thread.
@@ -47,7 +47,7 @@
     ) {
         let task = ConfigTask {
             shared: self.shared,
-            updates: self.news,
+            updates: self.updates,
             ports: ports(settings, control),
             clock: inputs.clock,
             poll_ms: settings.config_poll_ms,
--- a/src/node/keyed_forward.rs
+++ b/src/node/keyed_forward.rs
@@ -71,7 +71,7 @@
         return Err(unknown_refusal(RefusalReason::StaleAttempt));
     }
     let attempts_until = call.arrived_at + send_window_ms(node);
-    node.targets.first_attempt(&call.service);
+    node.targets.record_first_attempt(&call.service);
     let mut progress = Progress::default();
     if !call.body_is_held {
         probe_owner(node, call, &key).await;
--- a/src/node/targets.rs
+++ b/src/node/targets.rs
@@ -203,7 +203,7 @@
     }
 
     /// Records a first attempt in the budget of its service.
-    pub(crate) fn first_attempt(&self, service: &Name) {
+    pub(crate) fn record_first_attempt(&self, service: &Name) {
         self.lock().budget_of(service).record_first_attempt();
     }
 
--- a/src/traffic/allowances.rs
+++ b/src/traffic/allowances.rs
@@ -79,7 +79,7 @@
     }
 
     /// Decides whether to admit a request, and counts it; see [`EntryAllowances::admit`].
-    pub(super) fn ask(
+    pub(super) fn admit(
         &self,
         now: TimeMs,
         account: AccountId,
@@ -137,12 +137,12 @@
                 self.entry().apply_reply(now, &reply);
                 None
             }
-            AllowanceMessage::Domain(usage) => {
+            AllowanceMessage::Domain(demands) => {
                 let sender = view.nodes.get(from)?;
                 let mut coordinator_state = self.coordinator_state();
                 coordinator_state
                     .coordinator
-                    .apply_domain_demands(now, &sender.domain, &usage);
+                    .apply_domain_demands(now, &sender.domain, &demands);
                 None
             }
         }
--- a/src/traffic/backend_answer.rs
+++ b/src/traffic/backend_answer.rs
@@ -91,7 +91,7 @@
 ) {
     advertisements
         .labels()
-        .for_each(|word| traffic.metrics.count_word(word));
+        .for_each(|label| traffic.metrics.count_word(label));
     if advertisements.rate == AdvertisedRate::Malformed {
         log::warn!("local: malformed rate limit, incarnation={incarnation}");
     }
--- a/src/traffic/forward.rs
+++ b/src/traffic/forward.rs
@@ -109,7 +109,7 @@
     let view = traffic.view.load();
     traffic
         .budgets
-        .first_attempt(now, &view, &call.service, repeated);
+        .record_first_attempt(now, &view, &call.service, repeated);
 }
 
 /// Waits until a target of the call's service is known.
@@ -244,13 +244,13 @@
         reason: refusal.reason,
         run_state: refusal.run_state,
     };
-    let situation = RetryContext {
+    let context = RetryContext {
         non_idempotent: !call.repeatability.may_repeat(),
         body_is_held: true,
         room_elsewhere: traffic.targets.has_room(&view, &call.service, tried, now),
         deadline_left_ms: call.deadline.since(now),
     };
-    let reason = retry_reason(failure, situation)?;
+    let reason = retry_reason(failure, context)?;
     let is_within_budget = sends == 0 || traffic.budgets.try_retry(now, &call.service);
     is_within_budget.then_some(reason)
 }
--- a/src/traffic/guard.rs
+++ b/src/traffic/guard.rs
@@ -207,7 +207,7 @@
     }
     let now = traffic.clock.now();
     let downstream = traffic.roots.downstream_services(now, &call.hop.route);
-    let is_spent = |service: &Name| !traffic.budgets.has_left(now, service);
+    let is_spent = |service: &Name| !traffic.budgets.has_remaining(now, service);
     downstream
         .iter()
         .any(is_spent)
@@ -289,7 +289,7 @@
     GuardStatus {
         load: traffic.gate.load(),
         failing_permille: traffic.failing_permille(now),
-        pressure: traffic.roots.on_answer(now, route, own),
+        pressure: traffic.roots.for_answer(now, route, own),
         origin,
         advertisement: traffic.local().advertisement(),
     }
--- a/src/traffic/retry_budgets.rs
+++ b/src/traffic/retry_budgets.rs
@@ -55,7 +55,13 @@
     }
 
     /// Records the first attempt of a call; see [`WindowBudget::record_first_attempt`].
-    pub(super) fn first_attempt(&self, now: TimeMs, view: &View, service: &Name, repeated: f32) {
+    pub(super) fn record_first_attempt(
+        &self,
+        now: TimeMs,
+        view: &View,
+        service: &Name,
+        repeated: f32,
+    ) {
         let mut state = self.lock();
         state.update_nodes(view);
         state.budget_of(service).record_first_attempt(now, repeated);
@@ -68,7 +74,7 @@
 
     /// Whether a retried request that makes calls to the service may start; see
     /// [`WindowBudget::has_remaining`].
-    pub(super) fn has_left(&self, now: TimeMs, service: &Name) -> bool {
+    pub(super) fn has_remaining(&self, now: TimeMs, service: &Name) -> bool {
         self.lock().budget_of(service).has_remaining(now)
     }
 
--- a/src/traffic/root_admission.rs
+++ b/src/traffic/root_admission.rs
@@ -104,7 +104,7 @@
     }
 
     /// The pressure to report with an answer on `route` of the local service.
-    pub(super) fn on_answer(&self, now: TimeMs, route: &str, own: Pressure) -> Option<Pressure> {
+    pub(super) fn for_answer(&self, now: TimeMs, route: &str, own: Pressure) -> Option<Pressure> {
         self.lock().pressures.for_answer(now, route, own)
     }
 
--- a/src/traffic/roster.rs
+++ b/src/traffic/roster.rs
@@ -56,7 +56,7 @@
             part: part_name(settings.store_rates.part_of(&settings.node)),
             key: own_key.clone(),
         };
-        let mut keeper = RowWriter::new(self.store.clone(), name);
+        let mut writer = RowWriter::new(self.store.clone(), name);
         // True once discovery may start; see [`PeerDiscovery`].
         let (allow_discovery, mut is_allowed) = watch::channel(!is_first_start);
         let others = PeerDiscovery {
@@ -76,12 +76,12 @@
         };
         let own = async {
             let before = if is_first_start {
-                self.write_first(&mut keeper).await
+                self.write_first(&mut writer).await
             } else {
-                self.read_own_row(&mut keeper).await
+                self.read_own_row(&mut writer).await
             };
             allow_discovery.send_replace(true);
-            self.keep(&mut keeper, before).await;
+            self.keep(&mut writer, before).await;
         };
         tokio::join!(own, discovery);
     }
@@ -90,16 +90,16 @@
     ///
     /// On the first start of the whole system the store has no rows, so nothing is read first. If a
     /// row exists nevertheless, the write reports a conflict, and the stored content is used.
-    async fn write_first(&self, keeper: &mut RowWriter) -> Option<RosterRow> {
+    async fn write_first(&self, writer: &mut RowWriter) -> Option<RosterRow> {
         let mut status = self.traffic.local_status.subscribe();
         let is_known =
             |status: &LocalServerStatus| status.known.is_some() || status.leaving.is_some();
         drop(timeout(FIRST_REPORT_TIMEOUT, status.wait_for(is_known)).await);
-        keeper.assume_absent();
+        writer.assume_absent();
         let wanted = self.wanted_row(None);
-        match keeper.write(&wanted.encode()).await {
+        match writer.write(&wanted.encode()).await {
             WriteOutcome::Written => Some(wanted),
-            WriteOutcome::Retry(StoreError::Conflict { .. }) => self.read_own_row(keeper).await,
+            WriteOutcome::Retry(StoreError::Conflict { .. }) => self.read_own_row(writer).await,
             WriteOutcome::Retry(error) => {
                 log::debug!("roster: own row not written, error={error}");
                 None
@@ -112,8 +112,8 @@
     ///
     /// Without the restored departure, a late report from before it would cause new work to be sent
     /// to the backend server after a restart of the node.
-    async fn read_own_row(&self, keeper: &mut RowWriter) -> Option<RosterRow> {
-        let row = match timeout(OWN_ROW_TIMEOUT, keeper.read()).await {
+    async fn read_own_row(&self, writer: &mut RowWriter) -> Option<RosterRow> {
+        let row = match timeout(OWN_ROW_TIMEOUT, writer.read()).await {
             Ok(Ok(row)) => row,
             Ok(Err(error)) => {
                 log::warn!("roster: own row cannot be read, error={error}");
@@ -133,17 +133,17 @@
     }
 
     /// Keeps the row up to date. `before` is its stored content, if known.
-    async fn keep(&self, keeper: &mut RowWriter, before: Option<RosterRow>) {
+    async fn keep(&self, writer: &mut RowWriter, before: Option<RosterRow>) {
         let known = before.as_ref().and_then(|before| before.known.clone());
         let restoring = async {
             if let Some(known) = known {
                 restore_server(self.traffic.clone(), known).await;
             }
         };
-        tokio::join!(restoring, self.maintain_row(keeper, before));
+        tokio::join!(restoring, self.maintain_row(writer, before));
     }
 
-    async fn maintain_row(&self, keeper: &mut RowWriter, before: Option<RosterRow>) {
+    async fn maintain_row(&self, writer: &mut RowWriter, before: Option<RosterRow>) {
         let mut written = before.clone();
         let mut status = self.traffic.local_status.subscribe();
         let mut checks = RowChecks::new(&self.eras);
@@ -157,13 +157,13 @@
                         return;
                     },
                     () = checks.due() => {
-                        keeper.forget();
+                        writer.forget();
                         written = None;
                     }
                 }
                 continue;
             }
-            match keeper.write(&wanted.encode()).await {
+            match writer.write(&wanted.encode()).await {
                 WriteOutcome::Written => {
                     pause.reset();
                     written = Some(wanted);
