--- a/src/admission/admission.rs
+++ b/src/admission/admission.rs
@@ -99,9 +99,9 @@
     /// Decides about a call that has just arrived. If the call has to wait, [`Self::poll`] must be
     /// called at once, because a less important call may have been evicted for it.
     pub fn offer(&mut self, now: TimeMs, call: OfferedCall) -> OfferDecision {
-        self.level.note_offer(call.priority);
-        self.arrival_ratio.note_arrival(now);
-        self.latency_limit.note_objective(call.due.since(now));
+        self.level.record_offer(call.priority);
+        self.arrival_ratio.record_arrival(now);
+        self.latency_limit.record_objective(call.due.since(now));
         self.refill(now);
         if !self.deadline_can_be_met(&call, now) {
             return OfferDecision::Refuse(self.refusal(RefusalReason::DeadlineExceeded, now));
@@ -117,8 +117,8 @@
                 return OfferDecision::Refuse(self.rate_limit_refusal());
             }
         } else {
-            self.limit.note_full();
-            self.latency_limit.note_full();
+            self.limit.record_full();
+            self.latency_limit.record_full();
         }
         if self.queue.len() >= self.queue_bound() {
             if !self.queue.outranks_last(&call) {
@@ -136,15 +136,16 @@
         let Some(priority) = self.running.remove(&ticket) else {
             return;
         };
-        self.drain_rate.note(now);
-        self.arrival_ratio.note_completion(now);
-        self.limit.note(&completion, now);
+        self.drain_rate.record(now);
+        self.arrival_ratio.record_completion(now);
+        self.limit.record(&completion, now);
         if completion.outcome == CallOutcome::Ok {
             let cap = self.limit.get();
-            self.latency_limit.note_end(now, completion.service_us, cap);
+            self.latency_limit
+                .record_end(now, completion.service_us, cap);
             self.run_us = (self.run_us * (RUN_WEIGHT - 1) + completion.service_us) / RUN_WEIGHT;
             self.service_time
-                .note(priority.class(), completion.service_us, now);
+                .record(priority.class(), completion.service_us, now);
         }
     }
 
@@ -177,11 +178,11 @@
             actions.push(self.start_or_expire(&waiting, now));
         }
         if self.has_room() {
-            self.limit.note_room();
+            self.limit.record_room();
         }
         let min_queued = self.level.min_queued();
         let queued = self.queue.count_admitted(self.level.level(), min_queued);
-        self.level.note_queue(now, queued);
+        self.level.record_queue(now, queued);
         actions
     }
 
@@ -329,7 +330,7 @@
         if let Some(rate) = &mut self.rate {
             rate.take();
         }
-        self.level.note_start(at_once);
+        self.level.record_start(at_once);
         debug_assert!(self.running.len() <= self.limit() as usize);
     }
 
--- a/src/admission/arrival_ratio.rs
+++ b/src/admission/arrival_ratio.rs
@@ -22,12 +22,12 @@
 }
 
 impl ArrivalRatio {
-    pub fn note_arrival(&mut self, now: TimeMs) {
+    pub fn record_arrival(&mut self, now: TimeMs) {
         self.roll(now);
         self.arrived += 1;
     }
 
-    pub fn note_completion(&mut self, now: TimeMs) {
+    pub fn record_completion(&mut self, now: TimeMs) {
         self.roll(now);
         self.completed += 1;
     }
--- a/src/admission/concurrency_limit.rs
+++ b/src/admission/concurrency_limit.rs
@@ -166,17 +166,17 @@
     }
 
     /// Records that a call had to wait for room.
-    pub fn note_full(&mut self) {
+    pub fn record_full(&mut self) {
         self.was_full = true;
     }
 
     /// Records that there is room and no call waits.
-    pub fn note_room(&mut self) {
+    pub fn record_room(&mut self) {
         self.window.full = false;
         self.trial.full = false;
     }
 
-    pub fn note(&mut self, completion: &Completion, now: TimeMs) {
+    pub fn record(&mut self, completion: &Completion, now: TimeMs) {
         match completion.outcome {
             CallOutcome::Ok => {
                 let own_us = completion.service_us.saturating_sub(completion.child_us);
--- a/src/admission/dependencies.rs
+++ b/src/admission/dependencies.rs
@@ -31,7 +31,7 @@
 impl Dependencies {
     /// Records that a call on `route` of the local service led to a call on `child_route` of
     /// `service`.
-    pub fn note(&mut self, now: TimeMs, route: &str, service: &Name, child_route: &str) {
+    pub fn record(&mut self, now: TimeMs, route: &str, service: &Name, child_route: &str) {
         if !self.children.contains_key(route) {
             self.make_room(now);
             self.children.insert(Name::from(route), Vec::new());
--- a/src/admission/drain_rate.rs
+++ b/src/admission/drain_rate.rs
@@ -16,7 +16,7 @@
 }
 
 impl DrainRate {
-    pub fn note(&mut self, now: TimeMs) {
+    pub fn record(&mut self, now: TimeMs) {
         self.roll(now);
         self.count += 1;
     }
--- a/src/admission/event_interval.rs
+++ b/src/admission/event_interval.rs
@@ -25,7 +25,7 @@
         }
     }
 
-    pub fn note(&mut self, now: TimeMs) {
+    pub fn record(&mut self, now: TimeMs) {
         let interval_ms = now.since(self.last) as f32;
         self.mean_ms += (interval_ms - self.mean_ms) * Self::WEIGHT;
         self.last = now;
--- a/src/admission/latency_limit.rs
+++ b/src/admission/latency_limit.rs
@@ -63,7 +63,7 @@
     }
 
     /// Records the latency objective of a call that arrives.
-    pub fn note_objective(&mut self, objective_ms: u64) {
+    pub fn record_objective(&mut self, objective_ms: u64) {
         self.objective_ms = if self.objective_ms == 0 {
             objective_ms
         } else {
@@ -72,12 +72,12 @@
     }
 
     /// Records that a call had to wait for room.
-    pub fn note_full(&mut self) {
+    pub fn record_full(&mut self) {
         self.was_full = true;
     }
 
     /// Records a call that ran to its end. `cap` is the concurrency limit.
-    pub fn note_end(&mut self, now: TimeMs, run_us: u64, cap: u32) {
+    pub fn record_end(&mut self, now: TimeMs, run_us: u64, cap: u32) {
         self.ended += 1;
         self.total_run_us += run_us;
         let span_ms = now.since(self.since);
--- a/src/admission/level_control.rs
+++ b/src/admission/level_control.rs
@@ -105,11 +105,11 @@
         Priority((first_shed as u32).saturating_sub(1))
     }
 
-    pub fn note_offer(&mut self, priority: Priority) {
+    pub fn record_offer(&mut self, priority: Priority) {
         self.new_demand[bucket(priority)] += 1.0;
     }
 
-    pub fn note_start(&mut self, at_once: bool) {
+    pub fn record_start(&mut self, at_once: bool) {
         self.window.started += 1;
         self.window.at_once += u32::from(at_once);
     }
@@ -122,7 +122,7 @@
     /// Records how many calls wait that the present level admits. Calls above the level are left
     /// over from before it fell and are not counted. The level is recomputed at the end of a
     /// window.
-    pub fn note_queue(&mut self, now: TimeMs, queued: usize) {
+    pub fn record_queue(&mut self, now: TimeMs, queued: usize) {
         self.window.min_queued = self.window.min_queued.min(queued);
         let span_ms = now.since(self.since);
         let enough = self.window.started >= MIN_STARTS || span_ms >= self.window_ms * MAX_WINDOWS;
--- a/src/admission/levels.rs
+++ b/src/admission/levels.rs
@@ -42,7 +42,7 @@
 
 impl Levels {
     /// Records the level piggybacked on an answer of `service` to a call on `route`.
-    pub fn note(&mut self, now: TimeMs, service: &Name, route: &str, level: Priority) {
+    pub fn record(&mut self, now: TimeMs, service: &Name, route: &str, level: Priority) {
         let reported = KnownLevel {
             level,
             reported_at: now,
--- a/src/admission/origins_by_domain.rs
+++ b/src/admission/origins_by_domain.rs
@@ -61,17 +61,17 @@
 
 impl OriginsByDomain {
     /// Counts a call, and returns what is known of its route.
-    pub fn note(
+    pub fn record(
         &mut self,
         call: ObservedCall<'_>,
         services: CallingServices<'_>,
     ) -> Option<RouteOrigin> {
         let (route, service) = (call.route, call.caller_service);
         self.all
-            .note(route, service, call.reported_origin, services.all);
+            .record(route, service, call.reported_origin, services.all);
         if call.same_domain {
             self.own_domain
-                .note(route, service, call.reported_origin, services.own_domain);
+                .record(route, service, call.reported_origin, services.own_domain);
         }
         let origins = if self.is_mostly_remote(call) {
             &self.all
--- a/src/admission/pressures.rs
+++ b/src/admission/pressures.rs
@@ -42,7 +42,13 @@
 impl Pressures {
     /// Records the pressure piggybacked on an answer of `service` on `route`. An answer without
     /// pressure counts as a report of 0.
-    pub fn note(&mut self, now: TimeMs, service: &Name, route: &str, pressure: Option<&Pressure>) {
+    pub fn record(
+        &mut self,
+        now: TimeMs,
+        service: &Name,
+        route: &str,
+        pressure: Option<&Pressure>,
+    ) {
         let known = self
             .reported
             .get_mut(service)
@@ -70,8 +76,8 @@
     }
 
     /// Records that handling `route` of the local service may have led to a call.
-    pub fn note_child(&mut self, now: TimeMs, route: &str, service: &Name, child_route: &str) {
-        self.dependencies.note(now, route, service, child_route);
+    pub fn record_child(&mut self, now: TimeMs, route: &str, service: &Name, child_route: &str) {
+        self.dependencies.record(now, route, service, child_route);
     }
 
     /// The most overloaded service downstream of calls to `service` on `route`.
--- a/src/admission/rate_limit_state.rs
+++ b/src/admission/rate_limit_state.rs
@@ -102,14 +102,19 @@
     }
 
     /// Records the advertised rate of an answer to a request that was sent at `sent_at`.
-    pub fn note(&mut self, now: TimeMs, sent_at: TimeMs, advertised: AdvertisedRate) -> RateChange {
+    pub fn record(
+        &mut self,
+        now: TimeMs,
+        sent_at: TimeMs,
+        advertised: AdvertisedRate,
+    ) -> RateChange {
         match advertised {
             AdvertisedRate::PerSecond(per_s) => self.activate(now, per_s),
             AdvertisedRate::Malformed => {
                 self.renew(now);
                 RateChange::Unchanged
             }
-            AdvertisedRate::Absent => self.note_absent(now, sent_at),
+            AdvertisedRate::Absent => self.record_absent(now, sent_at),
         }
     }
 
@@ -134,7 +139,7 @@
         }
     }
 
-    fn note_absent(&mut self, now: TimeMs, sent_at: TimeMs) -> RateChange {
+    fn record_absent(&mut self, now: TimeMs, sent_at: TimeMs) -> RateChange {
         let Some(active) = &mut self.active else {
             self.answers_without = ANSWERS_TO_END.min(self.answers_without + 1);
             return RateChange::Unchanged;
--- a/src/admission/root_control.rs
+++ b/src/admission/root_control.rs
@@ -40,9 +40,9 @@
     }
 
     /// Records the pressure on a service, as reported on an answer.
-    pub fn note(&mut self, now: TimeMs, service: &Name, permille: u32) {
+    pub fn record(&mut self, now: TimeMs, service: &Name, permille: u32) {
         if let Some(level) = self.level(now, service) {
-            level.note(now, permille);
+            level.record(now, permille);
         }
     }
 
--- a/src/admission/root_level.rs
+++ b/src/admission/root_level.rs
@@ -88,18 +88,18 @@
     /// Decides about a request, and counts it in the demand.
     pub fn may_pass(&mut self, now: TimeMs, priority: Priority) -> bool {
         self.roll_if_due(now);
-        self.request_interval.note(now);
+        self.request_interval.record(now);
         let (class, part) = class_and_part(priority);
         self.new_demand[class] += 1.0;
         (class as f32) + part < self.level
     }
 
     /// Records the reported pressure on the service.
-    pub fn note(&mut self, now: TimeMs, permille: u32) {
+    pub fn record(&mut self, now: TimeMs, permille: u32) {
         self.pressure_sum += u64::from(permille);
         self.reports += 1;
         self.roll_if_due(now);
-        self.report_interval.note(now);
+        self.report_interval.record(now);
     }
 
     /// Whether everything is admitted.
--- a/src/admission/route_origins.rs
+++ b/src/admission/route_origins.rs
@@ -62,7 +62,7 @@
     ///
     /// A guard without a verdict adopts the origin that the sender reports. Changing a known origin
     /// takes far more evidence than a first verdict.
-    pub fn note(
+    pub fn record(
         &mut self,
         route: &Name,
         caller_service: &Name,
--- a/src/admission/service_time.rs
+++ b/src/admission/service_time.rs
@@ -23,7 +23,7 @@
 }
 
 impl ServiceTime {
-    pub fn note(&mut self, class: u8, service_us: u64, now: TimeMs) {
+    pub fn record(&mut self, class: u8, service_us: u64, now: TimeMs) {
         let estimate = &mut self.by_class[index_of(class)];
         estimate.mean_us = if estimate.mean_us == 0 {
             service_us
--- a/src/node/backend_rate_limit.rs
+++ b/src/node/backend_rate_limit.rs
@@ -28,7 +28,7 @@
     pub fn record_answer(&self, gate: &Gate, now: TimeMs, sent_at: TimeMs, headers: &HeaderMap) {
         let advertised = advertised_rate(&RATE_LIMIT, headers);
         let mut rate = self.lock();
-        let change = rate.note(now, sent_at, advertised);
+        let change = rate.record(now, sent_at, advertised);
         if change != RateChange::Unchanged {
             gate.set_rate(rate.per_s());
             log::info!(
--- a/src/node/keyed_forward.rs
+++ b/src/node/keyed_forward.rs
@@ -171,7 +171,7 @@
             Some(reason)
         }
         Redirect::NoOwner => {
-            progress.search.note_without_owner(target.node.clone());
+            progress.search.record_without_owner(target.node.clone());
             wait_for_owner(progress.redirects).await;
             Some(RetryReason::OwnerMoved)
         }
@@ -204,7 +204,7 @@
         (RefusalReason::Revoked, RunState::NotRun) => RetryReason::SilentConnection,
         (RefusalReason::PeerLost, RunState::NotRun) => {
             node.slot_router().forget(&call.service, key);
-            progress.search.note_unreachable(target.node.clone());
+            progress.search.record_unreachable(target.node.clone());
             RetryReason::Unreachable
         }
         (RefusalReason::PeerLost, _) if first_loss => RetryReason::ConnectionLost,
@@ -241,7 +241,7 @@
             // Another guard may return a new owner after a take-over. If it names the same owner,
             // the search ends.
             node.slot_router().forget(&call.service, key);
-            search.note_unreachable(hint.node);
+            search.record_unreachable(hint.node);
             choose(node, call, &search.tried())
         }
     }
--- a/src/node/reported_levels.rs
+++ b/src/node/reported_levels.rs
@@ -25,13 +25,15 @@
 impl ReportedLevels {
     /// Records the level that an answer of a service reported.
     pub(super) fn record_level(&self, now: TimeMs, service: &Name, route: &str, admit: Priority) {
-        self.lock().levels.note(now, service, route, admit);
+        self.lock().levels.record(now, service, route, admit);
     }
 
     /// Records that calls on `route` of the local service call `child_route` of `service`.
     pub(super) fn record_child(&self, now: TimeMs, route: &str, service: &Name, child_route: &str) {
         let mut reported = self.lock();
-        reported.dependencies.note(now, route, service, child_route);
+        reported
+            .dependencies
+            .record(now, route, service, child_route);
     }
 
     /// Whether the service and its downstream services would admit a call, as far as known.
--- a/src/node/targets.rs
+++ b/src/node/targets.rs
@@ -131,7 +131,7 @@
         let mut tracked = self.lock();
         tracked
             .stats_of(node, now)
-            .note_pressure(reported_pressure, now);
+            .record_pressure(reported_pressure, now);
         let pressure_of = |target: &Arc<Target>| {
             let stats = tracked.stats.get(&target.node)?;
             stats.pressure(now)
@@ -182,23 +182,23 @@
         stats.in_flight = stats.in_flight.saturating_sub(1);
         if let Some(domain) = &stats.remote_domain {
             if end.report.is_some() {
-                tracked.reach.note_answer(domain);
+                tracked.reach.record_answer(domain);
             }
-            if end.is_lost && tracked.reach.note_lost(now, domain, node) {
+            if end.is_lost && tracked.reach.record_lost(now, domain, node) {
                 self.unreachable_changes.send_replace(());
             }
         }
         if let Some(report) = end.report {
-            stats.note_report(report, now);
-            stats.note_failing(end.failing_permille, now);
+            stats.record_report(report, now);
+            stats.record_failing(end.failing_permille, now);
         }
         if end.is_closed {
-            stats.note_unavailable(now);
+            stats.record_unavailable(now);
         } else if end.report.is_some() {
-            stats.note_success(end.took_ms);
+            stats.record_success(end.took_ms);
         }
         if end.is_lost {
-            stats.note_failure(now);
+            stats.record_failure(now);
         }
     }
 
@@ -233,7 +233,7 @@
         let usual_us = self.usual_us.entry(route.clone()).or_default();
         *usual_us = smoothed(*usual_us, took_us, SMOOTHING_DIVISOR);
         if let Some(stats) = self.stats.get_mut(node) {
-            stats.note_run(took_us, *usual_us);
+            stats.record_run(took_us, *usual_us);
         }
     }
 
@@ -241,7 +241,7 @@
         if &*target.domain == own_domain {
             return;
         }
-        self.reach.note_sent(now, &target.domain);
+        self.reach.record_sent(now, &target.domain);
         let stats = self.stats_of(&target.node, now);
         if stats.remote_domain.is_none() {
             stats.remote_domain = Some(target.domain.clone());
--- a/src/routing/domain_reachability.rs
+++ b/src/routing/domain_reachability.rs
@@ -44,7 +44,7 @@
 
 impl DomainReachability {
     /// Records a call that is sent to a node of the domain.
-    pub fn note_sent(&mut self, now: TimeMs, domain: &str) {
+    pub fn record_sent(&mut self, now: TimeMs, domain: &str) {
         if let Some(known) = self
             .domains
             .get_mut(domain)
@@ -56,7 +56,7 @@
 
     /// Records a call that was lost on the way: the node did not accept a connection, or broke it
     /// off. Returns whether the domain has just become unreachable.
-    pub fn note_lost(&mut self, now: TimeMs, domain: &Name, node: &Name) -> bool {
+    pub fn record_lost(&mut self, now: TimeMs, domain: &Name, node: &Name) -> bool {
         if self.domains.len() >= MAX_DOMAINS && !self.domains.contains_key(domain) {
             return false;
         }
@@ -78,7 +78,7 @@
     }
 
     /// Records an answer of any kind from a node of the domain.
-    pub fn note_answer(&mut self, domain: &str) {
+    pub fn record_answer(&mut self, domain: &str) {
         let Some(known) = self.domains.get_mut(domain) else {
             return;
         };
--- a/src/routing/failure_rate.rs
+++ b/src/routing/failure_rate.rs
@@ -19,7 +19,7 @@
 
 impl FailureRate {
     /// Records the end of a call.
-    pub fn note(&mut self, now: TimeMs, has_failed: bool) {
+    pub fn record(&mut self, now: TimeMs, has_failed: bool) {
         let kept = self.kept(now);
         self.calls = self.calls * kept + 1.0;
         self.failed = self.failed * kept + f32::from(u8::from(has_failed));
--- a/src/routing/owner_search.rs
+++ b/src/routing/owner_search.rs
@@ -16,12 +16,12 @@
 
 impl OwnerSearch {
     /// Records that the target could not be reached.
-    pub fn note_unreachable(&mut self, node: Name) {
+    pub fn record_unreachable(&mut self, node: Name) {
         self.unreachable.push(node);
     }
 
     /// Records that the target knew of no owner when it was asked.
-    pub fn note_without_owner(&mut self, node: Name) {
+    pub fn record_without_owner(&mut self, node: Name) {
         self.without_owner.push(node);
     }
 
--- a/src/routing/target_stats.rs
+++ b/src/routing/target_stats.rs
@@ -59,20 +59,20 @@
 
     /// Records the load report piggybacked on an answer. The guard measures it and not the backend
     /// server, so it is trusted while it is fresh.
-    pub fn note_report(&mut self, report: LoadReport, now: TimeMs) {
+    pub fn record_report(&mut self, report: LoadReport, now: TimeMs) {
         self.report = report;
         self.reported_at = now;
     }
 
     /// Records an answer that came after `took_ms`. The target is alive.
-    pub fn note_success(&mut self, took_ms: u64) {
+    pub fn record_success(&mut self, took_ms: u64) {
         self.latency_us = smoothed(self.latency_us, took_ms * 1_000, LATENCY_SHARE);
         self.failures_in_row = 0;
         self.ejections = 0;
     }
 
     /// Records that the target could not be reached, or was lost before it answered.
-    pub fn note_failure(&mut self, now: TimeMs) {
+    pub fn record_failure(&mut self, now: TimeMs) {
         self.failures_in_row += 1;
         if self.failures_in_row < EJECT_AFTER_FAILURES {
             return;
@@ -89,7 +89,7 @@
     }
 
     /// Records a call that succeeded in `took_us`, when calls of its route usually take `usual_us`.
-    pub fn note_run(&mut self, took_us: u64, usual_us: u64) {
+    pub fn record_run(&mut self, took_us: u64, usual_us: u64) {
         let ratio = took_us * 1_000 / usual_us.max(1);
         let ratio = ratio.clamp(1, MAX_SLOWNESS_PERMILLE);
         self.slowness_permille = smoothed(self.slowness_permille, ratio, SLOWNESS_SHARE);
@@ -101,7 +101,7 @@
     }
 
     /// Records that the target itself refused to take work. It is ejected at once for a while.
-    pub fn note_unavailable(&mut self, now: TimeMs) {
+    pub fn record_unavailable(&mut self, now: TimeMs) {
         self.ejected_until = now + FIRST_EJECT_MS;
     }
 
@@ -119,7 +119,7 @@
     }
 
     /// Records the pressure on the target, as reported by its guard.
-    pub fn note_pressure(&mut self, pressure: TargetPressure, now: TimeMs) {
+    pub fn record_pressure(&mut self, pressure: TargetPressure, now: TimeMs) {
         self.pressure = pressure;
         self.pressure_at = now;
     }
@@ -132,7 +132,7 @@
     }
 
     /// Records the failure rate at the target, as reported by its guard.
-    pub fn note_failing(&mut self, permille: u32, now: TimeMs) {
+    pub fn record_failing(&mut self, permille: u32, now: TimeMs) {
         self.failing_permille = permille;
         self.failing_at = now;
     }
--- a/src/traffic/local_server.rs
+++ b/src/traffic/local_server.rs
@@ -270,7 +270,7 @@
     ) -> RateChange {
         let current = self.current.as_mut();
         match current.filter(|current| current.incarnation == *incarnation) {
-            Some(current) => current.rate.note(now, sent_at, advertisement),
+            Some(current) => current.rate.record(now, sent_at, advertisement),
             None => RateChange::Unchanged,
         }
     }
--- a/src/traffic/root_admission.rs
+++ b/src/traffic/root_admission.rs
@@ -36,18 +36,18 @@
         is_root: bool,
     ) {
         let mut state = self.lock();
-        state.pressures.note(now, service, route, pressure);
+        state.pressures.record(now, service, route, pressure);
         if !is_root {
             return;
         }
         match pressure {
             Some(pressure) => {
                 let (service, permille) = (&pressure.service, pressure.permille);
-                state.control.note(now, service, permille);
+                state.control.record(now, service, permille);
             }
             None => {
                 if let Some(service) = state.pressures.overloaded_service(service, route).cloned() {
-                    state.control.note(now, &service, 0);
+                    state.control.record(now, &service, 0);
                 }
             }
         }
@@ -66,7 +66,7 @@
         for parent in parents {
             state
                 .pressures
-                .note_child(now, parent, service, child_route);
+                .record_child(now, parent, service, child_route);
         }
     }
 
--- a/src/traffic/route_origins.rs
+++ b/src/traffic/route_origins.rs
@@ -80,7 +80,7 @@
             own_domain: &callers.own_domain,
             all: &callers.all,
         };
-        origins.note(observed, services)
+        origins.record(observed, services)
     }
 
     /// Records the origin of a route as detected by the guard of this or another node.
--- a/src/traffic/traffic.rs
+++ b/src/traffic/traffic.rs
@@ -258,7 +258,7 @@
     /// Records the end of a call at the local backend server.
     pub(super) fn record_end(&self, has_failed: bool) {
         let now = self.clock.now();
-        self.failing().note(now, has_failed);
+        self.failing().record(now, has_failed);
     }
 
     /// The share of calls that fail at the local backend server, in thousandths.
--- a/tests/admission_levels.rs
+++ b/tests/admission_levels.rs
@@ -19,15 +19,15 @@
     let level = Priority::new(1, 0);
     let shed = Priority::new(3, 7);
     let mut levels = Levels::default();
-    levels.note(NOW, &service, "lookups", level);
+    levels.record(NOW, &service, "lookups", level);
     let mut passed = 0;
     for at_ms in (0..5_000).step_by(10) {
         let now = NOW + at_ms;
-        levels.note(now, &service, "jobs", level);
+        levels.record(now, &service, "jobs", level);
         passed += u32::from(levels.may_pass(now, &service, "lookups", shed));
     }
     assert!((1..=5).contains(&passed), "{passed} calls passed as probes");
-    levels.note(NOW + 5_000, &service, "jobs", Priority::LOWEST);
+    levels.record(NOW + 5_000, &service, "jobs", Priority::LOWEST);
     assert!(levels.may_pass(NOW + 5_001, &service, "lookups", shed));
 }
 
@@ -35,7 +35,7 @@
 fn a_level_expires_unless_renewed() {
     let service = Name::from("deep");
     let mut levels = Levels::default();
-    levels.note(NOW, &service, "jobs", Priority::new(0, 9));
+    levels.record(NOW, &service, "jobs", Priority::new(0, 9));
     assert!(!levels.may_pass(NOW + 400, &service, "jobs", Priority::new(2, 0)));
     assert!(levels.may_pass(NOW + 600, &service, "jobs", Priority::new(2, 0)));
 }
@@ -46,8 +46,8 @@
     let level = Priority::new(1, 5);
     let mut levels = Levels::default();
     let mut dependencies = Dependencies::default();
-    dependencies.note(NOW, "menus", &deep, "stock");
-    levels.note(NOW, &deep, "stock", level);
+    dependencies.record(NOW, "menus", &deep, "stock");
+    levels.record(NOW, &deep, "stock", level);
     let own = Priority::LOWEST;
     assert_eq!(dependencies.level(NOW, "menus", own, &levels), level);
     assert_eq!(dependencies.level(NOW, "static", own, &levels), own);
--- a/tests/admission_origins.rs
+++ b/tests/admission_origins.rs
@@ -40,7 +40,7 @@
                 break;
             }
         }
-        verdict = origins.note(&route, &shares[index].0, None, &services);
+        verdict = origins.record(&route, &shares[index].0, None, &services);
     }
     verdict
 }
@@ -106,13 +106,13 @@
     let calling = ["front", "front", "front", "middle", "middle", "back"];
     for _ in 0..100 {
         for service in calling {
-            let verdict = origins.note(&route, &Name::from(service), None, &services(false));
+            let verdict = origins.record(&route, &Name::from(service), None, &services(false));
             assert_eq!(verdict, None);
         }
     }
-    origins.note(&route, &Name::from("leaf"), None, &services(true));
+    origins.record(&route, &Name::from("leaf"), None, &services(true));
     for service in calling.iter().cycle().take(40) {
-        origins.note(&route, &Name::from(*service), None, &services(true));
+        origins.record(&route, &Name::from(*service), None, &services(true));
     }
     assert_eq!(origins.of(&route), Some(RouteOrigin::Callers));
 }
@@ -131,11 +131,11 @@
         RouteOrigin::Backends => vec!["front", "middle", "back", "leaf"],
     };
     for service in calling.iter().cycle().take(190) {
-        let verdict = origins.note(&route, &Name::from(*service), Some(known), &services);
+        let verdict = origins.record(&route, &Name::from(*service), Some(known), &services);
         assert_eq!(verdict, Some(known));
     }
     for service in calling.iter().cycle().take(8_000) {
-        origins.note(&route, &Name::from(*service), Some(known), &services);
+        origins.record(&route, &Name::from(*service), Some(known), &services);
     }
     assert_ne!(origins.of(&route), Some(known));
 }
@@ -174,7 +174,7 @@
             reported_origin: None,
         };
         let all = &services;
-        verdict = origins.note(call, CallingServices { own_domain, all });
+        verdict = origins.record(call, CallingServices { own_domain, all });
     }
     assert_eq!(verdict, expected);
 }
--- a/tests/admission_rate_limit_state.rs
+++ b/tests/admission_rate_limit_state.rs
@@ -10,7 +10,7 @@
 
 fn advertised(per_s: f64) -> RateLimitState {
     let mut rate = RateLimitState::default();
-    rate.note(
+    rate.record(
         ADVERTISED_AT,
         ADVERTISED_AT - 50,
         AdvertisedRate::PerSecond(per_s),
@@ -23,7 +23,7 @@
 fn answers_to_earlier_requests_do_not_end_the_limit() {
     let mut rate = advertised(4.0);
     for late_ms in 1..100 {
-        let change = rate.note(
+        let change = rate.record(
             ADVERTISED_AT + late_ms,
             ADVERTISED_AT - 1,
             AdvertisedRate::Absent,
@@ -46,12 +46,12 @@
     for order in 1..3 {
         let (now, sent_at) = answer_ms(order);
         assert_eq!(
-            rate.note(now, sent_at, AdvertisedRate::Absent),
+            rate.record(now, sent_at, AdvertisedRate::Absent),
             RateChange::Unchanged
         );
     }
     let (now, sent_at) = answer_ms(3);
-    let change = rate.note(now, sent_at, AdvertisedRate::Absent);
+    let change = rate.record(now, sent_at, AdvertisedRate::Absent);
     assert_eq!(change, RateChange::Ends { held_ms: 300 });
     assert_eq!(rate.per_s(), None);
 }
@@ -68,7 +68,7 @@
             AdvertisedRate::Absent
         };
         assert_eq!(
-            rate.note(now, now - 50, advertisement),
+            rate.record(now, now - 50, advertisement),
             RateChange::Unchanged
         );
     }
@@ -85,13 +85,13 @@
     assert_eq!(advertisement, AdvertisedRate::Malformed);
     let mut rate = advertised(4.0);
     assert_eq!(
-        rate.note(ADVERTISED_AT + 10, ADVERTISED_AT, advertisement),
+        rate.record(ADVERTISED_AT + 10, ADVERTISED_AT, advertisement),
         RateChange::Unchanged
     );
     assert_eq!(rate.per_s(), Some(4.0));
     let mut none = RateLimitState::default();
     assert_eq!(
-        none.note(ADVERTISED_AT, ADVERTISED_AT, advertisement),
+        none.record(ADVERTISED_AT, ADVERTISED_AT, advertisement),
         RateChange::Unchanged
     );
     assert_eq!(none.per_s(), None);
@@ -100,7 +100,7 @@
 #[test]
 fn a_changed_rate_is_in_force_at_once() {
     let mut rate = advertised(4.0);
-    let change = rate.note(
+    let change = rate.record(
         ADVERTISED_AT + 1,
         ADVERTISED_AT - 40,
         AdvertisedRate::PerSecond(2.5),
--- a/tests/admission_roots.rs
+++ b/tests/admission_roots.rs
@@ -133,7 +133,7 @@
                 self.working.push((now_ms + 20, root));
             } else if self.failures_report {
                 let entry = &mut self.entries[root.entry];
-                entry.note(TimeMs(now_ms), &self.service, root.permille);
+                entry.record(TimeMs(now_ms), &self.service, root.permille);
             }
         }
     }
@@ -152,7 +152,7 @@
             }
             self.served[usize::from(root.class)] += 1;
             let entry = &mut self.entries[root.entry];
-            entry.note(TimeMs(now_ms), &self.service, root.permille);
+            entry.record(TimeMs(now_ms), &self.service, root.permille);
         }
     }
 
@@ -220,7 +220,7 @@
     let lowest = Priority::new(3, u16::MAX);
     for now_ms in (0..5_000).step_by(50) {
         control.may_pass(TimeMs(now_ms), &service, lowest);
-        control.note(TimeMs(now_ms), &service, 4_000);
+        control.record(TimeMs(now_ms), &service, 4_000);
     }
     assert!(!control.may_pass(TimeMs(5_000), &service, lowest));
     let passed = (5_000..9_000)
--- a/tests/fake_chain/chain.rs
+++ b/tests/fake_chain/chain.rs
@@ -368,7 +368,7 @@
                 &mut self.services[parent.service][parent.target].levels
             }
         };
-        levels.note(now, &name, route, admit);
+        levels.record(now, &name, route, admit);
         if self.calls[index].ok {
             self.calls[index].answered = true;
             self.child_ended(index, true);
--- a/tests/fake_chain/chain/backend_servers.rs
+++ b/tests/fake_chain/chain/backend_servers.rs
@@ -64,7 +64,7 @@
         let now = self.now();
         let child = self.names[service + 1].clone();
         let node = &mut self.services[service][target];
-        node.dependencies.note(now, route, &child, route);
+        node.dependencies.record(now, route, &child, route);
         self.calls[index].child_from_us = self.now_us;
         self.forward(root, Some(index), service + 1, deadline_us, 0);
     }
--- a/tests/routing_domain_reachability.rs
+++ b/tests/routing_domain_reachability.rs
@@ -35,18 +35,18 @@
             self.now = self.now + STEP_MS;
             while self.losses.first().is_some_and(|(at, _)| *at <= self.now) {
                 let (_, node) = self.losses.remove(0);
-                self.reach.note_lost(self.now, &domain, &node);
+                self.reach.record_lost(self.now, &domain, &node);
             }
             if self.reach.avoided(self.now).contains(&domain) {
                 continue;
             }
             let node = Name::from(nodes[step as usize % nodes.len()]);
-            self.reach.note_sent(self.now, &domain);
+            self.reach.record_sent(self.now, &domain);
             sent += 1;
             if is_partitioned {
                 self.losses.push((self.now + LOST_AFTER_MS, node));
             } else {
-                self.reach.note_answer(&domain);
+                self.reach.record_answer(&domain);
             }
         }
         sent
@@ -82,8 +82,8 @@
     let mut reach = DomainReachability::default();
     let domain = Name::from("far");
     for step in 0..50 {
-        assert!(!reach.note_lost(TimeMs(step), &domain, &Name::from("a")));
-        assert!(!reach.note_lost(TimeMs(step), &domain, &Name::from("b")));
-        reach.note_answer("far");
+        assert!(!reach.record_lost(TimeMs(step), &domain, &Name::from("a")));
+        assert!(!reach.record_lost(TimeMs(step), &domain, &Name::from("b")));
+        reach.record_answer("far");
     }
 }
--- a/tests/routing_failing.rs
+++ b/tests/routing_failing.rs
@@ -31,7 +31,7 @@
     for (name, _, failing_permille) in targets {
         let mut known = TargetStats::new(TimeMs(0));
         known.in_flight = in_flight;
-        known.note_failing(*failing_permille, NOW);
+        known.record_failing(*failing_permille, NOW);
         stats.insert(Name::from(*name), known);
     }
     let targets: Vec<Arc<Target>> = targets
@@ -94,16 +94,16 @@
 fn a_failure_rate_needs_calls_and_decays() {
     let mut rate = FailureRate::default();
     for _ in 0..5 {
-        rate.note(TimeMs(1_000), true);
+        rate.record(TimeMs(1_000), true);
     }
     assert_eq!(rate.permille(TimeMs(1_000)), 0);
     for _ in 0..15 {
-        rate.note(TimeMs(1_000), false);
+        rate.record(TimeMs(1_000), false);
     }
     assert_eq!(rate.permille(TimeMs(1_000)), 250);
     assert_eq!(rate.permille(TimeMs(6_000)), 0);
     for _ in 0..20 {
-        rate.note(TimeMs(6_000), false);
+        rate.record(TimeMs(6_000), false);
     }
     let later = rate.permille(TimeMs(6_000));
     assert!(later < 50, "{later}");
--- a/tests/routing_owner_search.rs
+++ b/tests/routing_owner_search.rs
@@ -12,8 +12,8 @@
 fn a_target_that_knew_no_owner_may_be_named_as_one_later() {
     let mut search = OwnerSearch::default();
     let (next, gone) = (Name::from("menus-2"), Name::from("menus-3"));
-    search.note_without_owner(next.clone());
-    search.note_unreachable(gone.clone());
+    search.record_without_owner(next.clone());
+    search.record_unreachable(gone.clone());
     assert!(search.may_be_owner(&next));
     assert!(!search.may_be_owner(&gone));
     assert_eq!(search.tried(), [gone, next]);
--- a/tests/routing_speed.rs
+++ b/tests/routing_speed.rs
@@ -56,7 +56,7 @@
             }
             let known = stats.get_mut(&*names[*index]).unwrap();
             known.in_flight -= 1;
-            known.note_run((took_ms * 1_000.0) as u64, USUAL_US);
+            known.record_run((took_ms * 1_000.0) as u64, USUAL_US);
             false
         });
         let choice = pick_context(&targets, &stats);
