--- a/src/desired/store_watch.rs
+++ b/src/desired/store_watch.rs
@@ -9,7 +9,7 @@
 const WATCHERS_PER_DOMAIN: usize = 2;
 /// A node that has received nothing from other nodes for this time queries the store itself, in
 /// milliseconds. The answer then arrives well within 2 s, the shortest time in which a change has
-/// to be active.
+/// to be in force.
 const NO_CONTACT_MS: u64 = 1_400;
 /// A node that has received no confirmation from the store for this time, neither directly nor by
 /// gossip, may query the store itself, in milliseconds. The time is above the 5 s that a watcher's
@@ -36,7 +36,7 @@
 /// stable again.
 pub const WATCH_LONG_POLL_MS: u64 = 2_000;
 /// The longest back-off after failures, in milliseconds: well within the time in which a change has
-/// to be active.
+/// to be in force.
 pub const WATCH_MAX_BACKOFF_MS: u64 = 1_000;
 /// How often a node that relies on gossip checks whether it has to query the store, in
 /// milliseconds.
@@ -66,7 +66,7 @@
 /// have to grow with the number of failure domains and not of nodes. When every node kept a long
 /// poll open, 195 nodes made 17 calls each in 40 s, most of them for this.
 ///
-/// The watchers may fail to reach a node, and a change would then be active everywhere but there.
+/// The watchers may fail to reach a node, and a change would then be in force everywhere but there.
 /// There are two cases. A node that is cut off from all others receives nothing, and queries the
 /// store within the time limit of a change. If all watchers are lost or refused by the store, the
 /// remaining nodes still exchange gossip, but the store's confirmation, which gossip carries with
