--- a/tests/fake_chain/chain.rs
+++ b/tests/fake_chain/chain.rs
@@ -44,7 +44,7 @@
     /// An attempt of a root request reaches its entry.
     Send(usize),
     /// The caller's time-out for an attempt expires.
-    GiveUp(usize, u32),
+    CallerTimeout(usize, u32),
     Reach(usize),
     OwnWorkDone(usize),
     Answer(usize),
@@ -183,7 +183,7 @@
         match event {
             Event::Arrival => self.arrival(),
             Event::Send(root) => self.send(root),
-            Event::GiveUp(root, attempt) => self.attempt_failed(root, attempt, 0),
+            Event::CallerTimeout(root, attempt) => self.attempt_failed(root, attempt, 0),
             Event::Reach(call) => self.reach(call),
             Event::OwnWorkDone(call) => self.own_work_done(call),
             Event::Answer(call) => self.answer(call),
@@ -205,7 +205,7 @@
         let root = &mut self.roots[index];
         root.sent_us = now_us;
         let attempt = root.attempt;
-        let patience_us = DEADLINE_MS[root.class] * 1_000;
+        let timeout_us = DEADLINE_MS[root.class] * 1_000;
         let priority = self.priority(&self.roots[index]);
         let route = self.route(index);
         let entry = &mut self.entries[index % ENTRIES];
@@ -216,8 +216,8 @@
             return;
         }
         self.report.entered += 1;
-        self.after(patience_us, Event::GiveUp(index, attempt));
-        self.forward(index, None, 0, now_us + patience_us, 0);
+        self.after(timeout_us, Event::CallerTimeout(index, attempt));
+        self.forward(index, None, 0, now_us + timeout_us, 0);
     }
 
     fn forward(
@@ -297,10 +297,10 @@
         let priority = self.priority(&self.roots[root]);
         let route = self.route(root);
         let node = &mut self.services[service][target];
-        let behind = node
+        let downstream = node
             .dependencies
             .level(now, route, Priority::LOWEST, &node.levels);
-        if self.scenario.control == Control::Levels && priority > behind {
+        if self.scenario.control == Control::Levels && priority > downstream {
             self.refuse(index, 200);
             return;
         }
--- a/tests/support/test_relay.rs
+++ b/tests/support/test_relay.rs
@@ -28,7 +28,9 @@
 pub struct TestRelay {
     pub address: SocketAddr,
     accepted: Arc<AtomicU64>,
+    /// Connections are numbered in the order of acceptance. Those below this number lose requests.
     requests_lost_below: Arc<AtomicU64>,
+    /// Those below this number lose answers.
     answers_lost_below: Arc<AtomicU64>,
 }
 
