--- a/src/traffic/local_server.rs
+++ b/src/traffic/local_server.rs
@@ -80,7 +80,8 @@
         self.heartbeat_ms = heartbeat_ms;
     }
 
-    /// Records an incarnation that is leaving or has ended, so that its late reports change nothing.
+    /// Records an incarnation that is leaving or has ended, so that its late reports change
+    /// nothing.
     pub fn mark_gone(&mut self, incarnation: &Name, started_unix_ms: Option<u64>) {
         self.gone.record(incarnation, started_unix_ms);
     }
