--- a/src/control/control_loop.rs
+++ b/src/control/control_loop.rs
@@ -146,7 +146,7 @@
                 self.membership.raise_store_era(era);
             }
             Command::TellAllowances { to, message } => {
-                let actions = self.membership.tell_allowances(&to, message, now);
+                let actions = self.membership.send_allowances(&to, message, now);
                 self.act(actions);
             }
             Command::AddSeeds(seeds) => self.join(&seeds),
@@ -186,13 +186,13 @@
                 Action::Send { to, datagram } => self.send(to, &datagram),
                 Action::Publish => self.publish(),
                 Action::Exchange { with } => self.exchange(with),
-                Action::ConfigNews {
+                Action::NewerConfig {
                     from,
                     version,
                     is_near,
                 } => (self.handlers.config_news)(from, version, is_near),
                 Action::StoreEra { era } => (self.handlers.store_era)(era),
-                Action::SlotMapNews {
+                Action::NewerSlotMap {
                     from,
                     service,
                     version,
@@ -241,7 +241,7 @@
     }
 
     fn exchange(&self, with: SocketAddr) {
-        let ask = self.membership.exchange_ask();
+        let ask = self.membership.exchange_request();
         let clients = self.clients.clone();
         let commands = self.own_commands.clone();
         tokio::spawn(async move {
--- a/src/node/forward.rs
+++ b/src/node/forward.rs
@@ -16,8 +16,8 @@
 use crate::node::keyed_forward::forward_keyed;
 use crate::node::peer_call::AttemptEnd;
 use crate::node::peer_call::call_peer;
-use crate::retry::Failure;
-use crate::retry::Situation;
+use crate::retry::AttemptFailure;
+use crate::retry::RetryContext;
 use crate::retry::retry_reason;
 use crate::routing::Pick;
 
@@ -79,7 +79,7 @@
         .take(&view, &call.service, domain, tried, false, now)
     {
         Pick::Take(target) => Some(target),
-        Pick::NoneTakesWork | Pick::Unknown => None,
+        Pick::NoneAvailable | Pick::Unknown => None,
     }
 }
 
@@ -107,11 +107,11 @@
 fn next_attempt(node: &Node, call: &Call, refusal: Refusal, tried: &[Name]) -> Option<RetryReason> {
     let now = node.inputs.clock.now();
     let view = node.inputs.view.load();
-    let failure = Failure {
+    let failure = AttemptFailure {
         reason: refusal.reason,
         run_state: refusal.run_state,
     };
-    let situation = Situation {
+    let situation = RetryContext {
         non_idempotent: call.non_idempotent,
         body_is_held: call.body_is_held,
         room_elsewhere: node.targets.has_room(&view, &call.service, tried, now),
--- a/src/node/targets.rs
+++ b/src/node/targets.rs
@@ -14,9 +14,9 @@
 use crate::core::View;
 use crate::node::Node;
 use crate::retry::RetryBudget;
-use crate::routing::Choice;
-use crate::routing::DomainReach;
+use crate::routing::DomainReachability;
 use crate::routing::Pick;
+use crate::routing::PickContext;
 use crate::routing::PickerConf;
 use crate::routing::TargetPressure;
 use crate::routing::TargetStats;
@@ -39,7 +39,7 @@
 struct Known {
     stats: FastMap<Name, TargetStats>,
     budgets: FastMap<Name, RetryBudget>,
-    reach: DomainReach,
+    reach: DomainReachability,
     /// How long runs of each route usually take, at whichever target, in microseconds.
     usual_us: FastMap<Name, u64>,
     /// The change of the view up to which targets that are gone have been evicted.
@@ -82,7 +82,7 @@
         known.evict_gone(view);
         let mut avoided = known.reach.avoided(now);
         avoided.extend_from_slice(&view.cut_off_domains);
-        let choice = Choice {
+        let choice = PickContext {
             targets: view.targets(service),
             stats: &known.stats,
             own_domain,
@@ -102,7 +102,7 @@
     pub(crate) async fn out_of_reach(&self, domain: &Name) {
         let mut closings = self.closings.subscribe();
         while closings.changed().await.is_ok() {
-            if self.lock().reach.is_closed(domain) {
+            if self.lock().reach.is_unreachable(domain) {
                 return;
             }
         }
@@ -141,7 +141,7 @@
             .iter()
             .filter(|target| target.state.takes_work() && pressure_of(target).is_none());
         let largest = unheard.map(|target| target.slots).max();
-        let with_room = largest.map(TargetPressure::with_room);
+        let with_room = largest.map(TargetPressure::assumed_idle);
         TargetPressure::of_service(heard.chain(with_room)).unwrap_or(told.permille)
     }
 
@@ -176,7 +176,7 @@
             return;
         };
         stats.in_flight = stats.in_flight.saturating_sub(1);
-        if let Some(domain) = &stats.far_domain {
+        if let Some(domain) = &stats.remote_domain {
             if end.report.is_some() {
                 known.reach.note_answer(domain);
             }
@@ -189,7 +189,7 @@
             stats.note_failing(end.failing_permille, now);
         }
         if end.is_closed {
-            stats.note_closed(now);
+            stats.note_unavailable(now);
         } else if end.report.is_some() {
             stats.note_success(end.took_ms);
         }
@@ -200,7 +200,7 @@
 
     /// Notes a first attempt in the budget of its service.
     pub(crate) fn first_attempt(&self, service: &Name) {
-        self.lock().budget_of(service).first_attempt();
+        self.lock().budget_of(service).record_first_attempt();
     }
 
     /// Takes a retry out of the budget of its service.
@@ -239,8 +239,8 @@
         }
         self.reach.note_sent(now, &target.domain);
         let stats = self.stats_of(&target.node, now);
-        if stats.far_domain.is_none() {
-            stats.far_domain = Some(target.domain.clone());
+        if stats.remote_domain.is_none() {
+            stats.remote_domain = Some(target.domain.clone());
         }
     }
 
--- a/src/traffic/allowances.rs
+++ b/src/traffic/allowances.rs
@@ -10,11 +10,11 @@
 use crate::accounts::AccountUse;
 use crate::accounts::Allowance;
 use crate::accounts::AllowanceBound;
-use crate::accounts::AllowanceKeeper;
+use crate::accounts::AllowanceCoordinator;
+use crate::accounts::AllowanceExceeded;
 use crate::accounts::AllowanceMessage;
-use crate::accounts::Beyond;
 use crate::accounts::EntryAllowances;
-use crate::accounts::Report;
+use crate::accounts::UsageReport;
 use crate::core::FastMap;
 use crate::core::Name;
 use crate::core::TimeMs;
@@ -30,7 +30,7 @@
 
 #[derive(Debug)]
 struct Keeping {
-    keeper: AllowanceKeeper,
+    keeper: AllowanceCoordinator,
     fleet: FleetWatch,
     /// The version whose allowances are kept.
     version: u64,
@@ -64,7 +64,7 @@
             nodes: AtomicUsize::new(0),
             entry: Mutex::new(EntryAllowances::new(bound, is_first_start, process, now)),
             keeping: Mutex::new(Keeping {
-                keeper: AllowanceKeeper::new(is_first_start, now),
+                keeper: AllowanceCoordinator::new(is_first_start, now),
                 fleet: FleetWatch::default(),
                 version: 0,
                 told_domains: now,
@@ -77,21 +77,21 @@
         self.entry().set_bound(bound);
     }
 
-    /// Decides about a request and counts it; see [`EntryAllowances::ask`].
+    /// Decides about a request and counts it; see [`EntryAllowances::admit`].
     pub(super) fn ask(
         &self,
         now: TimeMs,
         account: AccountId,
         allowance: Allowance,
-    ) -> Result<(), Beyond> {
+    ) -> Result<(), AllowanceExceeded> {
         let nodes = self.nodes.load(Ordering::Relaxed);
         let random = fastrand::f32();
-        self.entry().ask(now, account, allowance, nodes, random)
+        self.entry().admit(now, account, allowance, nodes, random)
     }
 
     /// A request that was let in has reached no backend server.
     pub(super) fn give_back(&self, account: AccountId) {
-        self.entry().give_back(account);
+        self.entry().refund(account);
     }
 
     /// What comes of each account here; see [`EntryAllowances::uses`].
@@ -101,7 +101,7 @@
 
     /// When a keeper last gave a word.
     pub(super) fn worded(&self) -> Option<TimeMs> {
-        self.entry().worded()
+        self.entry().last_reply_at()
     }
 
     /// Looks at the time, and answers what is to be told.
@@ -132,14 +132,16 @@
     ) -> Option<Told> {
         match message {
             AllowanceMessage::Report(report) => self.take_report(now, from, &report),
-            AllowanceMessage::Word(word) => {
-                self.entry().take_word(now, &word);
+            AllowanceMessage::Reply(word) => {
+                self.entry().apply_reply(now, &word);
                 None
             }
             AllowanceMessage::Domain(news) => {
                 let sender = view.nodes.get(from)?;
                 let mut keeping = self.keeping();
-                keeping.keeper.take_domain(now, &sender.domain, &news);
+                keeping
+                    .keeper
+                    .apply_domain_demands(now, &sender.domain, &news);
                 None
             }
         }
@@ -162,29 +164,35 @@
 
     /// Both keepers of the failure domain hear what is used, so that the second one knows all when the first
     /// is gone; the first one answers, and the second one if there was no word lately.
-    fn tell_report(&self, now: TimeMs, keepers: &[Name], report: Report, told: &mut Vec<Told>) {
+    fn tell_report(
+        &self,
+        now: TimeMs,
+        keepers: &[Name],
+        report: UsageReport,
+        told: &mut Vec<Told>,
+    ) {
         let is_worded = self
             .worded()
-            .is_some_and(|at| now.since(at) < EntryAllowances::WORD_MISSED_MS);
+            .is_some_and(|at| now.since(at) < EntryAllowances::REPLY_MISSED_MS);
         for (order, keeper) in keepers.iter().enumerate() {
-            let report = Report {
-                wants_word: order == 0 || !is_worded,
+            let report = UsageReport {
+                wants_reply: order == 0 || !is_worded,
                 ..report.clone()
             };
             if *keeper != self.node {
                 told.push((keeper.clone(), AllowanceMessage::Report(report)));
                 continue;
             }
-            let word = self.keeping().keeper.take_report(now, keeper, &report);
+            let word = self.keeping().keeper.apply_report(now, keeper, &report);
             if let Some(word) = word {
-                self.entry().take_word(now, &word);
+                self.entry().apply_reply(now, &word);
             }
         }
     }
 
-    fn take_report(&self, now: TimeMs, from: &Name, report: &Report) -> Option<Told> {
-        let word = self.keeping().keeper.take_report(now, from, report)?;
-        Some((from.clone(), AllowanceMessage::Word(word)))
+    fn take_report(&self, now: TimeMs, from: &Name, report: &UsageReport) -> Option<Told> {
+        let word = self.keeping().keeper.apply_report(now, from, report)?;
+        Some((from.clone(), AllowanceMessage::Reply(word)))
     }
 
     fn tell_domains(&self, now: TimeMs, told: &mut Vec<Told>) {
@@ -193,7 +201,7 @@
             return;
         }
         keeping.told_domains = now;
-        let news = keeping.keeper.tell_domains(now);
+        let news = keeping.keeper.domain_demands(now);
         for keeper in keeping.fleet.other_keepers(&self.domain) {
             told.push((keeper.clone(), AllowanceMessage::Domain(news.clone())));
         }
--- a/src/traffic/backend.rs
+++ b/src/traffic/backend.rs
@@ -1,4 +1,4 @@
-//! Running an admitted call at the local backend server.
+//! RunningRequest an admitted call at the local backend server.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,14 +10,14 @@
 use tokio::time::timeout;
 
 use crate::adapters::WholeAnswer;
+use crate::admission::CallOutcome;
 use crate::admission::Completion;
-use crate::admission::Verdict;
 use crate::core::Name;
 use crate::core::Refusal;
 use crate::core::RefusalReason;
 use crate::errors::SendError;
 use crate::node::permit::Permit;
-use crate::poison::Running;
+use crate::poison::RunningRequest;
 use crate::traffic::backend_answer::check;
 use crate::traffic::backend_answer::is_for;
 use crate::traffic::call::GuardedCall;
@@ -71,15 +71,15 @@
         Ok(end) => end,
         Err(_) => BackendEnd::sent(Err(unknown(RefusalReason::DeadlineExceeded))),
     };
-    let verdict = match &end.result {
-        Ok(answer) if answer.status.is_server_error() => Verdict::Failed,
-        Ok(_) => Verdict::Ok,
-        Err(refusal) if refusal.reason == RefusalReason::BackendShed => Verdict::Shed,
-        Err(refusal) if refusal.reason == RefusalReason::DeadlineExceeded => Verdict::Cancelled,
-        Err(_) => Verdict::Failed,
+    let outcome = match &end.result {
+        Ok(answer) if answer.status.is_server_error() => CallOutcome::Failed,
+        Ok(_) => CallOutcome::Ok,
+        Err(refusal) if refusal.reason == RefusalReason::BackendShed => CallOutcome::Shed,
+        Err(refusal) if refusal.reason == RefusalReason::DeadlineExceeded => CallOutcome::Cancelled,
+        Err(_) => CallOutcome::Failed,
     };
-    traffic.note_end(verdict != Verdict::Ok);
-    if verdict == Verdict::Ok {
+    traffic.note_end(outcome != CallOutcome::Ok);
+    if outcome == CallOutcome::Ok {
         traffic.poison.note_success(&suspect);
     }
     let service_us = traffic.clock.now_us().saturating_sub(permit.since_us);
@@ -88,7 +88,7 @@
     permit.note(Completion {
         service_us,
         child_us: 0,
-        verdict,
+        outcome,
     });
     end
 }
@@ -154,7 +154,12 @@
     Some(request)
 }
 
-fn lost(traffic: &Traffic, incarnation: &Name, suspect: Running, error: &SendError) -> BackendEnd {
+fn lost(
+    traffic: &Traffic,
+    incarnation: &Name,
+    suspect: RunningRequest,
+    error: &SendError,
+) -> BackendEnd {
     if error.is_unsent() {
         traffic.change_local(|local| local.note_refused(incarnation));
         return BackendEnd::not_sent(not_run(RefusalReason::BackendDown));
--- a/src/traffic/control_link.rs
+++ b/src/traffic/control_link.rs
@@ -12,8 +12,8 @@
 use crate::control::ControlSettings;
 use crate::core::Clock;
 use crate::core::TargetState;
-use crate::desired::Known;
-use crate::desired::asks_store;
+use crate::desired::StateFreshness;
+use crate::desired::should_query_store;
 use crate::membership::MembershipSettings;
 use crate::store::EraWatch;
 use crate::traffic::DesiredInForce;
@@ -78,25 +78,25 @@
     }
 }
 
-/// Whether this node asks the store now; see [`asks_store`].
+/// Whether this node asks the store now; see [`should_query_store`].
 pub(super) fn asks(traffic: &Arc<Traffic>, control: &Arc<ControlHandle>) -> AsksStore {
     let (traffic, control) = (traffic.clone(), control.clone());
     let started = traffic.clock.now();
     Arc::new(move || {
         let settings = &traffic.settings;
         let now = traffic.clock.now();
-        let known = Known {
-            any: traffic.desired.version() > 0,
-            found_for_ms: settings.is_first_start.then(|| {
+        let known = StateFreshness {
+            has_state: traffic.desired.version() > 0,
+            since_discovery_ms: settings.is_first_start.then(|| {
                 let found_after_ms = found_after_ms(settings.store_rates);
                 now.since(started) as i64 - found_after_ms as i64
             }),
-            heard_ms_ago: now.since(control.freshness.heard()),
+            last_contact_ms_ago: now.since(control.freshness.heard()),
             confirmed_ms_ago: now.since(control.freshness.confirmed()),
             keys_hold_ms: traffic.live().keys_hold_ms,
         };
         let view = traffic.view.load();
-        asks_store(
+        should_query_store(
             &view,
             &settings.node,
             &settings.domain,
--- a/src/traffic/desired_task.rs
+++ b/src/traffic/desired_task.rs
@@ -8,9 +8,9 @@
 use tokio::time::sleep;
 
 use crate::desired::DesiredState;
-use crate::desired::WATCH_LOOK_MS;
-use crate::desired::WATCH_PAUSE_MS;
-use crate::desired::WATCH_WAIT_MS;
+use crate::desired::WATCH_CHECK_INTERVAL_MS;
+use crate::desired::WATCH_LONG_POLL_MS;
+use crate::desired::WATCH_MAX_BACKOFF_MS;
 use crate::errors::DesiredStateError;
 use crate::store::RowChange;
 use crate::store::RowName;
@@ -64,7 +64,7 @@
         let mut was_reached = true;
         loop {
             self.until_it_asks().await;
-            match watch.next(WATCH_WAIT_MS).await {
+            match watch.next(WATCH_LONG_POLL_MS).await {
                 Ok(news) => {
                     pause.reset();
                     self.reached.set(1);
@@ -80,7 +80,7 @@
                         log::warn!("store: lost, error={error}");
                     }
                     was_reached = false;
-                    let pause_ms = pause.up_to(WATCH_PAUSE_MS, fastrand::f64());
+                    let pause_ms = pause.up_to(WATCH_MAX_BACKOFF_MS, fastrand::f64());
                     sleep(Duration::from_millis(pause_ms)).await;
                 }
             }
@@ -127,7 +127,7 @@
 
     async fn until_it_asks(&self) {
         while !(self.asks)() {
-            let look = sleep(Duration::from_millis(WATCH_LOOK_MS));
+            let look = sleep(Duration::from_millis(WATCH_CHECK_INTERVAL_MS));
             tokio::select! {
                 () = look => {}
                 () = self.ask_now.notified() => return,
--- a/src/traffic/forward.rs
+++ b/src/traffic/forward.rs
@@ -14,8 +14,8 @@
 use crate::core::RetryReason;
 use crate::core::RouteOrigin;
 use crate::core::Target;
-use crate::retry::Failure;
-use crate::retry::Situation;
+use crate::retry::AttemptFailure;
+use crate::retry::RetryContext;
 use crate::retry::retry_reason;
 use crate::routing::Pick;
 use crate::routing::TargetPressure;
@@ -133,7 +133,7 @@
         .take(&view, &call.service, domain, tried, is_large, now)
     {
         Pick::Take(target) => Some(target),
-        Pick::NoneTakesWork | Pick::Unknown => None,
+        Pick::NoneAvailable | Pick::Unknown => None,
     }
 }
 
@@ -231,11 +231,11 @@
     }
     let now = traffic.clock.now();
     let view = traffic.view.load();
-    let failure = Failure {
+    let failure = AttemptFailure {
         reason: refusal.reason,
         run_state: refusal.run_state,
     };
-    let situation = Situation {
+    let situation = RetryContext {
         non_idempotent: !call.repeatability.may_repeat(),
         body_is_held: true,
         room_elsewhere: traffic.targets.has_room(&view, &call.service, tried, now),
--- a/src/traffic/retry_budgets.rs
+++ b/src/traffic/retry_budgets.rs
@@ -52,11 +52,11 @@
         known.share_anew();
     }
 
-    /// Notes a call that is sent for the first time; see [`WindowBudget::first_attempt`].
+    /// Notes a call that is sent for the first time; see [`WindowBudget::record_first_attempt`].
     pub(super) fn first_attempt(&self, now: TimeMs, view: &View, service: &Name, repeated: f32) {
         let mut known = self.lock();
         known.follow(view);
-        known.budget_of(service).first_attempt(now, repeated);
+        known.budget_of(service).record_first_attempt(now, repeated);
     }
 
     /// Pays for a repeat; false when none is left.
@@ -64,9 +64,9 @@
         self.lock().budget_of(service).try_retry(now)
     }
 
-    /// Whether a repeat may begin that makes calls to the service; see [`WindowBudget::has_left`].
+    /// Whether a repeat may begin that makes calls to the service; see [`WindowBudget::has_remaining`].
     pub(super) fn has_left(&self, now: TimeMs, service: &Name) -> bool {
-        self.lock().budget_of(service).has_left(now)
+        self.lock().budget_of(service).has_remaining(now)
     }
 
     fn lock(&self) -> MutexGuard<'_, Known> {
--- a/src/traffic/story.rs
+++ b/src/traffic/story.rs
@@ -7,7 +7,7 @@
 use http::StatusCode;
 
 use crate::accounts::Allowance;
-use crate::accounts::Beyond;
+use crate::accounts::AllowanceExceeded;
 use crate::core::Name;
 use crate::core::Refusal;
 use crate::core::TimeMs;
@@ -245,9 +245,9 @@
     traffic: &Traffic,
     account: &CallAccount,
     allowance: Allowance,
-    beyond: Beyond,
+    beyond: AllowanceExceeded,
 ) {
-    let told = beyond.told_ms_ago;
+    let told = beyond.reply_age_ms;
     let told = told.map_or_else(|| "-".to_owned(), |ms| ms.to_string());
     log::info!(
         "account: beyond its allowance, account={} rate_per_s={} burst={} part_permille={} \
@@ -255,7 +255,7 @@
         account.name,
         allowance.rate_per_s,
         allowance.burst,
-        beyond.part_permille,
+        beyond.admitted_permille,
         traffic.desired.version(),
     );
 }
--- a/tests/claims_world/handing_over.rs
+++ b/tests/claims_simulation/hand_overs.rs
@@ -1,16 +1,22 @@
-//! Slots that pass from one process to another: promises and ledgers.
+//! Promises and ledger transfers between simulated processes.
 
 use sassafrasgap::claims::LedgerTransfer;
-use sassafrasgap::claims::MovedTo;
+use sassafrasgap::claims::TransferTarget;
 use sassafrasgap::control::PromiseAsk;
 use sassafrasgap::core::Name;
 
 use super::Event;
 use super::PEER_TIMEOUT_MS;
-use super::World;
+use super::Simulation;
 
-impl World {
-    pub(super) fn ask(&mut self, index: usize, round: u64, node: &str, member: u64) {
+impl Simulation {
+    pub(super) fn send_promise_request(
+        &mut self,
+        index: usize,
+        round: u64,
+        node: &str,
+        member: u64,
+    ) {
         let ask = PromiseAsk {
             service: Name::from("jobs"),
             owner: self.processes[index].instance,
@@ -19,13 +25,19 @@
         let to = self.process_of(node).filter(|to| self.reaches(index, *to));
         if let (Some(to), Some(delay)) = (to, self.delay()) {
             let from = index;
-            self.post(to, delay, Event::Asked { from, round, ask });
+            self.post(to, delay, Event::PromiseRequest { from, round, ask });
         }
     }
 
-    pub(super) fn asked(&mut self, index: usize, from: usize, round: u64, ask: &PromiseAsk) {
+    pub(super) fn answer_promise_request(
+        &mut self,
+        index: usize,
+        from: usize,
+        round: u64,
+        ask: &PromiseAsk,
+    ) {
         let now = self.processes[index].clock(self.now);
-        let promise = self.processes[index].keeper.promise_asked(now, ask);
+        let promise = self.processes[index].manager.on_promise_request(now, ask);
         let member = ask.member;
         if !self.reaches(index, from) {
             return;
@@ -34,7 +46,7 @@
             self.post(
                 from,
                 delay,
-                Event::Promised {
+                Event::PromiseAnswer {
                     round,
                     member,
                     promise,
@@ -52,12 +64,12 @@
         slots: &[usize],
     ) {
         let now = self.processes[index].clock(self.now);
-        let to = MovedTo {
+        let to = TransferTarget {
             node: node.clone(),
             instance: member,
             transfer: id,
         };
-        let transfer = self.processes[index].ledger.give(now, slots, &to);
+        let transfer = self.processes[index].ledger.export_slots(now, slots, &to);
         self.send_transfer(index, &node, transfer);
         let confirmed = false;
         self.post(
@@ -77,7 +89,7 @@
             self.post(
                 to,
                 delay,
-                Event::HandedOver {
+                Event::TransferArrived {
                     from: index,
                     transfer,
                 },
@@ -85,7 +97,7 @@
         }
     }
 
-    pub(super) fn handed_over(&mut self, index: usize, from: usize, transfer: LedgerTransfer) {
+    pub(super) fn on_transfer(&mut self, index: usize, from: usize, transfer: LedgerTransfer) {
         let process = &mut self.processes[index];
         if transfer.to != process.instance {
             return;
@@ -95,7 +107,7 @@
         let is_ledger = !transfer.slots.is_empty();
         let confirmed = process.ledger.receive(now, transfer.clone());
         if confirmed {
-            process.keeper.on_received(now, &transfer);
+            process.manager.on_received(now, &transfer);
         }
         if is_ledger
             && self.reaches(index, from)
--- a/tests/fake_chain/chain.rs
+++ b/tests/fake_chain/chain.rs
@@ -12,11 +12,11 @@
 use sassafrasgap::admission::Action;
 use sassafrasgap::admission::Admission;
 use sassafrasgap::admission::AdmissionConf;
+use sassafrasgap::admission::CallOutcome;
 use sassafrasgap::admission::Dependencies;
 use sassafrasgap::admission::Levels;
-use sassafrasgap::admission::Offer;
-use sassafrasgap::admission::QueuedCall;
-use sassafrasgap::admission::Verdict;
+use sassafrasgap::admission::OfferDecision;
+use sassafrasgap::admission::OfferedCall;
 use sassafrasgap::core::Name;
 use sassafrasgap::core::Priority;
 use sassafrasgap::core::TimeMs;
@@ -300,7 +300,7 @@
         }
         let offer = node.guard.offer(
             now,
-            QueuedCall {
+            OfferedCall {
                 ticket: index as u64,
                 priority,
                 depth: service as u8,
@@ -310,9 +310,9 @@
             },
         );
         match offer {
-            Offer::Run => self.start(index),
-            Offer::Wait => self.poll(service, target),
-            Offer::Refuse(refusal) => self.refuse(index, refusal.retry_after_ms),
+            OfferDecision::Run => self.start(index),
+            OfferDecision::Wait => self.poll(service, target),
+            OfferDecision::Refuse(refusal) => self.refuse(index, refusal.retry_after_ms),
         }
     }
 
@@ -406,6 +406,13 @@
         let parent_call = &mut self.calls[parent];
         parent_call.child_us += now_us - parent_call.child_from_us;
         parent_call.ok = ok;
-        self.release(parent, if ok { Verdict::Ok } else { Verdict::Failed });
+        self.release(
+            parent,
+            if ok {
+                CallOutcome::Ok
+            } else {
+                CallOutcome::Failed
+            },
+        );
     }
 }
