--- a/src/capacity/protocol_sizes.rs
+++ b/src/capacity/protocol_sizes.rs
@@ -12,14 +12,14 @@
 use crate::core::Target;
 use crate::membership::Body;
 use crate::membership::Datagram;
+use crate::membership::DomainContact;
 use crate::membership::FixedDigest;
 use crate::membership::Header;
-use crate::membership::HeardDomain;
 use crate::membership::Update;
 use crate::membership::encode_datagram;
 use crate::membership::encoded_bytes;
 use crate::poison::CrashReport;
-use crate::poison::Running;
+use crate::poison::RunningRequest;
 use crate::wire::AnswerHeader;
 use crate::wire::CallHeader;
 use crate::wire::LoadReport;
@@ -82,7 +82,7 @@
 }
 
 fn datagram(body: Body, heard_domains: usize) -> Vec<u8> {
-    let heard = HeardDomain {
+    let heard = DomainContact {
         domain_hash: 1,
         age_tenths: 10,
     };
@@ -151,7 +151,7 @@
 }
 
 fn suspect_request_bytes() -> usize {
-    let running = Running {
+    let running = RunningRequest {
         request: RequestId(u128::MAX),
         fingerprint: u64::MAX,
     };
--- a/src/membership/action.rs
+++ b/src/membership/action.rs
@@ -1,4 +1,4 @@
-//! What the pure membership asks of the outside.
+//! The effects that the caller of the membership logic carries out. The logic itself does no I/O.
 
 use std::net::SocketAddr;
 
@@ -7,36 +7,38 @@
 use crate::core::Name;
 use crate::core::RouteOrigin;
 
-/// One thing to do, in order.
+/// One effect. The caller carries out effects in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send a datagram; if it is lost, nothing else has to be done.
+    /// Send a datagram. Nothing has to be done if it is lost.
     Send { to: SocketAddr, datagram: Datagram },
     /// The view changed: publish [`super::Membership::view`].
     Publish,
-    /// Exchange all members with this node over a control call and merge the answer.
+    /// Start a full exchange of members with this node over a control call, and merge the response.
     Exchange { with: SocketAddr },
-    /// The node at this address, of the own failure domain or not, has a newer configuration in force.
-    ConfigNews {
+    /// The node at this address has a newer configuration in force. `is_near` is set if it is in
+    /// this node's own failure domain.
+    NewerConfig {
         from: SocketAddr,
         version: u64,
         is_near: bool,
     },
-    /// The store has a newer era than was known here.
+    /// A peer reported a store era that is newer than any known here.
     StoreEra { era: u64 },
-    /// The node at this address knows a newer slot map of a service.
-    SlotMapNews {
+    /// The node at this address sent a higher slot map version of a service than the one held here.
+    NewerSlotMap {
         from: SocketAddr,
         service: Name,
         version: u64,
     },
-    /// Somebody has found out who uses a route, of which nothing was known here.
+    /// A peer reported whether callers or backend servers use a route. This was unknown here.
     RouteUse { route: Name, by: RouteOrigin },
-    /// A member tells of accounts' allowances.
+    /// A member sent a message about the allowances of client accounts.
     Allowances {
         from: Name,
         message: AllowanceMessage,
     },
-    /// Compare the versions of all slot maps with this node: the digests differ persistently.
+    /// Compare the versions of all slot maps with this node, because the digests have differed for
+    /// several seconds.
     CompareSlotMaps { with: SocketAddr },
 }
--- a/src/node/baseline.rs
+++ b/src/node/baseline.rs
@@ -1,5 +1,5 @@
-//! Forwarding without control, for comparison only: any target at random, three retries at each
-//! hop, no bound over the whole chain. Switched on by `control_enabled: false`.
+//! Forwarding without overload control, for comparison only: a random target, three retries at each
+//! hop and no bound over the whole chain. Enabled by `control_enabled: false`.
 
 use std::sync::Arc;
 
@@ -14,13 +14,13 @@
 use crate::node::peer_call::AttemptEnd;
 use crate::node::peer_call::call_peer;
 
-/// Further attempts of each call at each hop.
-const RETRIES: u32 = 3;
-/// When to come back, in milliseconds.
+/// The maximum number of retries of each call at each hop.
+const MAX_RETRIES: u32 = 3;
+/// The retry delay returned with a refusal, in milliseconds.
 const RETRY_AFTER_MS: u64 = 500;
 
-/// Forwards a call until it is answered or four attempts have failed. A non-idempotent one that may
-/// have run is not sent again, so that runs of the baseline can be compared at all.
+/// Forwards a call until it is answered or four attempts have failed. A non-idempotent call that
+/// may have run is not sent again, so that runs of the baseline stay comparable.
 pub(super) async fn forward(node: &Arc<Node>, call: &mut Call) -> Result<Answer, Refusal> {
     let mut retries = 0;
     loop {
@@ -31,9 +31,9 @@
             AttemptEnd::Answered(answer, _) => return Ok(answer),
             AttemptEnd::Refused(refusal, _) => refusal,
         };
-        let harms = call.non_idempotent && refusal.run_state != RunState::NotRun;
+        let may_run_twice = call.non_idempotent && refusal.run_state != RunState::NotRun;
         let is_late = call.deadline <= node.inputs.clock.now();
-        if harms || is_late || !call.body_is_held || retries >= RETRIES {
+        if may_run_twice || is_late || !call.body_is_held || retries >= MAX_RETRIES {
             return Err(refusal);
         }
         retries += 1;
@@ -44,7 +44,9 @@
 fn any_target(node: &Node, call: &Call) -> Option<Arc<Target>> {
     let view = node.inputs.view.load();
     let targets = view.targets(&call.service).iter();
-    let open: Vec<&Arc<Target>> = targets.filter(|it| it.state.takes_work()).collect();
-    let place = fastrand::usize(..open.len().max(1));
-    open.get(place).map(|target| (*target).clone())
+    let candidates: Vec<&Arc<Target>> = targets
+        .filter(|target| target.state.accepts_calls())
+        .collect();
+    let index = fastrand::usize(..candidates.len().max(1));
+    candidates.get(index).map(|target| (*target).clone())
 }
--- a/src/node/entry.rs
+++ b/src/node/entry.rs
@@ -1,4 +1,4 @@
-//! The entry: calls of callers and of the local backend server.
+//! The entry accepts calls of callers and of the local backend server.
 
 use std::sync::Arc;
 
@@ -12,23 +12,24 @@
 use crate::node::answer::Answer;
 use crate::node::call::Call;
 use crate::node::forward::forward;
-use crate::node::keyed_forward::without_word;
+use crate::node::keyed_forward::unknown_unless_ran;
 use crate::node::live_calls::LiveCall;
+use crate::node::prepare_call::prepare_call;
+use crate::node::prepare_call::split_path;
 use crate::node::refusal_response::refusal_response;
 use crate::node::refusal_response::set_outcome;
-use crate::node::take_call::split_path;
-use crate::node::take_call::take_call;
 use crate::wire::headers;
 
 /// Where a call comes from.
 pub(super) enum Origin {
-    /// A caller: nothing it says of the product's own matters is believed.
+    /// A caller. Internal headers that it sets are not trusted.
     Caller,
-    /// The local backend server, on behalf of a live call or, without one, as a new root.
+    /// The local backend server. The call is made on behalf of a live call or, without one, is a
+    /// new root.
     Backend(Option<Arc<LiveCall>>),
 }
 
-/// Serves one call from its arrival to the head of its answer.
+/// Serves one call until the head of its answer is ready.
 pub(super) async fn serve_call(
     node: &Arc<Node>,
     request: Request<Body>,
@@ -37,9 +38,9 @@
     let started_us = node.inputs.clock.now_us();
     node.metrics.entry_calls.inc();
     let is_keyed = may_be_keyed(node, &request);
-    let response = match take_call(node, request, origin).await {
+    let response = match prepare_call(node, request, origin).await {
         Ok(mut call) => answer_call(node, &mut call).await,
-        Err(refusal) if is_keyed => refused(node, without_word(refusal), None),
+        Err(refusal) if is_keyed => refused(node, unknown_unless_ran(refusal), None),
         Err(refusal) => refused(node, refusal, None),
     };
     let took_us = node.inputs.clock.now_us() - started_us;
@@ -47,8 +48,8 @@
     response
 }
 
-/// Whether the call has a key under which it may have run before: then a refusal of this entry
-/// alone must not say that it was not run.
+/// Whether the call has a key under which it may have run before. If so, a refusal that only this
+/// entry decided must not state `not_run`, which is about all attempts with the key.
 fn may_be_keyed(node: &Node, request: &Request<Body>) -> bool {
     if !request.headers().contains_key(headers::IDEMPOTENCY_KEY) {
         return false;
@@ -71,10 +72,10 @@
     }
 }
 
-/// Marks a child call as outstanding in the call on whose behalf it is made, until it is dropped.
+/// Counts a child call as outstanding in its parent call until this is dropped.
 struct ChildSpan {
     node: Arc<Node>,
-    holder: Arc<LiveCall>,
+    allotment_holder: Arc<LiveCall>,
 }
 
 impl ChildSpan {
@@ -83,20 +84,21 @@
             return None;
         }
         let now = node.inputs.clock.now();
-        let holder = call.holder.clone();
+        let allotment_holder = call.allotment_holder.clone();
         node.levels
-            .note_child(now, &holder.route, &call.service, &call.route);
-        holder.child_began(node.inputs.clock.now_us());
+            .record_child(now, &allotment_holder.route, &call.service, &call.route);
+        allotment_holder.child_started(node.inputs.clock.now_us());
         Some(Self {
             node: node.clone(),
-            holder,
+            allotment_holder,
         })
     }
 }
 
 impl Drop for ChildSpan {
     fn drop(&mut self) {
-        self.holder.child_ended(self.node.inputs.clock.now_us());
+        self.allotment_holder
+            .child_ended(self.node.inputs.clock.now_us());
     }
 }
 
--- a/src/node/join_claims.rs
+++ b/src/node/join_claims.rs
@@ -1,4 +1,4 @@
-//! Joins the claims to the rest of the node.
+//! Connects the claims to the rest of the node.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,14 +9,14 @@
 use crate::claims::LeaseConf;
 use crate::claims::LedgerBounds;
 use crate::claims::LocalService;
-use crate::claims::boot_of;
+use crate::claims::boot_fingerprint;
 use crate::conf::NodeSettings;
 use crate::control::ControlHandle;
 use crate::core::TargetState;
 use crate::node::NodeInputs;
 use crate::table_service::PlatformClient;
 
-/// Claims for a node whose listener for other nodes is bound at `bound`.
+/// Creates the claims of a node. `bound` is the address of its listener for other nodes.
 pub(super) fn new_claims(
     settings: &NodeSettings,
     inputs: &NodeInputs,
@@ -29,7 +29,7 @@
     let settings = ClaimsSettings {
         node: settings.node.clone(),
         region: settings.region.clone(),
-        boot: boot_of(bound),
+        boot: boot_fingerprint(bound),
         lease: LeaseConf::for_lease(settings.lease_ms),
         bounds,
     };
--- a/src/node/join_configuration.rs
+++ b/src/node/join_configuration.rs
@@ -1,4 +1,4 @@
-//! Joins the configuration to the control thread and to the platform.
+//! Connects the configuration to the control thread and to the platform.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,23 +18,24 @@
 use crate::node::NodeInputs;
 use crate::table_service::PlatformClient;
 
-/// How long a poll may wait for one answer of the platform. Longer than for other requests: a
-/// slow platform should delay a change by its slowness and not by time-outs as well.
+/// How long a poll may wait for an answer of the platform, in milliseconds. It is longer than for
+/// other requests, so that a slow platform delays a change by its own slowness and not by time-outs
+/// as well.
 const POLL_TIMEOUT_MS: u64 = 2_500;
 
-/// The configuration of a node, before its control thread runs.
+/// The configuration of a node before its control thread runs.
 pub(super) struct JoinedConfiguration {
     pub(super) shared: Arc<ConfigShared>,
-    news: tokio::sync::mpsc::Receiver<crate::configuration::ConfigNews>,
+    updates: tokio::sync::mpsc::Receiver<crate::configuration::NewerConfig>,
 }
 
 impl JoinedConfiguration {
     /// # Errors
-    /// When its metrics are registered already.
+    /// When its metrics are already registered.
     pub(super) fn new(inputs: &NodeInputs) -> Result<Self, prometheus::Error> {
         let metrics = ConfigMetrics::new(inputs.metrics.registry())?;
-        let (shared, news) = ConfigShared::new(inputs.in_force.clone(), metrics);
-        Ok(Self { shared, news })
+        let (shared, updates) = ConfigShared::new(inputs.in_force.clone(), metrics);
+        Ok(Self { shared, updates })
     }
 
     /// Starts the task on the control thread.
@@ -46,7 +47,7 @@
     ) {
         let task = ConfigTask {
             shared: self.shared,
-            news: self.news,
+            updates: self.updates,
             ports: ports(settings, control),
             clock: inputs.clock,
             poll_ms: settings.config_poll_ms,
@@ -65,14 +66,14 @@
     let node = settings.node.clone();
     let domain = settings.domain.clone();
     let first = settings.clone();
-    // Held weakly: the task lives on the control thread, which the handle ends.
+    // A weak reference, since the task runs on the control thread, which the handle stops.
     let announcer = Arc::downgrade(control);
     ConfigPorts {
         poll: Arc::new(move |above| {
             let store = store.clone();
             async move { store.newer_than(above).await }.boxed()
         }),
-        ask_peer: Arc::new(move |peer, above| {
+        query_peer: Arc::new(move |peer, above| {
             let clients = clients.clone();
             async move {
                 match clients.config_above(peer, above).await {
@@ -84,7 +85,7 @@
             .boxed()
         }),
         is_poller: Arc::new(move || is_poller(&pollers_view.load(), &node, &domain)),
-        first_peers: Arc::new(move || first_peers(&view.load(), &first)),
+        initial_peers: Arc::new(move || initial_peers(&view.load(), &first)),
         announce: Arc::new(move |version| {
             if let Some(control) = announcer.upgrade() {
                 control.set_config_version(version);
@@ -93,9 +94,10 @@
     }
 }
 
-/// Peers of the own failure domain first: they knew what this node knew before a restart. Then the
-/// seeds, some of which are of the own domain, and then everybody else.
-fn first_peers(view: &View, settings: &NodeSettings) -> Vec<SocketAddr> {
+/// Lists peers to query at start. Peers of the own failure domain come first, since they have the
+/// versions that this node had before a restart. The seeds follow, some of which are in the own
+/// domain, and then all others.
+fn initial_peers(view: &View, settings: &NodeSettings) -> Vec<SocketAddr> {
     let of_domain = |own: bool| {
         let nodes = view.nodes.values();
         let nodes = nodes.filter(move |other| (other.domain == settings.domain) == own);
--- a/src/node/keyed_guard.rs
+++ b/src/node/keyed_guard.rs
@@ -1,17 +1,17 @@
-//! Non-idempotent calls with a key at the guard: the ledger decides before anything is queued.
+//! Non-idempotent calls with a key at the guard. The ledger decides before a call is queued.
 //!
-//! Whatever is refused here speaks of the key and not only of this attempt: `not_run` is said only
-//! when the ledger says so (docs/AT_MOST_ONCE.md, "What refusals say").
+//! A refusal here is about the key and not only about this attempt. Its outcome is `not_run` only
+//! if the ledger confirmed it (docs/AT_MOST_ONCE.md, "What refusals say").
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use tokio::sync::oneshot;
 
-use crate::claims::Admitted;
+use crate::claims::KeyedAdmission;
 use crate::claims::KeyedCall;
+use crate::claims::KeyedCallOutcome;
 use crate::claims::RunTicket;
-use crate::claims::Settled;
 use crate::claims::SharedLedger;
 use crate::control::KeptAnswer;
 use crate::core::Name;
@@ -27,20 +27,21 @@
 use crate::wire::CallHeader;
 use crate::wire::OwnerHint;
 
-/// The largest answer that is kept for resends, in bytes. Of a larger one they hear that it ran.
+/// The largest answer that is kept for resends, in bytes. A resend of a call with a larger answer
+/// is refused with the outcome `ran`.
 const MAX_KEPT_BODY_BYTES: usize = 64 * 1024;
-/// When to come back to a guard that has no ledger yet, in milliseconds.
-const NO_LEDGER_RETRY_MS: u64 = 1_000;
+/// The retry delay when the guard has no ledger yet, in milliseconds.
+const NO_LEDGER_RETRY_AFTER_MS: u64 = 1_000;
 
-/// The key under which a call runs at most once, if it is such a call.
+/// Returns the key of a call that may run at most once, if it is such a call.
 pub(super) fn key_of(header: &CallHeader) -> Option<&Name> {
     header.key.as_ref().filter(|_| header.non_idempotent)
 }
 
-/// Speaks of a refusal that was decided before the ledger was asked: an earlier sending of the
-/// same key may have run.
-pub(super) fn without_ledger(header_key: Option<&Name>, refusal: Refusal) -> Refusal {
-    match (header_key, refusal.run_state) {
+/// Replaces `not_run` by `unknown` in a refusal of a keyed call that was decided before the ledger
+/// was consulted. An earlier attempt with the same key may have run.
+pub(super) fn unknown_if_keyed(key: Option<&Name>, refusal: Refusal) -> Refusal {
+    match (key, refusal.run_state) {
         (Some(_), RunState::NotRun) => Refusal {
             run_state: RunState::Unknown,
             ..refusal
@@ -49,14 +50,14 @@
     }
 }
 
-/// The owner of the key's slot as this guard knows it.
+/// The owner of the key's slot, as known by this guard.
 pub(super) fn owner_hint(node: &Node, key: Option<&Name>) -> Option<OwnerHint> {
     let key = key?;
     let ledger = node.inputs.claims.as_ref()?.ledger()?;
     ledger.with(|ledger, now| ledger.owner_hint(now, &node.settings.node, key))
 }
 
-/// Runs a keyed call unless it ran before, runs already, or may have run elsewhere.
+/// Runs a keyed call unless it already ran, is running, or may have run elsewhere.
 ///
 /// # Errors
 /// The refusal to send back.
@@ -67,27 +68,27 @@
 ) -> Result<Answer, Refusal> {
     let left_ms = call.deadline.since(node.inputs.clock.now());
     let left = Duration::from_millis(left_ms);
-    match admitted(node, &call, &key) {
-        Admitted::Run(ticket) => {
-            let told = start(node, call, ticket);
-            within(left, told).await?
+    match admit(node, &call, &key) {
+        KeyedAdmission::Run(ticket) => {
+            let receiver = spawn_run(node, call, ticket);
+            receive_within(left, receiver).await?
         }
-        Admitted::Join(told) => {
+        KeyedAdmission::Join(receiver) => {
             node.metrics.joined_calls.inc();
-            answer_of(within(left, told).await?)
+            answer_of_outcome(receive_within(left, receiver).await?)
         }
-        Admitted::Answer(kept) => {
+        KeyedAdmission::Answer(kept) => {
             node.metrics.repeated_answers.inc();
             Ok(kept_answer::answer_of(&kept))
         }
-        Admitted::Refuse(refusal) => Err(refusal),
+        KeyedAdmission::Refuse(refusal) => Err(refusal),
     }
 }
 
-fn admitted(node: &Node, call: &GuardedCall, key: &Name) -> Admitted {
+fn admit(node: &Node, call: &GuardedCall, key: &Name) -> KeyedAdmission {
     let Some(ledger) = ledger(node) else {
         let reason = RefusalReason::NotOwner;
-        return Admitted::Refuse(Refusal::unknown(reason, NO_LEDGER_RETRY_MS));
+        return KeyedAdmission::Refuse(Refusal::unknown(reason, NO_LEDGER_RETRY_AFTER_MS));
     };
     ledger.begin(&KeyedCall {
         key,
@@ -101,52 +102,52 @@
     node.inputs.claims.as_ref()?.ledger()
 }
 
-/// Runs the call in a task of its own: whoever sent it may go away, and a resend then joins it.
-fn start(
+/// Runs the call in its own task. If the sender disconnects, a resend joins the run.
+fn spawn_run(
     node: &Arc<Node>,
     call: GuardedCall,
     ticket: RunTicket,
 ) -> oneshot::Receiver<Result<Answer, Refusal>> {
-    let (tell, told) = oneshot::channel();
+    let (sender, receiver) = oneshot::channel();
     let node = node.clone();
     tokio::spawn(async move {
-        let end = admit_and_run(&node, call).await;
-        ticket.settle(settled(&end));
-        // The sender may have gone away; the ledger knows the outcome.
-        let _ = tell.send(end);
+        let result = admit_and_run(&node, call).await;
+        ticket.settle(outcome_of(&result));
+        // The sender may have disconnected. The ledger holds the outcome.
+        let _ = sender.send(result);
     });
-    told
+    receiver
 }
 
-fn settled(end: &Result<Answer, Refusal>) -> Settled {
-    match end {
-        Ok(answer) => Settled::Ran(to_kept(answer).map(Arc::new)),
+fn outcome_of(result: &Result<Answer, Refusal>) -> KeyedCallOutcome {
+    match result {
+        Ok(answer) => KeyedCallOutcome::Ran(to_kept(answer).map(Arc::new)),
         Err(refusal) => match refusal.run_state {
-            RunState::NotRun => Settled::NotStarted(*refusal),
-            RunState::Ran => Settled::Ran(None),
-            RunState::Unknown => Settled::MayHaveRun,
+            RunState::NotRun => KeyedCallOutcome::NotStarted(*refusal),
+            RunState::Ran => KeyedCallOutcome::Ran(None),
+            RunState::Unknown => KeyedCallOutcome::MayHaveRun,
         },
     }
 }
 
-async fn within<T>(left: Duration, told: oneshot::Receiver<T>) -> Result<T, Refusal> {
-    match tokio::time::timeout(left, told).await {
-        Ok(Ok(word)) => Ok(word),
+async fn receive_within<T>(left: Duration, receiver: oneshot::Receiver<T>) -> Result<T, Refusal> {
+    match tokio::time::timeout(left, receiver).await {
+        Ok(Ok(value)) => Ok(value),
         Ok(Err(_)) => Err(Refusal::unknown(RefusalReason::BackendBroke, 0)),
         Err(_) => Err(Refusal::unknown(RefusalReason::DeadlineExceeded, 0)),
     }
 }
 
-fn answer_of(settled: Settled) -> Result<Answer, Refusal> {
-    match settled {
-        Settled::Ran(Some(kept)) => Ok(kept_answer::answer_of(&kept)),
-        Settled::Ran(None) => Err(Refusal {
+fn answer_of_outcome(outcome: KeyedCallOutcome) -> Result<Answer, Refusal> {
+    match outcome {
+        KeyedCallOutcome::Ran(Some(kept)) => Ok(kept_answer::answer_of(&kept)),
+        KeyedCallOutcome::Ran(None) => Err(Refusal {
             reason: RefusalReason::AlreadyRan,
             run_state: RunState::Ran,
             retry_after_ms: 0,
         }),
-        Settled::MayHaveRun => Err(Refusal::unknown(RefusalReason::AlreadyRan, 0)),
-        Settled::NotStarted(refusal) => Err(refusal),
+        KeyedCallOutcome::MayHaveRun => Err(Refusal::unknown(RefusalReason::AlreadyRan, 0)),
+        KeyedCallOutcome::NotStarted(refusal) => Err(refusal),
     }
 }
 
--- a/src/node/node_process.rs
+++ b/src/node/node_process.rs
@@ -1,4 +1,4 @@
-//! A whole node: data path and control thread joined.
+//! A complete node: the data path connected to its control thread.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,14 +20,14 @@
 use crate::core::TimeMs;
 use crate::errors::NodeError;
 use crate::node::Announcement;
-use crate::node::AskAttempt;
 use crate::node::Listeners;
 use crate::node::LocalBackend;
 use crate::node::Node;
 use crate::node::NodeInputs;
-use crate::node::NoteConfig;
 use crate::node::PeerOperations;
 use crate::node::PoisonGuard;
+use crate::node::QueryAttempt;
+use crate::node::RecordPeerConfig;
 use crate::node::ReportSuspects;
 use crate::node::RunningNode;
 use crate::node::Status;
@@ -36,8 +36,8 @@
 use crate::node::join_configuration::JoinedConfiguration;
 use crate::table_service::PlatformClient;
 
-/// How long one question about an attempt may take, in milliseconds.
-const ASK_ATTEMPT_MS: u64 = 400;
+/// How long one query for an attempt may take, in milliseconds.
+const ATTEMPT_QUERY_TIMEOUT_MS: u64 = 400;
 
 /// A node with its control thread.
 pub struct NodeProcess {
@@ -63,7 +63,7 @@
         claims.attach(&mut handlers);
         let control = control::start(control_settings, handlers, metrics)?;
         let control = Arc::new(control);
-        inputs.note_config = note_config(&configuration.shared);
+        inputs.record_peer_config = record_peer_config(&configuration.shared);
         configuration.start(&settings, &inputs, &control);
         inputs.operations = PeerOperations::over(&control.clients);
         if settings.control_enabled {
@@ -76,7 +76,7 @@
             inputs.claims = Some(claims);
         }
         inputs.view = control.view.clone();
-        inputs.ask_attempt = ask_attempt(&control);
+        inputs.query_attempt = query_attempt(&control);
         inputs.report_suspects = report_suspects(&control);
         control
             .runtime
@@ -87,7 +87,7 @@
     }
 }
 
-/// What others are told: the advertised address, with the real port when any was asked for.
+/// The address to advertise to other nodes. The bound port replaces port 0.
 fn advertised(address: SocketAddr, bound: SocketAddr) -> SocketAddr {
     if address.port() == 0 {
         return SocketAddr::new(address.ip(), bound.port());
@@ -100,12 +100,14 @@
     let clock = inputs.clock;
     let poison = inputs.poison.clone();
     let local = inputs.local.clone();
-    let asked = configuration.clone();
-    let told = configuration.clone();
+    let queried = configuration.clone();
+    let notified = configuration.clone();
     ControlHandlers {
-        report_suspects: Arc::new(move |news| take_suspects(&poison, &local, clock.now(), &news)),
-        config_above: Arc::new(move |above| asked.document_above(above)),
-        config_news: Arc::new(move |from, version, _| told.note_news(from, version)),
+        report_suspects: Arc::new(move |suspects| {
+            merge_suspects(&poison, &local, clock.now(), &suspects)
+        }),
+        config_above: Arc::new(move |above| queried.document_above(above)),
+        newer_config: Arc::new(move |from, version, _| notified.record_peer_version(from, version)),
         attempt_status: Arc::new(move |attempt| {
             let status = attempts.status(clock.now(), attempt);
             ready(status).boxed()
@@ -116,69 +118,69 @@
 
 fn report_suspects(control: &ControlHandle) -> ReportSuspects {
     let clients = control.clients.clone();
-    Arc::new(move |address, news| {
+    Arc::new(move |address, suspects| {
         let clients = clients.clone();
-        let news = news.clone();
+        let suspects = suspects.clone();
         let report = async move {
-            if let Err(error) = clients.report_suspects(address, news).await {
-                log::warn!("poison: a report was not taken in, peer={address} error={error}");
+            if let Err(error) = clients.report_suspects(address, suspects).await {
+                log::warn!("poison: crash report not delivered, peer={address} error={error}");
             }
         };
         report.boxed()
     })
 }
 
-fn note_config(configuration: &Arc<ConfigShared>) -> NoteConfig {
+fn record_peer_config(configuration: &Arc<ConfigShared>) -> RecordPeerConfig {
     let configuration = configuration.clone();
-    Arc::new(move |from, version| configuration.note_news(from, version))
+    Arc::new(move |from, version| configuration.record_peer_version(from, version))
 }
 
-/// Answers operators who ask by way of another node. The node serves only after its control
-/// thread has started; until then there is nothing to say.
+/// Handles requests that operators make through another node. The node is available only after its
+/// control thread has started, so the status is empty until then.
 fn add_operator_handlers(handlers: &mut ControlHandlers, served: &Arc<OnceLock<Weak<Node>>>) {
-    let asked = served.clone();
+    let queried = served.clone();
     handlers.node_status = Arc::new(move || {
-        let node = asked.get().and_then(Weak::upgrade);
+        let node = queried.get().and_then(Weak::upgrade);
         let status = node.map(|node| serde_json::to_string(&Status::without_members(&node)));
         status.and_then(Result::ok).unwrap_or_default()
     });
-    let told = served.clone();
+    let notified = served.clone();
     handlers.drain = Arc::new(move || {
-        if let Some(node) = told.get().and_then(Weak::upgrade) {
-            log::info!("node: drains on the word of an operator at another node");
+        if let Some(node) = notified.get().and_then(Weak::upgrade) {
+            log::info!("node: draining at the request of an operator at another node");
             node.drain();
         }
     });
 }
 
-fn ask_attempt(control: &ControlHandle) -> AskAttempt {
+fn query_attempt(control: &ControlHandle) -> QueryAttempt {
     let clients = control.clients.clone();
     Arc::new(move |address, attempt| {
         let clients = clients.clone();
-        let ask = async move {
+        let query = async move {
             clients
-                .attempt_status(address, attempt, ASK_ATTEMPT_MS)
+                .attempt_status(address, attempt, ATTEMPT_QUERY_TIMEOUT_MS)
                 .await
         };
-        ask.boxed()
+        query.boxed()
     })
 }
 
-/// Reports of other services say nothing about the local one.
-fn take_suspects(
+/// Merges a crash report, unless it is about another service than the local one.
+fn merge_suspects(
     poison: &PoisonGuard,
     local: &watch::Sender<LocalBackend>,
     now: TimeMs,
-    news: &Suspects,
+    suspects: &Suspects,
 ) {
     let local = local.borrow();
-    let is_ours = |announced: &Announcement| announced.service == news.service;
+    let is_ours = |announced: &Announcement| announced.service == suspects.service;
     if local.announced.as_ref().is_some_and(is_ours) {
-        poison.merge(now, news);
+        poison.merge(now, suspects);
     }
 }
 
-/// Tells all members what the local backend server says of itself, at each change.
+/// Publishes each state change of the local backend server to all members.
 async fn announce(control: Arc<ControlHandle>, mut local: watch::Receiver<LocalBackend>) {
     loop {
         let state = local.borrow_and_update().clone();
--- a/src/node/peer_operations.rs
+++ b/src/node/peer_operations.rs
@@ -1,4 +1,4 @@
-//! What an operator at one node asks of another.
+//! Operator requests that one node forwards to another.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,22 +10,23 @@
 use crate::control::PeerClients;
 use crate::errors::PeerCallError;
 
-/// Asks the node with a control address for its status, in JSON.
-pub type AskStatus =
+/// Queries the status of the node with a control address, in JSON.
+pub type QueryStatus =
     Arc<dyn Fn(SocketAddr) -> BoxFuture<'static, Result<String, PeerCallError>> + Send + Sync>;
-/// Tells the node with a control address to drain.
-pub type TellDrain =
+/// Requests a drain from the node with a control address.
+pub type RequestDrain =
     Arc<dyn Fn(SocketAddr) -> BoxFuture<'static, Result<(), PeerCallError>> + Send + Sync>;
 
-/// Operators reach the operators' listener of one node; the rest goes over control calls.
+/// Operators connect to the operators' listener of one node. Requests to other nodes go over
+/// control calls.
 #[derive(Clone)]
 pub struct PeerOperations {
-    pub status: AskStatus,
-    pub drain: TellDrain,
+    pub status: QueryStatus,
+    pub drain: RequestDrain,
 }
 
 impl PeerOperations {
-    /// Reaches nobody.
+    /// Operations that reach no node.
     pub fn none() -> Self {
         Self {
             status: Arc::new(|_| ready(Err(PeerCallError::Stopped)).boxed()),
@@ -33,16 +34,16 @@
         }
     }
 
-    /// Reaches peers by control calls.
+    /// Operations that reach peers by control calls.
     pub fn over(clients: &Arc<PeerClients>) -> Self {
-        let (asked, told) = (clients.clone(), clients.clone());
+        let (status_clients, drain_clients) = (clients.clone(), clients.clone());
         Self {
             status: Arc::new(move |address| {
-                let clients = asked.clone();
+                let clients = status_clients.clone();
                 async move { clients.node_status(address).await }.boxed()
             }),
             drain: Arc::new(move |address| {
-                let clients = told.clone();
+                let clients = drain_clients.clone();
                 async move { clients.drain(address).await }.boxed()
             }),
         }
--- a/src/node/permit.rs
+++ b/src/node/permit.rs
@@ -1,16 +1,16 @@
-//! The right of one call to run at the local backend server.
+//! The permit of one call to run at the local backend server.
 
 use std::sync::Arc;
 
+use crate::admission::CallOutcome;
 use crate::admission::Completion;
-use crate::admission::Verdict;
 use crate::node::gate::Gate;
 
 /// Counts as in flight until it is dropped, however the call ends.
 pub(crate) struct Permit {
     gate: Arc<Gate>,
     ticket: u64,
-    /// When the call was let in, in microseconds.
+    /// When the call was admitted, in microseconds.
     pub(crate) since_us: u64,
     completion: Completion,
 }
@@ -24,13 +24,13 @@
             completion: Completion {
                 service_us: 0,
                 child_us: 0,
-                verdict: Verdict::Cancelled,
+                outcome: CallOutcome::Cancelled,
             },
         }
     }
 
-    /// Notes how the call ended; without a word it counts as cancelled.
-    pub(crate) fn note(&mut self, completion: Completion) {
+    /// Sets how the call ended. Without it the call counts as cancelled.
+    pub(crate) fn set_completion(&mut self, completion: Completion) {
         self.completion = completion;
     }
 }
--- a/src/node/targets.rs
+++ b/src/node/targets.rs
@@ -1,4 +1,4 @@
-//! First-hand figures of the targets, the choice among them, and the budgets of retries.
+//! Statistics of targets measured by this node, target selection, and retry budgets.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -14,9 +14,9 @@
 use crate::core::View;
 use crate::node::Node;
 use crate::retry::RetryBudget;
-use crate::routing::Choice;
-use crate::routing::DomainReach;
+use crate::routing::DomainReachability;
 use crate::routing::Pick;
+use crate::routing::PickContext;
 use crate::routing::PickerConf;
 use crate::routing::TargetPressure;
 use crate::routing::TargetStats;
@@ -25,33 +25,34 @@
 use crate::wire::AnswerHeader;
 use crate::wire::LoadReport;
 
-/// Retries in sum, in percent of first attempts.
+/// Retries in percent of first attempts.
 const BUDGET_PERCENT: u32 = 10;
-/// Retries that may follow each other without first attempts in between.
+/// Retries allowed in a row without first attempts in between.
 const BUDGET_BURST: u32 = 20;
 
-/// Routes whose usual time is remembered; beyond it all are learnt anew.
-const MOST_ROUTES: usize = 4_096;
-/// One part in this of each new run's time goes into the usual one of its route.
-const USUAL_SHARE: u64 = 32;
+/// The maximum number of routes for which a usual latency is kept. When it is reached, all are
+/// cleared and measured again.
+const MAX_ROUTES: usize = 4_096;
+/// A new latency moves the usual latency of its route by the difference divided by this.
+const SMOOTHING_DIVISOR: u64 = 32;
 
 #[derive(Default)]
-struct Known {
+struct TrackedTargets {
     stats: FastMap<Name, TargetStats>,
     budgets: FastMap<Name, RetryBudget>,
-    reach: DomainReach,
-    /// How long runs of each route usually take, at whichever target, in microseconds.
+    reach: DomainReachability,
+    /// The usual latency of each route over all targets, in microseconds.
     usual_us: FastMap<Name, u64>,
-    /// The change of the view up to which targets that are gone have been evicted.
+    /// The change counter of the view at the last eviction of removed targets.
     evicted_at_change: u64,
 }
 
-/// Shared by all calls. Bounded by the view: what is not in it any more is evicted.
+/// Shared by all calls. Bounded by the view: targets that are no longer in it are evicted.
 pub(crate) struct Targets {
-    known: Mutex<Known>,
+    tracked: Mutex<TrackedTargets>,
     conf: PickerConf,
-    /// Changes whenever a failure domain has turned out to be out of reach.
-    closings: watch::Sender<()>,
+    /// Changes whenever a failure domain becomes unreachable.
+    unreachable_changes: watch::Sender<()>,
 }
 
 impl Targets {
@@ -59,16 +60,16 @@
         Self::with_conf(PickerConf::default())
     }
 
-    /// Targets that are chosen in this way.
+    /// Creates targets with a configuration of the picker.
     pub(crate) fn with_conf(conf: PickerConf) -> Self {
         Self {
-            known: Mutex::default(),
+            tracked: Mutex::default(),
             conf,
-            closings: watch::Sender::new(()),
+            unreachable_changes: watch::Sender::new(()),
         }
     }
 
-    /// Chooses a target that was not tried and counts the call as in flight there.
+    /// Selects a target that was not tried and counts the call as in flight there.
     pub(crate) fn take(
         &self,
         view: &View,
@@ -78,13 +79,13 @@
         is_large: bool,
         now: TimeMs,
     ) -> Pick {
-        let mut known = self.lock();
-        known.evict_gone(view);
-        let mut avoided = known.reach.avoided(now);
+        let mut tracked = self.lock();
+        tracked.evict_gone(view);
+        let mut avoided = tracked.reach.avoided(now);
         avoided.extend_from_slice(&view.cut_off_domains);
-        let choice = Choice {
+        let choice = PickContext {
             targets: view.targets(service),
-            stats: &known.stats,
+            stats: &tracked.stats,
             own_domain,
             cut_off_domains: &avoided,
             tried,
@@ -92,155 +93,158 @@
         };
         let picked = pick(&choice, &self.conf, now, |n| fastrand::usize(..n));
         if let Pick::Take(target) = &picked {
-            known.stats_of(&target.node, now).in_flight += 1;
-            known.note_sent(target, own_domain, now);
+            tracked.stats_of(&target.node, now).in_flight += 1;
+            tracked.record_sent(target, own_domain, now);
         }
         picked
     }
 
-    /// Waits until the failure domain turns out to be out of reach.
-    pub(crate) async fn out_of_reach(&self, domain: &Name) {
-        let mut closings = self.closings.subscribe();
-        while closings.changed().await.is_ok() {
-            if self.lock().reach.is_closed(domain) {
+    /// Waits until the failure domain becomes unreachable.
+    pub(crate) async fn wait_until_unreachable(&self, domain: &Name) {
+        let mut unreachable_changes = self.unreachable_changes.subscribe();
+        while unreachable_changes.changed().await.is_ok() {
+            if self.lock().reach.is_unreachable(domain) {
                 return;
             }
         }
         std::future::pending().await
     }
 
-    /// Counts a call as in flight at a target that was chosen otherwise.
+    /// Counts a call as in flight at a target that was selected by other means.
     pub(crate) fn enter(&self, node: &Name, now: TimeMs) {
         self.lock().stats_of(node, now).in_flight += 1;
     }
 
-    /// Takes in how hard calls press on one target of a service, and answers how hard they press on
-    /// the service, by all targets heard of lately; see [`TargetPressure::of_service`]. Where the target
-    /// `is_limited` by a rate, the largest that was not heard of counts as having room.
-    pub(crate) fn note_pressure(
+    /// Records the pressure that one target of a service reported, and returns the pressure on the
+    /// service, from all targets that reported recently; see [`TargetPressure::of_service`]. If the
+    /// target `is_limited` by a rate, the largest target that has not reported counts as having
+    /// room.
+    pub(crate) fn record_pressure(
         &self,
         view: &View,
         service: &str,
         node: &Name,
-        told: TargetPressure,
+        reported_pressure: TargetPressure,
         is_limited: bool,
         now: TimeMs,
     ) -> u32 {
-        let mut known = self.lock();
-        known.stats_of(node, now).note_pressure(told, now);
+        let mut tracked = self.lock();
+        tracked
+            .stats_of(node, now)
+            .record_pressure(reported_pressure, now);
         let pressure_of = |target: &Arc<Target>| {
-            let stats = known.stats.get(&target.node)?;
+            let stats = tracked.stats.get(&target.node)?;
             stats.pressure(now)
         };
         let targets = view.targets(service);
-        let heard = targets.iter().filter_map(pressure_of);
+        let pressures = targets.iter().filter_map(pressure_of);
         if !is_limited {
-            return TargetPressure::of_service(heard).unwrap_or(told.permille);
+            return TargetPressure::of_service(pressures).unwrap_or(reported_pressure.permille);
         }
-        let unheard = targets
+        let unreported = targets
             .iter()
-            .filter(|target| target.state.takes_work() && pressure_of(target).is_none());
-        let largest = unheard.map(|target| target.slots).max();
-        let with_room = largest.map(TargetPressure::with_room);
-        TargetPressure::of_service(heard.chain(with_room)).unwrap_or(told.permille)
+            .filter(|target| target.state.accepts_calls() && pressure_of(target).is_none());
+        let largest = unreported.map(|target| target.slots).max();
+        let with_room = largest.map(TargetPressure::assumed_idle);
+        TargetPressure::of_service(pressures.chain(with_room)).unwrap_or(reported_pressure.permille)
     }
 
-    /// How long answers of a target take; 0 while nothing is known.
+    /// The usual latency of a target's answers, or 0 while unknown.
     pub(crate) fn usual_latency_ms(&self, node: &Name) -> u64 {
-        let known = self.lock();
-        known.stats.get(node).map_or(0, TargetStats::latency_ms)
+        let tracked = self.lock();
+        tracked.stats.get(node).map_or(0, TargetStats::latency_ms)
     }
 
-    /// Whether a target that was not tried has room, as far as is known. One that this node has sent
-    /// nothing yet counts as having room: calls stay in their failure domain, so targets of others are
-    /// strangers until they are needed.
+    /// Whether a target that was not tried has room, as far as known. A target to which this node
+    /// has sent nothing yet counts as having room: calls stay in their failure domain, so targets
+    /// of other domains are unknown until they are needed.
     pub(crate) fn has_room(&self, view: &View, service: &str, tried: &[Name], now: TimeMs) -> bool {
-        let known = self.lock();
+        let tracked = self.lock();
         view.targets(service)
             .iter()
-            .filter(|target| target.state.takes_work() && !tried.contains(&target.node))
+            .filter(|target| target.state.accepts_calls() && !tried.contains(&target.node))
             .any(|target| {
-                let stats = known.stats.get(&target.node);
+                let stats = tracked.stats.get(&target.node);
                 stats.is_none_or(|stats| stats.load_permille(target.slots, now) < 1_000)
             })
     }
 
-    /// Takes in the end of an attempt. `ran` is the route of a call that ran well.
-    pub(crate) fn ended(&self, node: &Name, end: AttemptNews, ran: Option<&Name>, now: TimeMs) {
-        let mut known = self.lock();
-        let known = &mut *known;
+    /// Records the end of an attempt. `ran` is the route of a call that completed.
+    pub(crate) fn ended(&self, node: &Name, end: AttemptOutcome, ran: Option<&Name>, now: TimeMs) {
+        let mut tracked = self.lock();
+        let tracked = &mut *tracked;
         if let Some(route) = ran {
-            known.note_run(node, route, end.took_ms);
+            tracked.record_run(node, route, end.took_ms);
         }
-        let Some(stats) = known.stats.get_mut(node) else {
+        let Some(stats) = tracked.stats.get_mut(node) else {
             return;
         };
         stats.in_flight = stats.in_flight.saturating_sub(1);
-        if let Some(domain) = &stats.far_domain {
+        if let Some(domain) = &stats.remote_domain {
             if end.report.is_some() {
-                known.reach.note_answer(domain);
+                tracked.reach.record_answer(domain);
             }
-            if end.is_lost && known.reach.note_lost(now, domain, node) {
-                self.closings.send_replace(());
+            if end.is_lost && tracked.reach.record_lost(now, domain, node) {
+                self.unreachable_changes.send_replace(());
             }
         }
         if let Some(report) = end.report {
-            stats.note_report(report, now);
-            stats.note_failing(end.failing_permille, now);
+            stats.record_report(report, now);
+            stats.record_failing(end.failing_permille, now);
         }
         if end.is_closed {
-            stats.note_closed(now);
+            stats.record_unavailable(now);
         } else if end.report.is_some() {
-            stats.note_success(end.took_ms);
+            stats.record_success(end.took_ms);
         }
         if end.is_lost {
-            stats.note_failure(now);
+            stats.record_failure(now);
         }
     }
 
-    /// Notes a first attempt in the budget of its service.
-    pub(crate) fn first_attempt(&self, service: &Name) {
-        self.lock().budget_of(service).first_attempt();
+    /// Records a first attempt in the budget of its service.
+    pub(crate) fn record_first_attempt(&self, service: &Name) {
+        self.lock().budget_of(service).record_first_attempt();
     }
 
-    /// Takes a retry out of the budget of its service.
+    /// Takes a retry from the budget of its service.
     pub(crate) fn try_retry(&self, service: &Name) -> bool {
         self.lock().budget_of(service).try_retry()
     }
 
-    fn lock(&self) -> MutexGuard<'_, Known> {
-        self.known.lock().expect("no holder panics")
+    fn lock(&self) -> MutexGuard<'_, TrackedTargets> {
+        self.tracked.lock().expect("no holder panics")
     }
 }
 
-impl Known {
+impl TrackedTargets {
     fn stats_of(&mut self, node: &Name, now: TimeMs) -> &mut TargetStats {
         self.stats
             .entry(node.clone())
             .or_insert_with(|| TargetStats::new(now))
     }
 
-    /// A call of a route ran well at a target.
-    fn note_run(&mut self, node: &Name, route: &Name, took_ms: u64) {
+    /// Records that a call of a route completed at a target.
+    fn record_run(&mut self, node: &Name, route: &Name, took_ms: u64) {
         let took_us = took_ms.max(1) * 1_000;
-        if self.usual_us.len() >= MOST_ROUTES {
+        if self.usual_us.len() >= MAX_ROUTES {
             self.usual_us.clear();
         }
         let usual_us = self.usual_us.entry(route.clone()).or_default();
-        *usual_us = smoothed(*usual_us, took_us, USUAL_SHARE);
+        *usual_us = smoothed(*usual_us, took_us, SMOOTHING_DIVISOR);
         if let Some(stats) = self.stats.get_mut(node) {
-            stats.note_run(took_us, *usual_us);
+            stats.record_run(took_us, *usual_us);
         }
     }
 
-    fn note_sent(&mut self, target: &Target, own_domain: &str, now: TimeMs) {
+    fn record_sent(&mut self, target: &Target, own_domain: &str, now: TimeMs) {
         if &*target.domain == own_domain {
             return;
         }
-        self.reach.note_sent(now, &target.domain);
+        self.reach.record_sent(now, &target.domain);
         let stats = self.stats_of(&target.node, now);
-        if stats.far_domain.is_none() {
-            stats.far_domain = Some(target.domain.clone());
+        if stats.remote_domain.is_none() {
+            stats.remote_domain = Some(target.domain.clone());
         }
     }
 
@@ -261,57 +265,59 @@
     }
 }
 
-/// What an attempt showed of its target.
+/// What one attempt revealed about its target.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct AttemptNews {
+pub(crate) struct AttemptOutcome {
     pub(crate) report: Option<LoadReport>,
-    /// Which share of calls fails at the target, in thousandths.
+    /// The share of calls that fail at the target, in thousandths.
     pub(crate) failing_permille: u32,
     pub(crate) took_ms: u64,
-    /// The target was not reached or fell silent.
+    /// The target was unreachable or stopped answering.
     pub(crate) is_lost: bool,
-    /// Its guard takes no work at all: it drains, or its backend server is down.
+    /// Its guard accepts no work, because it is draining or its backend server is down.
     pub(crate) is_closed: bool,
 }
 
-/// An attempt counted as in flight at its target until it has ended, however it ends.
-pub(crate) struct InFlightAt {
+/// Counts an attempt as in flight at its target until it has ended, however it ends.
+pub(crate) struct InFlightAttempt {
     node: Arc<Node>,
     target: Name,
     since: TimeMs,
-    news: AttemptNews,
+    outcome: AttemptOutcome,
 }
 
-impl InFlightAt {
+impl InFlightAttempt {
     pub(crate) fn new(node: Arc<Node>, target: Name) -> Self {
         node.metrics.entry_in_flight.inc();
         Self {
             since: node.inputs.clock.now(),
             node,
             target,
-            news: AttemptNews::default(),
+            outcome: AttemptOutcome::default(),
         }
     }
 
     pub(crate) fn reported(&mut self, header: &AnswerHeader) {
         let reason = header.refusal.map(|refusal| refusal.reason);
-        self.news.report = Some(header.load);
-        self.news.took_ms = self.node.inputs.clock.now().since(self.since);
-        self.news.is_closed = matches!(
+        self.outcome.report = Some(header.load);
+        self.outcome.took_ms = self.node.inputs.clock.now().since(self.since);
+        self.outcome.is_closed = matches!(
             reason,
             Some(RefusalReason::Draining | RefusalReason::BackendDown | RefusalReason::NoTarget)
         );
     }
 
     pub(crate) fn lost(&mut self) {
-        self.news.is_lost = true;
+        self.outcome.is_lost = true;
     }
 }
 
-impl Drop for InFlightAt {
+impl Drop for InFlightAttempt {
     fn drop(&mut self) {
         self.node.metrics.entry_in_flight.dec();
         let now = self.node.inputs.clock.now();
-        self.node.targets.ended(&self.target, self.news, None, now);
+        self.node
+            .targets
+            .ended(&self.target, self.outcome, None, now);
     }
 }
--- a/src/retry/decision.rs
+++ b/src/retry/decision.rs
@@ -1,4 +1,5 @@
-//! Whether a failed attempt may be followed by another. Pure; see docs/DESIGN.md, "Retries".
+//! Decides whether a failed attempt may be followed by another. Pure; see docs/DESIGN.md,
+//! "Retries".
 
 use crate::core::RefusalReason;
 use crate::core::RetryReason;
@@ -6,39 +7,40 @@
 
 /// How an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Failure {
+pub struct AttemptFailure {
     pub reason: RefusalReason,
     pub run_state: RunState,
 }
 
-/// What is known of the call and of the targets when an attempt failed.
+/// What is known of the call and its targets when an attempt has failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Situation {
+pub struct RetryContext {
     pub non_idempotent: bool,
-    /// The body is still held whole, so it can be sent again.
+    /// The whole body is still in memory, so it can be sent again.
     pub body_is_held: bool,
-    /// A target that was not tried yet has room, as far as its fresh reports say.
+    /// An untried target has room, according to its recent reports.
     pub room_elsewhere: bool,
     pub deadline_left_ms: u64,
 }
 
-/// The reason for another attempt, or none when there must be no other.
+/// The reason for another attempt; `None` if there must be none.
 ///
-/// The caller then has to take it out of the allotment and the budget.
-pub fn retry_reason(failure: Failure, situation: Situation) -> Option<RetryReason> {
-    if !situation.body_is_held || situation.deadline_left_ms == 0 {
+/// If there is a reason, the caller of this function still has to charge the attempt to the
+/// allotment and the budget.
+pub fn retry_reason(failure: AttemptFailure, context: RetryContext) -> Option<RetryReason> {
+    if !context.body_is_held || context.deadline_left_ms == 0 {
         return None;
     }
     match failure.run_state {
         RunState::Ran => None,
-        RunState::Unknown => after_unknown(failure.reason, situation),
-        RunState::NotRun => after_not_run(failure.reason, situation),
+        RunState::Unknown => after_unknown(failure.reason, context),
+        RunState::NotRun => after_not_run(failure.reason, context),
     }
 }
 
-/// An attempt that may have run is repeated only when a second run does no harm.
-fn after_unknown(reason: RefusalReason, situation: Situation) -> Option<RetryReason> {
-    if situation.non_idempotent {
+/// An attempt that may have run is retried only if a second run does no harm.
+fn after_unknown(reason: RefusalReason, context: RetryContext) -> Option<RetryReason> {
+    if context.non_idempotent {
         return None;
     }
     match reason {
@@ -48,14 +50,15 @@
     }
 }
 
-fn after_not_run(reason: RefusalReason, situation: Situation) -> Option<RetryReason> {
+fn after_not_run(reason: RefusalReason, context: RetryContext) -> Option<RetryReason> {
     match reason {
-        // Overload: another attempt helps only where there is room, else it feeds the overload.
+        // Under overload another attempt helps only if a target has room. Otherwise it adds to the
+        // overload.
         RefusalReason::Overloaded
         | RefusalReason::ShedAtEntry
         | RefusalReason::WaitExceeded
         | RefusalReason::RateLimited
-        | RefusalReason::BackendShed => situation.room_elsewhere.then_some(RetryReason::NotRun),
+        | RefusalReason::BackendShed => context.room_elsewhere.then_some(RetryReason::NotRun),
         RefusalReason::PeerLost => Some(RetryReason::Unreachable),
         RefusalReason::NotOwner => Some(RetryReason::OwnerMoved),
         RefusalReason::Revoked => Some(RetryReason::SilentConnection),
--- a/src/retry/mod.rs
+++ b/src/retry/mod.rs
@@ -1,4 +1,4 @@
-//! How often a call may be attempted, over the whole call tree and over all calls to a service.
+//! Limits on retries: per call tree, and over all calls to a service.
 
 mod allotment;
 mod budget;
@@ -8,8 +8,8 @@
 
 pub use allotment::Allotment;
 pub use budget::RetryBudget;
-pub use decision::Failure;
-pub use decision::Situation;
+pub use decision::AttemptFailure;
+pub use decision::RetryContext;
 pub use decision::retry_reason;
 pub use retry_bound::RetryBound;
 pub use window_budget::WindowBudget;
--- a/src/traffic/admin.rs
+++ b/src/traffic/admin.rs
@@ -1,4 +1,4 @@
-//! Readiness, reports of the backend server, and metrics.
+//! Serves readiness checks, reports of the backend server, and metrics.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,12 +22,12 @@
 use crate::traffic::ServerReport;
 use crate::traffic::traffic::Traffic;
 
-/// The longest body of a request here; a report has a few hundred bytes.
-const MOST_BODY_BYTES: usize = 16 * 1024;
-/// How long it may take to arrive.
-const BODY_WITHIN: Duration = Duration::from_secs(2);
+/// Maximum body length of a request to these listeners; a report has a few hundred bytes.
+const MAX_BODY_BYTES: usize = 16 * 1024;
+/// Time-out for reading the body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What the gauge of the backend server's rate shows while it names none.
+/// The value of the backend rate metric while the backend server advertises no rate limit.
 const NO_RATE: f64 = -1.0;
 
 /// Serves one request on the readiness or the report listener.
@@ -37,31 +37,31 @@
     request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
     let (parts, body) = request.into_parts();
-    let reading = read_whole(body, MOST_BODY_BYTES, &traffic.bodies);
-    let body = match timeout(BODY_WITHIN, reading).await {
+    let reading = read_whole(body, MAX_BODY_BYTES, &traffic.bodies);
+    let body = match timeout(BODY_TIMEOUT, reading).await {
         Ok(Ok(body)) => body,
-        Ok(Err(error)) => return told(StatusCode::BAD_REQUEST, error.to_string()),
-        Err(_) => return told(StatusCode::REQUEST_TIMEOUT, "the body is late".to_owned()),
+        Ok(Err(error)) => return reply(StatusCode::BAD_REQUEST, error.to_string()),
+        Err(_) => return reply(StatusCode::REQUEST_TIMEOUT, "the body is late".to_owned()),
     };
     let decoded = (protocol.decode)(&parts.method, parts.uri.path(), &body);
     match decoded {
         Ok(AdminRequest::Readiness) => readiness(&traffic),
-        Ok(AdminRequest::Report(report)) => match take_report(&traffic, &report) {
+        Ok(AdminRequest::Report(report)) => match handle_report(&traffic, &report) {
             Ok(()) => acknowledged(&protocol),
             Err(error) => refused(&error),
         },
         Ok(AdminRequest::Metrics) => metrics(&traffic),
-        Ok(AdminRequest::Unknown) => told(StatusCode::NOT_FOUND, "not served here".to_owned()),
+        Ok(AdminRequest::Unknown) => reply(StatusCode::NOT_FOUND, "not served here".to_owned()),
         Err(error) => refused(&error),
     }
 }
 
 fn refused(error: &ReportError) -> Response<Full<Bytes>> {
-    log::warn!("local: a report was not taken, error={error}");
-    told(StatusCode::BAD_REQUEST, error.to_string())
+    log::warn!("local: report rejected, error={error}");
+    reply(StatusCode::BAD_REQUEST, error.to_string())
 }
 
-/// Ready is who knows where requests go and has not begun to stop.
+/// The node is ready once it has a desired state, until it starts to stop.
 fn readiness(traffic: &Traffic) -> Response<Full<Bytes>> {
     let is_ready = traffic.desired.version() > 0 && !traffic.is_stopping();
     let status = if is_ready {
@@ -69,22 +69,23 @@
     } else {
         StatusCode::SERVICE_UNAVAILABLE
     };
-    told(status, String::new())
+    reply(status, String::new())
 }
 
-fn take_report(traffic: &Traffic, report: &ServerReport) -> Result<(), ReportError> {
+fn handle_report(traffic: &Traffic, report: &ServerReport) -> Result<(), ReportError> {
     if let Some(service) = unknown_service(traffic, report) {
         return Err(ReportError::UnknownService(service.to_string()));
     }
     let now = traffic.clock.now();
-    traffic.change_local(|local| local.take(now, report));
+    traffic.update_local(|local| local.apply_report(now, report));
     Ok(())
 }
 
-/// The service that a report names, if no operator knows it and the backend server has not borne it before.
+/// The service named by a report, if it is not in the desired state, not the configured service of
+/// this node, and not the service that the backend server has reported so far.
 ///
-/// Guards against a report of another writer that takes a sound target away from its service. What leaves is
-/// always believed.
+/// Such a report is rejected. It may come from another process, and would remove a working target
+/// from its service. A report that the backend server is draining or has left is always accepted.
 fn unknown_service(traffic: &Traffic, report: &ServerReport) -> Option<Name> {
     let service = report.service.clone()?;
     let in_force = traffic.desired.load()?;
@@ -116,18 +117,18 @@
     traffic.metrics.body_bytes.set(held as i64);
     let failing = traffic.failing_permille(traffic.clock.now());
     traffic.metrics.failing_permille.set(i64::from(failing));
-    traffic.metrics.set_pressed(&traffic.roots.pressed());
+    traffic.metrics.set_overloaded(&traffic.roots.overloaded());
     let queued = traffic.gate.queued_by_class();
     traffic.metrics.set_guard_queue(&queued);
     let version = traffic.desired.version();
     traffic.metrics.config_version.set(version as i64);
-    told(
+    reply(
         StatusCode::OK,
         String::from_utf8_lossy(&traffic.metrics.render()).into_owned(),
     )
 }
 
-fn told(status: StatusCode, text: String) -> Response<Full<Bytes>> {
+fn reply(status: StatusCode, text: String) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(text)));
     *response.status_mut() = status;
     response
--- a/src/traffic/attempt.rs
+++ b/src/traffic/attempt.rs
@@ -1,54 +1,54 @@
-//! What came of an attempt to run a call at one target.
+//! The outcome of an attempt to run a call at one target.
 
 use crate::adapters::WholeAnswer;
 use crate::admission::Pressure;
 use crate::core::Refusal;
 use crate::core::RefusalReason;
 use crate::core::RouteOrigin;
+use crate::wire::Advertisement;
 use crate::wire::LoadReport;
-use crate::wire::ServerWord;
 
-/// What the guard said beside its answer.
+/// The status of the guard, sent with its answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct GuardNews {
+pub(super) struct GuardStatus {
     pub load: LoadReport,
-    /// Which share of calls fails at the backend server, in thousandths.
+    /// The share of calls that fail at the backend server, in thousandths.
     pub failing_permille: u32,
-    /// The most pressed service there and behind it.
+    /// The service with the highest pressure: the target's own or a downstream one.
     pub pressure: Option<Pressure>,
-    /// Who uses the call's route.
+    /// Whether callers or backend servers use the call's route.
     pub origin: Option<RouteOrigin>,
-    /// What the backend server has said of itself, if it binds.
-    pub word: Option<ServerWord>,
+    /// The departure or rate limit advertised by the backend server, if any.
+    pub advertisement: Option<Advertisement>,
 }
 
-/// The end of an attempt.
+/// The outcome of an attempt.
 #[derive(Clone, Debug)]
 pub(super) struct AttemptEnd {
     pub result: Result<WholeAnswer, Refusal>,
-    /// The backend server was sent the call, as far as is known.
+    /// The call was sent to the backend server, or may have been.
     pub reached_backend: bool,
-    /// `None` when the guard did not answer.
-    pub news: Option<GuardNews>,
+    /// `None` if the guard did not answer, or could not read the call.
+    pub guard_status: Option<GuardStatus>,
 }
 
 impl AttemptEnd {
-    /// The guard did not answer.
-    pub(super) fn lost(refusal: Refusal, reached_backend: bool) -> Self {
+    /// An attempt that ended without a status of the guard.
+    pub(super) fn without_status(refusal: Refusal, reached_backend: bool) -> Self {
         Self {
             result: Err(refusal),
             reached_backend,
-            news: None,
+            guard_status: None,
         }
     }
 
-    /// Whether the backend server ran it and answered with success.
-    pub(super) fn ran_well(&self) -> bool {
+    /// Whether the backend server ran the call and answered with a success status.
+    pub(super) fn has_succeeded(&self) -> bool {
         let answer = self.result.as_ref();
         answer.is_ok_and(|answer| answer.status.is_success())
     }
 
-    /// Why it was refused, if it was.
+    /// The reason of the refusal, if it was refused.
     pub(super) fn reason(&self) -> Option<RefusalReason> {
         self.result.as_ref().err().map(|refusal| refusal.reason)
     }
--- a/src/traffic/backend_answer.rs
+++ b/src/traffic/backend_answer.rs
@@ -1,4 +1,4 @@
-//! Whether what came from the backend server is its answer to this very call.
+//! Checks that an answer of the backend server is complete and belongs to the call.
 
 use http::HeaderValue;
 use http::Response;
@@ -7,24 +7,24 @@
 use hyper::body::Incoming;
 
 use crate::adapters::WholeAnswer;
+use crate::admission::AdvertisedRate;
 use crate::admission::RateChange;
-use crate::admission::RateWord;
 use crate::core::Name;
 use crate::core::Refusal;
 use crate::core::RefusalReason;
 use crate::core::TimeMs;
 use crate::traffic::HeaderNames;
-use crate::traffic::Reported;
+use crate::traffic::LocalChange;
 use crate::traffic::ServerReport;
 use crate::traffic::guard::not_run;
 use crate::traffic::traffic::Traffic;
-use crate::wire::ServerWords;
+use crate::wire::HeaderAdvertisement;
 
-/// Whether an answer bears the identifier of the call.
+/// Whether an answer has the request identifier of the call.
 ///
-/// Guards against a second answer to an earlier request, which a faulty backend server sends when
-/// the next one is due: it would go to another caller. The connection is not used again.
-pub(super) fn is_for(
+/// A faulty backend server may answer an earlier request a second time in place of the current one,
+/// and that answer would go to another caller. Such a connection is not used again.
+pub(super) fn matches_id(
     names: &HeaderNames,
     id: Option<&HeaderValue>,
     response: &Response<Incoming>,
@@ -32,11 +32,11 @@
     response.headers().get(&names.request_id) == id
 }
 
-/// Checks a whole answer to a request that was sent at `sent_at`, and takes in what it says of the backend
-/// server.
+/// Checks a whole answer to a request that was sent at `sent_at`, and applies the backend server's
+/// advertisements in it.
 ///
 /// # Errors
-/// `not_run` where the backend server says so; otherwise the outcome is unknown.
+/// Returns `not_run` if the backend server says so; otherwise the outcome is unknown.
 pub(super) fn check(
     traffic: &Traffic,
     incarnation: &Name,
@@ -45,74 +45,76 @@
     answer: &WholeAnswer,
 ) -> Result<(), Refusal> {
     let names = &traffic.settings.header_names;
-    let words = names.words(&answer.headers);
+    let advertisements = names.read_advertisements(&answer.headers);
     if answer.status == StatusCode::MISDIRECTED_REQUEST {
-        if let Some(actual) = note_actual(traffic, incarnation, answer) {
-            note_words(traffic, &actual, sent_at, words);
+        if let Some(actual) = correct_incarnation(traffic, incarnation, answer) {
+            apply_advertisements(traffic, &actual, sent_at, advertisements);
         }
         return Err(not_run(RefusalReason::BackendReplaced));
     }
     if answer.headers.get(&names.request_id) != id {
         traffic.metrics.wrong_answers.inc();
-        log::warn!("guard: an answer to another request was dropped");
-        return Err(broke());
+        log::warn!("guard: answer dropped because its request identifier differs");
+        return Err(broken_answer());
     }
-    let is_sound = is_sound(names, answer);
-    // A spoilt answer that says nothing is no word that nothing is to be said.
-    if is_sound || words.said().next().is_some() {
-        note_words(traffic, incarnation, sent_at, words);
+    let is_valid = is_valid(names, answer);
+    // An invalid answer without advertisements must not revoke earlier ones.
+    if is_valid || advertisements.labels().next().is_some() {
+        apply_advertisements(traffic, incarnation, sent_at, advertisements);
     }
     if answer.headers.contains_key(&names.not_run) {
         return Err(not_run(RefusalReason::BackendShed));
     }
-    if !is_sound {
+    if !is_valid {
         traffic.metrics.broken_answers.inc();
-        return Err(broke());
+        return Err(broken_answer());
     }
     Ok(())
 }
 
-fn is_sound(names: &HeaderNames, answer: &WholeAnswer) -> bool {
+fn is_valid(names: &HeaderNames, answer: &WholeAnswer) -> bool {
     let headers = &answer.headers;
     let is_signed = headers.contains_key(&names.signature);
     !headers.contains_key(CONTENT_ENCODING) && (is_signed || !answer.status.is_success())
 }
 
-/// Takes in what an answer, to a request sent at `sent_at`, says of the incarnation that gave it.
+/// Applies the advertisements of an incarnation, from its answer to a request that was sent at
+/// `sent_at`.
 ///
-/// A departure is the same fact as one that is reported, and is known here before the answer is passed on:
-/// whoever gets that answer relies on it.
-pub(super) fn note_words(
+/// A departure has the same effect as a reported one. It is applied before the answer is returned,
+/// because the receiver of the answer relies on it.
+pub(super) fn apply_advertisements(
     traffic: &Traffic,
     incarnation: &Name,
     sent_at: TimeMs,
-    words: ServerWords,
+    advertisements: HeaderAdvertisement,
 ) {
-    words
-        .said()
-        .for_each(|word| traffic.metrics.count_word(word));
-    if words.rate == RateWord::Malformed {
-        log::warn!("local: a rate cannot be read, incarnation={incarnation}");
+    advertisements
+        .labels()
+        .for_each(|label| traffic.metrics.count_word(label));
+    if advertisements.rate == AdvertisedRate::Malformed {
+        log::warn!("local: malformed rate limit, incarnation={incarnation}");
     }
     let now = traffic.clock.now();
-    if words.is_leaving {
+    if advertisements.is_leaving {
         let departure = ServerReport::departure(incarnation.clone(), None);
-        traffic.change_local(|local| local.take(now, &departure));
+        traffic.update_local(|local| local.apply_report(now, &departure));
     }
     let mut change = RateChange::Unchanged;
-    traffic.change_local(|local| {
-        change = local.note_rate(now, incarnation, sent_at, words.rate);
+    traffic.update_local(|local| {
+        change = local.apply_rate(now, incarnation, sent_at, advertisements.rate);
         match change {
-            RateChange::Unchanged => Reported::Nothing,
-            _ => Reported::News,
+            RateChange::Unchanged => LocalChange::NoChange,
+            _ => LocalChange::Changed,
         }
     });
-    tell_change(traffic, incarnation, change);
+    log_rate_change(traffic, incarnation, change);
 }
 
-/// One line for each beginning, change and end of a limit, with how many calls it has turned away so far.
-fn tell_change(traffic: &Traffic, incarnation: &Name, change: RateChange) {
-    let turned_away = || traffic.gate.turned_away();
+/// Logs the start, each change and the end of a rate limit, with the number of calls refused by it
+/// so far.
+fn log_rate_change(traffic: &Traffic, incarnation: &Name, change: RateChange) {
+    let turned_away = || traffic.gate.rate_limited_calls();
     match change {
         RateChange::Unchanged => {}
         RateChange::Begins { per_s } => {
@@ -135,17 +137,18 @@
     }
 }
 
-/// The incarnation that refused a call meant for another one, if it names itself.
-fn note_actual(traffic: &Traffic, expected: &Name, answer: &WholeAnswer) -> Option<Name> {
+/// Applies the incarnation that an answer names after it refused a call that expected another one.
+/// Returns it, if the answer names one.
+fn correct_incarnation(traffic: &Traffic, expected: &Name, answer: &WholeAnswer) -> Option<Name> {
     let names = &traffic.settings.header_names;
     let actual = answer.headers.get(&names.incarnation)?.to_str().ok()?;
     let actual = Name::from(actual);
     log::info!("local: another incarnation answers, expected={expected} actual={actual}");
     let now = traffic.clock.now();
-    traffic.change_local(|local| local.note_actual(now, expected, &actual));
+    traffic.update_local(|local| local.correct_incarnation(now, expected, &actual));
     Some(actual)
 }
 
-fn broke() -> Refusal {
+fn broken_answer() -> Refusal {
     Refusal::unknown(RefusalReason::BackendBroke, 0)
 }
--- a/src/traffic/forward.rs
+++ b/src/traffic/forward.rs
@@ -1,4 +1,4 @@
-//! Forwarding a call: choose a target, send, and perhaps try once more.
+//! Forwards a call: chooses a target, sends the call, and retries if allowed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,59 +14,60 @@
 use crate::core::RetryReason;
 use crate::core::RouteOrigin;
 use crate::core::Target;
-use crate::retry::Failure;
-use crate::retry::Situation;
+use crate::retry::AttemptFailure;
+use crate::retry::RetryContext;
 use crate::retry::retry_reason;
 use crate::routing::Pick;
 use crate::routing::TargetPressure;
 use crate::traffic::account_check::check_account;
 use crate::traffic::attempt::AttemptEnd;
-use crate::traffic::attempt::GuardNews;
+use crate::traffic::attempt::GuardStatus;
 use crate::traffic::call::Call;
 use crate::traffic::call::Progress;
 use crate::traffic::guard;
 use crate::traffic::hop;
-use crate::traffic::in_flight::InFlightAt;
-use crate::traffic::story::tell_retry;
+use crate::traffic::in_flight::InFlightAttempt;
+use crate::traffic::request_log::log_retry;
 use crate::traffic::traffic::Traffic;
 
-/// When to come back when no target takes work, in milliseconds.
+/// Retry-after when no target accepts work, in milliseconds.
 const NO_TARGET_RETRY_AFTER_MS: u64 = 400;
-/// How long a call waits for a first target to become known, in milliseconds: a node that has just
-/// started hears of all targets within this time.
+/// How long a call waits for a first target to become known, in milliseconds. A node that has just
+/// started learns of all targets by gossip within this time.
 const FIRST_TARGET_WAIT_MS: u64 = 1_000;
-/// How often it looks.
-const FIRST_TARGET_LOOK_MS: u64 = 50;
-/// From this length on a body counts as large when it would cross between failure domains.
+/// How often the view is polled for a first target, in milliseconds.
+const FIRST_TARGET_POLL_MS: u64 = 50;
+/// From this length in bytes on, a body counts as large when a target in another failure domain is
+/// considered.
 const LARGE_BODY_BYTES: usize = 16 * 1024;
-/// Targets tried in vain at most, counting those that were never sent the call: each costs a round
-/// trip.
-const MOST_TRIED: usize = 6;
+/// Maximum number of targets tried, including those that were never sent the call: each costs a
+/// round trip.
+const MAX_TARGETS_TRIED: usize = 6;
 
-/// Forwards a call until it is answered, given up, or its deadline has come.
+/// Forwards a call until it is answered, refused, or its deadline has passed.
 ///
 /// # Errors
-/// The refusal to give to the caller.
+/// Returns the refusal for the caller.
 pub(super) async fn forward(
     traffic: &Arc<Traffic>,
     call: Call,
     progress: &Progress,
 ) -> Result<WholeAnswer, Refusal> {
     let left_ms = call.deadline.since(traffic.clock.now());
-    let answering = attempts(traffic, &call, progress);
+    let answering = run_attempts(traffic, &call, progress);
     match timeout(Duration::from_millis(left_ms), answering).await {
-        Ok(result) => result.map_err(|refusal| progress.of_all_attempts(refusal)),
-        Err(_) if progress.is_in_doubt() => {
+        Ok(result) => result.map_err(|refusal| progress.with_earlier_attempts(refusal)),
+        Err(_) if progress.may_have_run_anywhere() => {
             Err(Refusal::unknown(RefusalReason::DeadlineExceeded, 0))
         }
         Err(_) => Err(Refusal::not_run(
             RefusalReason::DeadlineExceeded,
-            no_target_ms(),
+            no_target_retry_after_ms(),
         )),
     }
 }
 
-async fn attempts(
+async fn run_attempts(
     traffic: &Arc<Traffic>,
     call: &Call,
     progress: &Progress,
@@ -74,56 +75,58 @@
     let mut tried: Vec<Name> = Vec::new();
     let mut last: Option<Refusal> = None;
     let mut sends = 0;
-    note_first_attempt(traffic, call);
+    record_first_attempt(traffic, call);
     wait_for_first_target(traffic, call).await;
     loop {
         check_account(traffic, call.account.as_ref())?;
-        let Some(target) = choose(traffic, call, &tried) else {
+        let Some(target) = choose_target(traffic, call, &tried) else {
             return Err(last.unwrap_or_else(no_target));
         };
-        progress.begins(&target.node);
+        progress.start_attempt(&target.node);
         let end = attempt(traffic, call, &target, progress).await;
         if end.reached_backend {
             sends += 1;
-            progress.note_reached_backend();
+            progress.mark_reached_backend();
         }
         let refusal = match end.result {
             Ok(answer) => return Ok(answer),
             Err(refusal) => refusal,
         };
-        progress.ended(refusal.run_state);
+        progress.end_attempt(refusal.run_state);
         tried.push(target.node.clone());
         let Some(reason) = next_attempt(traffic, call, refusal, &tried, sends) else {
             return Err(refusal);
         };
         traffic.metrics.count_retry(reason);
-        tell_retry(traffic, call, &refusal, &target.node);
+        log_retry(traffic, call, &refusal, &target.node);
         last = Some(refusal);
     }
 }
 
-fn note_first_attempt(traffic: &Traffic, call: &Call) {
+fn record_first_attempt(traffic: &Traffic, call: &Call) {
     let now = traffic.clock.now();
     let repeated = f32::from(call.repeated_permille) / 1_000.0;
     let view = traffic.view.load();
     traffic
         .budgets
-        .first_attempt(now, &view, &call.service, repeated);
+        .record_first_attempt(now, &view, &call.service, repeated);
 }
 
-/// Guards against refusing everything for a moment after a start, before gossip has told of any
-/// target. It shows as a burst of refusals after each restart of a node.
+/// Waits until a target of the call's service is known.
+///
+/// Without the wait a node refuses all calls after each restart until gossip has delivered a
+/// first target.
 async fn wait_for_first_target(traffic: &Traffic, call: &Call) {
-    let latest = traffic.clock.now() + FIRST_TARGET_WAIT_MS;
+    let give_up_at = traffic.clock.now() + FIRST_TARGET_WAIT_MS;
     while traffic.view.load().targets(&call.service).is_empty() {
-        if traffic.clock.now() >= latest {
+        if traffic.clock.now() >= give_up_at {
             return;
         }
-        sleep(Duration::from_millis(FIRST_TARGET_LOOK_MS)).await;
+        sleep(Duration::from_millis(FIRST_TARGET_POLL_MS)).await;
     }
 }
 
-fn choose(traffic: &Traffic, call: &Call, tried: &[Name]) -> Option<Arc<Target>> {
+fn choose_target(traffic: &Traffic, call: &Call, tried: &[Name]) -> Option<Arc<Target>> {
     let view = traffic.view.load();
     let now = traffic.clock.now();
     let domain = &traffic.settings.domain;
@@ -133,7 +136,7 @@
         .take(&view, &call.service, domain, tried, is_large, now)
     {
         Pick::Take(target) => Some(target),
-        Pick::NoneTakesWork | Pick::Unknown => None,
+        Pick::NoneAvailable | Pick::Unknown => None,
     }
 }
 
@@ -143,36 +146,38 @@
     target: &Target,
     progress: &Progress,
 ) -> AttemptEnd {
-    let mut in_flight = InFlightAt::new(traffic.clone(), target.node.clone());
+    let mut in_flight = InFlightAttempt::new(traffic.clone(), target.node.clone());
     let end = if target.node == traffic.settings.node {
         guard::run_own(traffic, call, target, progress).await
     } else {
-        send_within_reach(traffic, call, target, progress).await
+        send_until_unreachable(traffic, call, target, progress).await
     };
     in_flight.ended(&end, &call.route);
-    if let Some(news) = &end.news {
+    if let Some(guard_status) = &end.guard_status {
         let now = traffic.clock.now();
         let has_run = end.reached_backend && end.result.is_ok();
-        traffic
-            .told_words()
-            .note(now, &target.node, news.word.clone(), has_run);
-        let pressure = service_pressure(traffic, call, target, news);
+        traffic.advertisement_cache().update(
+            now,
+            &target.node,
+            guard_status.advertisement.clone(),
+            has_run,
+        );
+        let pressure = service_pressure(traffic, call, target, guard_status);
         let is_root = call.origin == Some(RouteOrigin::Callers);
         traffic
             .roots
-            .note_answer(now, &call.service, &call.route, pressure.as_ref(), is_root);
-        traffic.origins.take(&call.route, news.origin);
+            .record_answer(now, &call.service, &call.route, pressure.as_ref(), is_root);
+        traffic.origins.learn(&call.route, guard_status.origin);
     }
     end
 }
 
-/// Sends a call, and gives the attempt up when its target's failure domain turns out to be out of
-/// reach.
+/// Sends a call, and ends the attempt if its target's failure domain becomes unreachable.
 ///
-/// Guards against calls that were under way into a domain when it was cut off: their connections are
-/// open and silent, so they would wait for their deadline, though their own side could still run
-/// them. One that must not run twice has to wait for its answer all the same.
-async fn send_within_reach(
+/// When a domain is cut off, connections into it stay open without traffic. Calls on them would
+/// wait for their deadline, although targets on this side of the cut could still run them. A call
+/// that must not run twice waits for its answer.
+async fn send_until_unreachable(
     traffic: &Arc<Traffic>,
     call: &Call,
     target: &Target,
@@ -184,32 +189,36 @@
     }
     tokio::select! {
         end = sending => end,
-        () = traffic.targets.out_of_reach(&target.domain) => hop::lost_in_silence(),
+        () = traffic.targets.wait_until_unreachable(&target.domain) => hop::lost_unreachable(),
     }
 }
 
-/// What one target says of itself counts as its part of the whole service; what it says of services
-/// behind it holds as it is.
+/// The pressure to record for an answer. What a target reports of its own service is combined with
+/// the reports of the service's other targets. The pressure of a downstream service is used
+/// unchanged.
 fn service_pressure(
     traffic: &Traffic,
     call: &Call,
     target: &Target,
-    news: &GuardNews,
+    guard_status: &GuardStatus,
 ) -> Option<Pressure> {
-    let mut pressure = news.pressure.clone()?;
+    let mut pressure = guard_status.pressure.clone()?;
     if pressure.service == call.service {
         let view = traffic.view.load();
         let now = traffic.clock.now();
-        let told = TargetPressure {
+        let reported = TargetPressure {
             permille: pressure.permille,
             slots: target.slots,
         };
-        let rate = news.word.as_ref().and_then(|word| word.rate_milli);
-        pressure.permille = traffic.targets.note_pressure(
+        let rate = guard_status
+            .advertisement
+            .as_ref()
+            .and_then(|advertisement| advertisement.rate_milli);
+        pressure.permille = traffic.targets.record_pressure(
             &view,
             &call.service,
             &target.node,
-            told,
+            reported,
             rate.is_some(),
             now,
         );
@@ -217,8 +226,8 @@
     Some(pressure)
 }
 
-/// Decides on a further attempt. One after which a backend server gets the call a second time is
-/// paid for out of the service's budget; a guard that refused without sending costs nothing.
+/// Decides whether to try again. A retry after a backend server was sent the call is taken from the
+/// service's retry budget. A retry after guards that refused without sending is not counted.
 fn next_attempt(
     traffic: &Traffic,
     call: &Call,
@@ -226,30 +235,30 @@
     tried: &[Name],
     sends: u32,
 ) -> Option<RetryReason> {
-    if tried.len() >= MOST_TRIED || sends >= call.max_attempts {
+    if tried.len() >= MAX_TARGETS_TRIED || sends >= call.max_attempts {
         return None;
     }
     let now = traffic.clock.now();
     let view = traffic.view.load();
-    let failure = Failure {
+    let failure = AttemptFailure {
         reason: refusal.reason,
         run_state: refusal.run_state,
     };
-    let situation = Situation {
+    let context = RetryContext {
         non_idempotent: !call.repeatability.may_repeat(),
         body_is_held: true,
         room_elsewhere: traffic.targets.has_room(&view, &call.service, tried, now),
         deadline_left_ms: call.deadline.since(now),
     };
-    let reason = retry_reason(failure, situation)?;
-    let paid = sends == 0 || traffic.budgets.try_retry(now, &call.service);
-    paid.then_some(reason)
+    let reason = retry_reason(failure, context)?;
+    let is_within_budget = sends == 0 || traffic.budgets.try_retry(now, &call.service);
+    is_within_budget.then_some(reason)
 }
 
 fn no_target() -> Refusal {
-    Refusal::not_run(RefusalReason::NoTarget, no_target_ms())
+    Refusal::not_run(RefusalReason::NoTarget, no_target_retry_after_ms())
 }
 
-fn no_target_ms() -> u64 {
+fn no_target_retry_after_ms() -> u64 {
     NO_TARGET_RETRY_AFTER_MS + fastrand::u64(..NO_TARGET_RETRY_AFTER_MS)
 }
--- a/src/traffic/hop.rs
+++ b/src/traffic/hop.rs
@@ -1,4 +1,4 @@
-//! Handing a call to the guard of a target on another node.
+//! Sends a call to the guard of a target on another node.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 use crate::core::Target;
 use crate::errors::SendError;
 use crate::traffic::attempt::AttemptEnd;
-use crate::traffic::attempt::GuardNews;
+use crate::traffic::attempt::GuardStatus;
 use crate::traffic::call::Call;
 use crate::traffic::call::Progress;
 use crate::traffic::traffic::Traffic;
@@ -23,42 +23,37 @@
 use crate::wire::HopCall;
 use crate::wire::headers;
 
-/// How much earlier than here the deadline comes at the guard: its own word that a call was not
-/// run says more than a time-out here, so it gets the time to arrive.
+/// How much earlier the deadline passes at the guard than here, in milliseconds. The guard knows
+/// whether the call ran and a time-out here does not, so its answer gets time to arrive.
 const GUARD_MARGIN_MS: u64 = 15;
-/// When to come back after a target was lost, in milliseconds.
+/// Retry-after when the connection to a target was lost, in milliseconds.
 const LOST_RETRY_AFTER_MS: u64 = 200;
 
-/// A call that is certainly a repeat.
-pub(super) const CERTAIN_PERMILLE: u16 = 1_000;
+/// The retry probability of a call that is certainly a retry, in thousandths.
+pub(super) const CERTAIN_RETRY_PERMILLE: u16 = 1_000;
 
-/// The context of a call for the guard of its target.
+/// Builds the context of a call for the guard of its target.
 ///
-/// `is_repeat` says that a backend server may have been sent the call before.
-pub(super) fn hop_call(
-    traffic: &Traffic,
-    call: &Call,
-    target: &Target,
-    is_repeat: bool,
-) -> HopCall {
+/// `is_retry` means that an earlier attempt may have reached a backend server.
+pub(super) fn hop_call(traffic: &Traffic, call: &Call, target: &Target, is_retry: bool) -> HopCall {
     let deadline = call.deadline - GUARD_MARGIN_MS;
     HopCall {
         service: call.service.clone(),
         route: call.route.clone(),
         caller_service: traffic.settings.service.clone(),
-        is_near: target.domain == traffic.settings.domain,
+        is_same_domain: target.domain == traffic.settings.domain,
         origin: call.origin,
         is_certain_origin: call.is_certain_origin,
         account: call.account.clone(),
         priority: call.priority,
         objective_ms: call.objective_ms,
-        repeated_permille: if is_repeat {
-            CERTAIN_PERMILLE
+        repeated_permille: if is_retry {
+            CERTAIN_RETRY_PERMILLE
         } else {
             call.repeated_permille
         },
         deadline_left_ms: deadline.since(traffic.clock.now()) as u32,
-        word: traffic.told_words().of(&target.node).cloned(),
+        advertisement: traffic.advertisement_cache().get(&target.node).cloned(),
     }
 }
 
@@ -69,11 +64,11 @@
     target: &Target,
     progress: &Progress,
 ) -> AttemptEnd {
-    let is_repeat = progress.has_reached_backend();
-    let Some(request) = request(traffic, call, target, is_repeat) else {
-        return AttemptEnd::lost(Refusal::not_run(RefusalReason::BadRequest, 0), false);
+    let is_retry = progress.has_reached_backend();
+    let Some(request) = request(traffic, call, target, is_retry) else {
+        return AttemptEnd::without_status(Refusal::not_run(RefusalReason::BadRequest, 0), false);
     };
-    progress.sent();
+    progress.mark_sent();
     let is_guard = |response: &http::Response<hyper::body::Incoming>| {
         response.headers().contains_key(headers::HOP_ANSWER)
     };
@@ -84,7 +79,10 @@
     {
         Ok(answer) => take_answer(traffic, &call.message.method, answer),
         Err(error) => {
-            log::debug!("entry: lost a peer, peer={} error={error}", target.node);
+            log::debug!(
+                "entry: call to a peer failed, peer={} error={error}",
+                target.node
+            );
             lost(&error)
         }
     }
@@ -94,16 +92,16 @@
     traffic: &Traffic,
     call: &Call,
     target: &Target,
-    is_repeat: bool,
+    is_retry: bool,
 ) -> Option<Request<Full<bytes::Bytes>>> {
     let message = &call.message;
     let mut request = Request::new(Full::new(message.body.clone()));
     *request.method_mut() = message.method.clone();
     *request.uri_mut() = message.path_and_query.clone().into();
     let mut map = message.headers.clone();
-    // The hop carries what is left, and the guard writes the header anew.
+    // The hop header carries the remaining time. The guard sets this header again.
     map.remove(&traffic.settings.header_names.deadline_ms);
-    let value = HeaderValue::from_str(&hop_call(traffic, call, target, is_repeat).encode()).ok()?;
+    let value = HeaderValue::from_str(&hop_call(traffic, call, target, is_retry).encode()).ok()?;
     map.insert(headers::HOP, value);
     *request.headers_mut() = map;
     Some(request)
@@ -114,8 +112,8 @@
         Ok(hop) => hop,
         Err(error) => {
             traffic.metrics.wrong_answers.inc();
-            log::warn!("entry: dropped a wrong answer, error={error}");
-            return AttemptEnd::lost(unknown(), true);
+            log::warn!("entry: answer with an invalid hop header dropped, error={error}");
+            return AttemptEnd::without_status(unknown(), true);
         }
     };
     strip(&mut answer.headers, method);
@@ -126,17 +124,17 @@
     AttemptEnd {
         result,
         reached_backend: hop.reached_backend,
-        news: Some(GuardNews {
+        guard_status: Some(GuardStatus {
             load: hop.load,
             failing_permille: hop.failing_permille,
             pressure: hop.pressure,
             origin: hop.origin,
-            word: hop.word,
+            advertisement: hop.advertisement,
         }),
     }
 }
 
-/// The guard has removed what concerned its own connection; this removes what the hop added.
+/// Removes the headers added by the hop. The guard has removed those of its own connection.
 fn strip(map: &mut HeaderMap, method: &Method) {
     map.remove(headers::HOP_ANSWER);
     map.remove(http::header::CONNECTION);
@@ -145,18 +143,18 @@
     }
 }
 
-/// The end of an attempt at a target that cannot be reached any more; it may have run.
-pub(super) fn lost_in_silence() -> AttemptEnd {
-    AttemptEnd::lost(unknown(), true)
+/// The end of an attempt at a target that became unreachable. The call may have run.
+pub(super) fn lost_unreachable() -> AttemptEnd {
+    AttemptEnd::without_status(unknown(), true)
 }
 
 fn lost(error: &SendError) -> AttemptEnd {
     let retry_after_ms = LOST_RETRY_AFTER_MS + fastrand::u64(..LOST_RETRY_AFTER_MS);
     if error.is_unsent() {
         let refusal = Refusal::not_run(RefusalReason::PeerLost, retry_after_ms);
-        return AttemptEnd::lost(refusal, false);
+        return AttemptEnd::without_status(refusal, false);
     }
-    AttemptEnd::lost(unknown(), true)
+    AttemptEnd::without_status(unknown(), true)
 }
 
 fn unknown() -> Refusal {
--- a/src/traffic/story.rs
+++ b/src/traffic/request_log.rs
@@ -1,13 +1,13 @@
-//! The lines of the log that tell how a request ended, and why.
+//! Logs how requests ended, and why.
 //!
-//! Failures are told up to a rate, successes for one request in some ([`crate::logging::is_sampled`]),
-//! the same ones at entry and guard.
+//! Failures are logged up to a rate limit. Of successes, a sample is logged
+//! ([`crate::logging::is_sampled`]), the same requests at entry and guard.
 
 use http::HeaderValue;
 use http::StatusCode;
 
 use crate::accounts::Allowance;
-use crate::accounts::Beyond;
+use crate::accounts::AllowanceExceeded;
 use crate::core::Name;
 use crate::core::Refusal;
 use crate::core::TimeMs;
@@ -20,8 +20,8 @@
 use crate::traffic::traffic::Traffic;
 use crate::wire::CallAccount;
 
-/// Writes a line at the level of a failure or a success; `None` where it is not to be written.
-macro_rules! tell {
+/// Logs a sampled request, or one that failed. Other requests are not logged.
+macro_rules! log_outcome {
     ($is_sampled:expr, $has_failed:expr, $($message:tt)+) => {
         match ($is_sampled, $has_failed) {
             (true, _) => log::info!(target: SAMPLED, $($message)+),
@@ -31,9 +31,9 @@
     };
 }
 
-/// What is known of a request at its entry.
+/// The details of a request at its entry.
 #[derive(Clone, Debug)]
-pub(super) struct EntryStory {
+pub(super) struct EntryLog {
     id: Option<HeaderValue>,
     started_us: u64,
     is_sampled: bool,
@@ -43,8 +43,8 @@
     deadline: Option<TimeMs>,
 }
 
-impl EntryStory {
-    /// A request has arrived.
+impl EntryLog {
+    /// Starts the log of a request that has arrived.
     pub(super) fn new(traffic: &Traffic, id: Option<HeaderValue>) -> Self {
         Self {
             is_sampled: is_sampled(text_of(id.as_ref())),
@@ -57,37 +57,37 @@
         }
     }
 
-    /// The identifier that the caller gave it.
+    /// The identifier that the caller gave the request.
     pub(super) fn id(&self) -> Option<HeaderValue> {
         self.id.clone()
     }
 
-    /// The name of its route, once it was taken in.
+    /// The name of its route, once the request is classified.
     pub(super) fn route(&self) -> Option<&Name> {
         self.route.as_ref()
     }
 
-    /// When it arrived, in microseconds.
+    /// When the request arrived, in microseconds.
     pub(super) fn started_us(&self) -> u64 {
         self.started_us
     }
 
-    /// It was taken in and classified.
-    pub(super) fn taken(&mut self, call: &Call) {
+    /// Adds the details of the classified request.
+    pub(super) fn classified(&mut self, call: &Call) {
         self.route = Some(call.route.clone());
         self.service = Some(call.service.clone());
         self.account = call.account.as_ref().map(|account| account.name.clone());
         self.deadline = Some(call.deadline);
     }
 
-    /// It was answered by a backend server.
+    /// Logs the answer of a backend server.
     pub(super) fn answered(&self, traffic: &Traffic, status: StatusCode, progress: &Progress) {
         let has_failed = status.is_server_error();
         if !self.is_sampled && !has_failed {
             return;
         }
         let trace = progress.trace();
-        tell!(
+        log_outcome!(
             self.is_sampled,
             has_failed,
             "entry: answered, request={} route={} service={} account={} status={} took_ms={} \
@@ -104,13 +104,13 @@
         );
     }
 
-    /// It was given up or turned away.
+    /// Logs a refusal.
     pub(super) fn refused(&self, traffic: &Traffic, refusal: &Refusal, progress: &Progress) {
         let trace = progress.trace();
         let left_ms = self
             .deadline
             .map_or(0, |deadline| deadline.since(traffic.clock.now()));
-        tell!(
+        log_outcome!(
             self.is_sampled,
             true,
             "entry: refused, request={} route={} service={} account={} reason={} outcome={} \
@@ -130,9 +130,9 @@
         );
     }
 
-    /// It cannot be served, now or later.
+    /// Logs a request that cannot be served, now or later.
     pub(super) fn rejected(&self, traffic: &Traffic, status: StatusCode) {
-        tell!(
+        log_outcome!(
             self.is_sampled,
             true,
             "entry: rejected, request={} status={} took_ms={} config={}",
@@ -143,15 +143,16 @@
         );
     }
 
-    /// Which service is pressed behind its route, how hard, and the part of requests let in there.
+    /// The overloaded service downstream of the route, its pressure, and the share of requests
+    /// admitted.
     fn pressure(&self, traffic: &Traffic) -> String {
         let (Some(service), Some(route)) = (&self.service, &self.route) else {
             return String::new();
         };
-        match traffic.roots.pressed_behind(service, route) {
-            Some(pressed) => format!(
+        match traffic.roots.overloaded_service_for(service, route) {
+            Some(overloaded) => format!(
                 " pressed={} pressure_permille={} admitted_percent={}",
-                pressed.service, pressed.pressure_permille, pressed.admitted_percent
+                overloaded.service, overloaded.pressure_permille, overloaded.admitted_percent
             ),
             None => String::new(),
         }
@@ -162,9 +163,9 @@
     }
 }
 
-/// What is known of a call at its guard.
+/// The details of a call at its guard.
 #[derive(Clone, Debug)]
-pub(super) struct GuardStory {
+pub(super) struct GuardLog {
     id: Option<HeaderValue>,
     is_sampled: bool,
     route: Name,
@@ -172,8 +173,8 @@
     deadline: TimeMs,
 }
 
-impl GuardStory {
-    /// A call has arrived.
+impl GuardLog {
+    /// Starts the log of a call that has arrived.
     pub(super) fn new(traffic: &Traffic, call: &GuardedCall) -> Self {
         let names = &traffic.settings.header_names;
         let id = call.message.headers.get(&names.request_id).cloned();
@@ -186,7 +187,7 @@
         }
     }
 
-    /// It came to its end here.
+    /// Logs the outcome of the call.
     pub(super) fn ended(&self, traffic: &Traffic, end: &AttemptEnd) {
         match &end.result {
             Ok(answer) => self.ran(traffic, answer.status),
@@ -199,7 +200,7 @@
         if !self.is_sampled && !has_failed {
             return;
         }
-        tell!(
+        log_outcome!(
             self.is_sampled,
             has_failed,
             "guard: ran, request={} route={} status={} took_ms={} incarnation={}",
@@ -214,7 +215,7 @@
     fn refused(&self, traffic: &Traffic, refusal: &Refusal, reached_backend: bool) {
         let load = traffic.gate.load();
         let now = traffic.clock.now();
-        tell!(
+        log_outcome!(
             self.is_sampled,
             true,
             "guard: refused, request={} route={} reason={} outcome={} took_ms={} left_ms={} \
@@ -240,31 +241,31 @@
     }
 }
 
-/// A request is beyond its account's allowance. The key is never told.
-pub(super) fn tell_beyond(
+/// Logs a request that exceeds its account's allowance. The key is never logged.
+pub(super) fn log_allowance_exceeded(
     traffic: &Traffic,
     account: &CallAccount,
     allowance: Allowance,
-    beyond: Beyond,
+    exceeded: AllowanceExceeded,
 ) {
-    let told = beyond.told_ms_ago;
-    let told = told.map_or_else(|| "-".to_owned(), |ms| ms.to_string());
+    let age = exceeded.reply_age_ms;
+    let age = age.map_or_else(|| "-".to_owned(), |ms| ms.to_string());
     log::info!(
         "account: beyond its allowance, account={} rate_per_s={} burst={} part_permille={} \
-         told_ms_ago={told} config={}",
+         told_ms_ago={age} config={}",
         account.name,
         allowance.rate_per_s,
         allowance.burst,
-        beyond.part_permille,
+        exceeded.admitted_permille,
         traffic.desired.version(),
     );
 }
 
-/// A further attempt begins.
-pub(super) fn tell_retry(traffic: &Traffic, call: &Call, after: &Refusal, target: &str) {
+/// Logs the start of a further attempt.
+pub(super) fn log_retry(traffic: &Traffic, call: &Call, after: &Refusal, target: &str) {
     let names = &traffic.settings.header_names;
     let id = text_of(call.message.headers.get(&names.request_id));
-    tell!(
+    log_outcome!(
         is_sampled(id),
         true,
         "entry: tries again, request={id} route={} service={} after={} outcome={} target={target} \
--- a/src/traffic/stop.rs
+++ b/src/traffic/stop.rs
@@ -1,5 +1,4 @@
-//! A planned stop: callers are sent elsewhere, what is in progress is finished, then the node
-//! leaves.
+//! A planned stop: callers move to other nodes, requests in progress finish, then the node leaves.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -10,34 +9,35 @@
 use crate::core::TargetState;
 use crate::traffic::TrafficProcess;
 
-/// How long the node is still told to others as one that takes calls: its backend server works on,
-/// and its slots would be missing for the whole stop.
-const UNTOLD: Duration = Duration::from_millis(1_400);
-/// How long the guard goes on taking calls: until other nodes have heard that it stops.
-const GUARD_OPEN: Duration = Duration::from_millis(2_200);
-/// How long the entry goes on taking requests: until readiness has been asked for twice and callers
-/// go elsewhere. Those that come still are refused, for they could not be finished any more.
-const ENTRY_OPEN: Duration = Duration::from_millis(2_900);
-/// For how long nothing must have been in progress, so that the last answers have left.
-const QUIET: Duration = Duration::from_millis(250);
+/// How long the node still announces that it accepts calls: its backend server continues to work,
+/// and its slots would otherwise be missing during the whole stop.
+const DRAINING_ANNOUNCED_AFTER: Duration = Duration::from_millis(1_400);
+/// How long the guard accepts calls: until other nodes have learned that it is stopping.
+const GUARD_CLOSED_AFTER: Duration = Duration::from_millis(2_200);
+/// How long the entry accepts requests: until readiness was checked twice and callers use other
+/// nodes. Later requests are refused, because they could not be finished in time.
+const ENTRY_CLOSED_AFTER: Duration = Duration::from_millis(2_900);
+/// How long no request must have been in progress before the node exits, so the last answers have
+/// been sent.
+const IDLE_BEFORE_EXIT: Duration = Duration::from_millis(250);
 /// How often requests in progress are counted.
-const LOOK: Duration = Duration::from_millis(25);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 impl TrafficProcess {
-    /// Stops as planned, within the time of the settings.
+    /// Performs a planned stop within the time limit of the settings.
     pub async fn stop(self) {
         log::info!("node: stops");
         let started = Instant::now();
-        let latest = started + Duration::from_millis(self.traffic.live().stop_within_ms);
+        let deadline = started + Duration::from_millis(self.traffic.live().stop_within_ms);
         self.traffic.stopping.send_replace(true);
-        sleep(UNTOLD).await;
+        sleep(DRAINING_ANNOUNCED_AFTER).await;
         self.traffic.is_leaving.store(true, Ordering::Relaxed);
         self.control.set_state(TargetState::Draining);
-        sleep(GUARD_OPEN - UNTOLD).await;
+        sleep(GUARD_CLOSED_AFTER - DRAINING_ANNOUNCED_AFTER).await;
         self.traffic.guard_closed.send_replace(true);
-        sleep(ENTRY_OPEN.saturating_sub(started.elapsed())).await;
+        sleep(ENTRY_CLOSED_AFTER.saturating_sub(started.elapsed())).await;
         self.traffic.entry_closed.store(true, Ordering::Relaxed);
-        self.finish(started, latest).await;
+        self.finish(started, deadline).await;
         log::info!(
             "node: leaves, in_progress={}",
             self.traffic.requests_in_progress()
@@ -47,22 +47,23 @@
             .await
             .is_err()
         {
-            log::error!("node: the control thread could not be stopped");
+            log::error!("node: control thread could not be stopped");
         }
     }
 
-    async fn finish(&self, started: Instant, latest: Instant) {
+    async fn finish(&self, started: Instant, deadline: Instant) {
         let mut last_busy = started;
         loop {
             let now = Instant::now();
             if self.traffic.requests_in_progress() > 0 {
                 last_busy = now;
             }
-            let is_quiet = now - last_busy >= QUIET && now - started >= ENTRY_OPEN;
-            if is_quiet || now >= latest {
+            let is_idle =
+                now - last_busy >= IDLE_BEFORE_EXIT && now - started >= ENTRY_CLOSED_AFTER;
+            if is_idle || now >= deadline {
                 return;
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
--- a/src/traffic/traffic.rs
+++ b/src/traffic/traffic.rs
@@ -1,4 +1,4 @@
-//! What all parts of the way of a request share.
+//! The state that all parts of the request path share.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -26,56 +26,58 @@
 use crate::metrics::Metrics;
 use crate::node::gate::Gate;
 use crate::node::targets::Targets;
-use crate::routing::FailingShare;
+use crate::routing::FailureRate;
 use crate::routing::PickerConf;
-use crate::routing::Spill;
+use crate::routing::SpillPolicy;
+use crate::traffic::AdvertisementCache;
 use crate::traffic::DesiredInForce;
 use crate::traffic::KnownServer;
 use crate::traffic::LiveSettings;
+use crate::traffic::LocalChange;
 use crate::traffic::LocalServer;
-use crate::traffic::Reported;
-use crate::traffic::ToldWords;
 use crate::traffic::TrafficSettings;
 use crate::traffic::allowances::Allowances;
 use crate::traffic::keyed_routes::KeyedRoutes;
 use crate::traffic::poison_watch::PoisonWatch;
 use crate::traffic::retry_budgets::RetryBudgets;
 use crate::traffic::root_admission::RootAdmission;
-use crate::traffic::route_origins::KnownOrigins;
+use crate::traffic::route_origins::RouteOrigins;
 use crate::traffic::running_routes::RunningRoutes;
 
-/// How long a new connection to another node may take, in milliseconds. A round trip between
-/// failure domains takes a few; a lost first packet is sent again after a second, and by then
-/// another target is the better choice.
+/// Connect time-out to another node, in milliseconds. A round trip between failure domains takes a
+/// few milliseconds. A lost first packet is sent again only after a second, and by then another
+/// target is the better choice.
 const PEER_CONNECT_MS: u64 = 400;
-/// How long an unused connection to another node is kept.
+/// Idle time-out of a connection to another node, in milliseconds.
 const PEER_IDLE_MS: u64 = 10_000;
-/// How long a new connection to the local backend server may take. Its machine is this one, so
-/// only a backend server that is down or has no room takes longer.
+/// Connect time-out to the local backend server, in milliseconds. It is on the same machine, so
+/// only a backend server that is down or overloaded takes longer.
 const BACKEND_CONNECT_MS: u64 = 500;
-/// How long an unused connection to the backend server is kept: well below the shortest time after
-/// which backend servers close theirs, for a request that meets the close may have run.
+/// Idle time-out of a connection to the backend server, in milliseconds. It is well below the
+/// shortest time after which backend servers close idle connections, because a request sent while
+/// the server closes the connection may have run.
 const BACKEND_IDLE_MS: u64 = 1_500;
-/// Nothing acknowledged for so long ends a connection.
+/// A connection is closed after this time without any acknowledgement, in milliseconds.
 pub(super) const SILENCE_MS: u64 = 2_000;
 
-/// Calls that may wait at a guard, as a percentage of its limit. Roots are refused at entries, so
-/// a queue here is what is under way already, and refusing it would waste what was done for it.
+/// The maximum queue length at a guard, as a percentage of its limit. Root requests are refused at
+/// entries, so the queue holds calls of requests in progress. Refusing those would waste the work
+/// already done for them.
 const QUEUE_PERCENT: u32 = 1_000;
-/// The wait in the queue that is aimed at, in milliseconds: long enough to keep a small backend
-/// server busy, short against the objective of a call some levels deep.
+/// The target wait in the queue, in milliseconds: long enough to keep a small backend server busy,
+/// and short compared with the latency objective of a call several levels deep.
 const WAIT_TARGET_MS: u64 = 10;
-/// The wait from which calls spill into other failure domains, in milliseconds. Bytes between
-/// failure domains are dear, and a call some levels deep may wait so long a few times.
+/// The wait from which calls spill into other failure domains, in milliseconds. Traffic between
+/// failure domains is expensive, and a call several levels deep may wait this long a few times.
 const SPILL_WAIT_MS: u64 = 25;
-/// The same for a call with a large body.
+/// The wait from which calls with a large body spill, in milliseconds.
 const SPILL_LARGE_WAIT_MS: u64 = 100;
 
 fn admission_conf() -> AdmissionConf {
     AdmissionConf {
-        learns_from_time: false,
+        adapts_limit: false,
         queue_percent: QUEUE_PERCENT,
-        queue_least: 128,
+        min_queue: 128,
         wait_target_ms: WAIT_TARGET_MS,
         ..AdmissionConf::default()
     }
@@ -83,42 +85,43 @@
 
 fn picker_conf() -> PickerConf {
     PickerConf {
-        spill: Spill::ByWait {
+        spill: SpillPolicy::ByWait {
             wait_ms: SPILL_WAIT_MS,
             large_wait_ms: SPILL_LARGE_WAIT_MS,
         },
-        by_finish: true,
+        by_completion_time: true,
         ..PickerConf::default()
     }
 }
 
-/// What nodes are told of the local backend server.
+/// What other nodes are told about the local backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct LocalNews {
+pub(super) struct LocalServerStatus {
     pub service: Name,
-    /// How many calls it can run at once: what it says, or what it can use of that at the rate that it names.
+    /// How many calls it can run at once, as reported. If it advertises a rate limit, only as many
+    /// as that rate keeps busy.
     pub slots: u32,
     pub state: TargetState,
-    /// The incarnation that has said that it leaves, if it has.
+    /// The incarnation that is leaving or has left, if any.
     pub leaving: Option<Name>,
-    /// When that one started, if it has said so.
+    /// When that incarnation started, if it reported it.
     pub leaving_started_unix_ms: Option<u64>,
-    /// The incarnation that takes work, if one does.
+    /// The incarnation that accepts work, if any.
     pub known: Option<KnownServer>,
 }
 
-/// What the listeners share with the control thread.
+/// The parts that the listeners share with the control thread.
 pub(super) struct SharedParts {
     pub metrics: Arc<Metrics>,
     pub view: Arc<Published<View>>,
     pub desired: Arc<DesiredInForce>,
     pub poison: Arc<PoisonWatch>,
-    pub origins: Arc<KnownOrigins>,
+    pub origins: Arc<RouteOrigins>,
     pub allowances: Arc<Allowances>,
     pub freshness: Arc<Freshness>,
 }
 
-/// Shared by all listeners.
+/// The state shared by all listeners.
 pub(super) struct Traffic {
     pub settings: TrafficSettings,
     pub clock: Clock,
@@ -129,33 +132,33 @@
     pub targets: Targets,
     pub budgets: RetryBudgets,
     pub roots: RootAdmission,
-    pub origins: Arc<KnownOrigins>,
+    pub origins: Arc<RouteOrigins>,
     pub keyed_routes: KeyedRoutes,
     pub allowances: Arc<Allowances>,
-    /// How fresh what gossip tells is.
+    /// How old the information received by gossip is.
     pub freshness: Arc<Freshness>,
     pub running: Arc<RunningRoutes>,
     pub poison: Arc<PoisonWatch>,
-    /// What bodies of requests and answers take of the memory.
+    /// The memory held by bodies of requests and answers.
     pub bodies: Arc<BodyBudget>,
     pub peers: ConnectionPool,
     pub backend: ConnectionPool,
-    /// Holds true from the beginning of a planned stop.
+    /// True from the start of a planned stop.
     pub stopping: watch::Sender<bool>,
-    /// Holds true once the guard takes no more calls in a planned stop.
+    /// True once the guard accepts no more calls in a planned stop.
     pub guard_closed: watch::Sender<bool>,
-    /// Holds true once others are told that this node stops.
+    /// True once other nodes are told that this node stops.
     pub is_leaving: AtomicBool,
-    /// Holds true once the entry takes no more requests in a planned stop.
+    /// True once the entry accepts no more requests in a planned stop.
     pub entry_closed: AtomicBool,
-    pub local_news: watch::Sender<LocalNews>,
+    pub local_status: watch::Sender<LocalServerStatus>,
     live: Published<LiveSettings>,
     local: Mutex<LocalServer>,
-    told_words: Mutex<ToldWords>,
-    failing: Mutex<FailingShare>,
+    advertisement_cache: Mutex<AdvertisementCache>,
+    failing: Mutex<FailureRate>,
     requests: AtomicUsize,
-    /// The version of the desired state by which the gate is bounded.
-    bounded_at: AtomicU64,
+    /// The version of the desired state whose limits the gate has.
+    limits_version: AtomicU64,
 }
 
 impl Traffic {
@@ -169,7 +172,7 @@
             };
             ConnectionPool::new(conf, clock, bodies.clone())
         };
-        let unknown = LocalNews {
+        let unknown = LocalServerStatus {
             service: settings.service.clone(),
             slots: 0,
             state: TargetState::Starting,
@@ -195,12 +198,12 @@
             guard_closed: watch::Sender::new(false),
             is_leaving: AtomicBool::new(false),
             entry_closed: AtomicBool::new(false),
-            local_news: watch::Sender::new(unknown),
+            local_status: watch::Sender::new(unknown),
             failing: Mutex::default(),
             local: Mutex::new(LocalServer::new(settings.live.heartbeat_ms)),
-            told_words: Mutex::default(),
+            advertisement_cache: Mutex::default(),
             requests: AtomicUsize::new(0),
-            bounded_at: AtomicU64::new(0),
+            limits_version: AtomicU64::new(0),
             live: Published::from_pointee(settings.live),
             settings,
             clock,
@@ -210,14 +213,14 @@
         }
     }
 
-    /// The settings that can change.
+    /// The settings that can change while the node runs.
     pub(super) fn live(&self) -> LiveSettings {
         **self.live.load()
     }
 
-    /// Puts changed settings into force.
+    /// Applies changed settings.
     pub(super) fn set_live(&self, live: LiveSettings) {
-        self.bodies.set_most_bytes(live.held_body_bytes);
+        self.bodies.set_max_bytes(live.held_body_bytes);
         if live.retry_bound != self.live().retry_bound {
             self.budgets.set_bound(live.retry_bound);
         }
@@ -226,63 +229,64 @@
         self.live.store(Arc::new(live));
     }
 
-    /// Whether keys are relied on.
+    /// Whether account keys are confirmed recently enough to be accepted.
     ///
-    /// Guards, where the operator asks for it, against a node that is cut off and goes on serving by keys
-    /// that were taken away meanwhile. It holds because the store's word that nothing is newer, which gossip
-    /// carries with its age, must not be older than the operator says.
-    pub(super) fn keys_hold(&self) -> bool {
+    /// A node that is cut off would otherwise accept keys that were revoked in between. The
+    /// operator can limit the age of the store's confirmation that nothing is newer, which gossip
+    /// carries.
+    pub(super) fn keys_are_fresh(&self) -> bool {
         let Some(hold_ms) = self.live().keys_hold_ms else {
             return true;
         };
-        let confirmed = self.freshness.confirmed();
+        let confirmed = self.freshness.last_confirmed();
         self.clock.now().since(confirmed) < hold_ms
     }
 
-    /// The local backend server as far as is known. Never held across an await.
+    /// What is known of the local backend server. Never held across an await.
     pub(super) fn local(&self) -> MutexGuard<'_, LocalServer> {
         self.local.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What backend servers have said in answers that came through here. Never held across an await.
-    pub(super) fn told_words(&self) -> MutexGuard<'_, ToldWords> {
-        self.told_words
+    /// What backend servers have advertised in answers that this node relayed. Never held across an
+    /// await.
+    pub(super) fn advertisement_cache(&self) -> MutexGuard<'_, AdvertisementCache> {
+        self.advertisement_cache
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes the end of a call at the local backend server.
-    pub(super) fn note_end(&self, has_failed: bool) {
+    /// Records the end of a call at the local backend server.
+    pub(super) fn record_end(&self, has_failed: bool) {
         let now = self.clock.now();
-        self.failing().note(now, has_failed);
+        self.failing().record(now, has_failed);
     }
 
-    /// Which share of calls fails at the local backend server, in thousandths.
+    /// The share of calls that fail at the local backend server, in thousandths.
     pub(super) fn failing_permille(&self, now: TimeMs) -> u32 {
         self.failing().permille(now)
     }
 
-    fn failing(&self) -> MutexGuard<'_, FailingShare> {
+    fn failing(&self) -> MutexGuard<'_, FailureRate> {
         self.failing.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes what is known of the local backend server, and tells the others if it is news.
-    pub(super) fn change_local(&self, change: impl FnOnce(&mut LocalServer) -> Reported) {
-        let news = {
+    /// Updates what is known of the local backend server, and announces a change to other nodes.
+    pub(super) fn update_local(&self, change: impl FnOnce(&mut LocalServer) -> LocalChange) {
+        let status = {
             let mut local = self.local();
             let start_of =
                 |local: &LocalServer| (local.incarnation().cloned(), local.started_unix_ms());
             let before = start_of(&local);
-            if change(&mut local) == Reported::Nothing {
+            if change(&mut local) == LocalChange::NoChange {
                 return;
             }
             if local.is_down() || start_of(&local) != before {
-                self.poison.note_ended();
+                self.poison.record_backend_exit();
             }
-            self.bound_slots(&local);
+            self.limit_slots(&local);
             let rate = local.rate_per_s();
             let usable = self.gate.set_rate(rate);
-            LocalNews {
+            LocalServerStatus {
                 service: local
                     .service()
                     .cloned()
@@ -294,30 +298,34 @@
                 leaving_started_unix_ms: local.leaving().and(local.started_unix_ms()),
             }
         };
-        self.tell_others(news);
+        self.publish_local_status(status);
     }
 
-    /// Guards against news to all nodes with each answer of a backend server that names a slightly different rate
-    /// each time: what others are told is what it can run at once, which hardly changes.
-    fn tell_others(&self, news: LocalNews) {
-        self.local_news.send_if_modified(|told| {
-            if *told == news {
+    /// Announces the status of the local backend server, if it has changed.
+    ///
+    /// A backend server may advertise a slightly different rate limit with each answer. The status
+    /// has the number of calls that it can run at once instead, which rarely changes, so not every
+    /// answer causes a message to all nodes.
+    fn publish_local_status(&self, status: LocalServerStatus) {
+        self.local_status.send_if_modified(|published| {
+            if *published == status {
                 return false;
             }
             log::info!(
                 "local: backend server, service={} state={:?} slots={}",
-                news.service,
-                news.state,
-                news.slots
+                status.service,
+                status.state,
+                status.slots
             );
-            *told = news;
+            *published = status;
             true
         });
     }
 
-    /// Bounds what runs at the local backend server by what may have changed: the slots that it announces, or the
-    /// connections that the operator says it accepts. Each call that runs there takes one of both.
-    pub(super) fn bound_slots(&self, local: &LocalServer) {
+    /// Limits the calls that run at the local backend server to the slots that it reports, and to
+    /// the connections that it accepts according to the operator. Each running call takes one of
+    /// both.
+    pub(super) fn limit_slots(&self, local: &LocalServer) {
         let usable = usable_slots(local.slots());
         let accepted = local
             .service()
@@ -326,16 +334,17 @@
             .set_slots(accepted.map_or(usable, |accepted| usable.min(accepted)));
     }
 
-    /// Bounds what runs anew if another desired state is in force since: by the first call that meets it, for the
-    /// next look at the gate may come too late.
-    pub(super) fn follow_desired(&self) {
+    /// Applies the limits of the desired state in force, if it has changed. Each call checks this
+    /// before admission, because the next periodic poll of the gate may be too late.
+    pub(super) fn apply_desired_limits(&self) {
         let version = self.desired.version();
-        if self.bounded_at.swap(version, Ordering::Relaxed) != version {
-            self.bound_slots(&self.local());
+        if self.limits_version.swap(version, Ordering::Relaxed) != version {
+            self.limit_slots(&self.local());
         }
     }
 
-    /// How many connections a backend server of a service accepts, if the operator says so.
+    /// How many connections a backend server of a service accepts, if the operator has configured
+    /// it.
     fn max_connections(&self, service: &Name) -> Option<u32> {
         let in_force = self.desired.load()?;
         let mut services = in_force.state.services.iter();
--- a/tests/admission_invariants.rs
+++ b/tests/admission_invariants.rs
@@ -1,4 +1,4 @@
-//! What holds of admission whatever happens, by random sequences of events.
+//! Invariants of admission control, checked on random sequences of events.
 
 use std::collections::HashMap;
 
@@ -8,10 +8,10 @@
 use sassafrasgap::admission::Action;
 use sassafrasgap::admission::Admission;
 use sassafrasgap::admission::AdmissionConf;
+use sassafrasgap::admission::CallOutcome;
 use sassafrasgap::admission::Completion;
-use sassafrasgap::admission::Offer;
-use sassafrasgap::admission::QueuedCall;
-use sassafrasgap::admission::Verdict;
+use sassafrasgap::admission::OfferDecision;
+use sassafrasgap::admission::OfferedCall;
 use sassafrasgap::core::Priority;
 use sassafrasgap::core::TimeMs;
 
@@ -27,21 +27,21 @@
     Complete {
         which: usize,
         service_us: u64,
-        verdict: Verdict,
+        outcome: CallOutcome,
     },
     Cancel {
         which: usize,
     },
     Slots(u32),
-    Pass(u64),
+    Advance(u64),
 }
 
 fn event() -> impl Strategy<Value = Event> {
-    let verdict = prop_oneof![
-        6 => Just(Verdict::Ok),
-        1 => Just(Verdict::Failed),
-        1 => Just(Verdict::Shed),
-        1 => Just(Verdict::Cancelled),
+    let outcome = prop_oneof![
+        6 => Just(CallOutcome::Ok),
+        1 => Just(CallOutcome::Failed),
+        1 => Just(CallOutcome::Shed),
+        1 => Just(CallOutcome::Cancelled),
     ];
     prop_oneof![
         6 => (0u8..4, any::<u16>(), 0u8..8, 0u32..200, 0u64..400).prop_map(
@@ -49,18 +49,18 @@
                 class, rank, depth, wait_ms, deadline_ms
             }
         ),
-        4 => (any::<usize>(), 100u64..200_000, verdict).prop_map(
-            |(which, service_us, verdict)| Event::Complete { which, service_us, verdict }
+        4 => (any::<usize>(), 100u64..200_000, outcome).prop_map(
+            |(which, service_us, outcome)| Event::Complete { which, service_us, outcome }
         ),
         1 => any::<usize>().prop_map(|which| Event::Cancel { which }),
         1 => (0u32..40).prop_map(Event::Slots),
-        2 => (0u64..150).prop_map(Event::Pass),
+        2 => (0u64..150).prop_map(Event::Advance),
     ]
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    Waiting(QueuedCall, TimeMs),
+    Waiting(OfferedCall, TimeMs),
     Running,
     Refused,
     Ended,
@@ -113,8 +113,8 @@
         }
     }
 
-    /// What was started must not be less important than what still waits.
-    fn assert_order(&self, actions: &[Action], calls: &HashMap<u64, QueuedCall>) {
+    /// A started call must not be less important than one that still waits.
+    fn assert_order(&self, actions: &[Action], calls: &HashMap<u64, OfferedCall>) {
         let started = actions.iter().filter_map(|action| match action {
             Action::Start(ticket) => Some(calls[ticket].priority.class()),
             Action::Refuse(..) => None,
@@ -155,7 +155,7 @@
             let running_before = model.count(|state| *state == State::Running);
             match event {
                 Event::Offer { class, rank, depth, wait_ms, deadline_ms } => {
-                    let call = QueuedCall {
+                    let call = OfferedCall {
                         ticket,
                         priority: Priority::new(class, rank),
                         depth,
@@ -165,32 +165,32 @@
                     };
                     calls.insert(ticket, call);
                     let state = match admission.offer(now, call) {
-                        Offer::Run => {
+                        OfferDecision::Run => {
                             prop_assert!(running_before < limit_before);
                             State::Running
                         }
-                        Offer::Wait => State::Waiting(call, now),
-                        Offer::Refuse(_) => State::Refused,
+                        OfferDecision::Wait => State::Waiting(call, now),
+                        OfferDecision::Refuse(_) => State::Refused,
                     };
                     model.states.insert(ticket, state);
                 }
-                Event::Complete { which, service_us, verdict } => {
+                Event::Complete { which, service_us, outcome } => {
                     if let Some(ticket) = model.pick(which, |state| *state == State::Running) {
-                        let completion = Completion { service_us, child_us: 0, verdict };
+                        let completion = Completion { service_us, child_us: 0, outcome };
                         admission.complete(now, ticket, completion);
                         model.states.insert(ticket, State::Ended);
                     }
                 }
                 Event::Cancel { which } => {
                     if let Some(ticket) = model.pick(which, |state| matches!(state, State::Waiting(..))) {
-                        // A call that was displaced since is refused by the next poll instead.
+                        // A call that has been evicted since is refused by the next poll instead.
                         if admission.cancel(ticket) {
                             model.states.insert(ticket, State::Cancelled);
                         }
                     }
                 }
                 Event::Slots(slots) => admission.set_slots(slots),
-                Event::Pass(ms) => now = now + ms,
+                Event::Advance(ms) => now = now + ms,
             }
             let running = model.count(|state| *state == State::Running);
             let actions = admission.poll(now);
--- a/tests/fake_chain/chain.rs
+++ b/tests/fake_chain/chain.rs
@@ -1,4 +1,4 @@
-//! The fake chain itself: an event queue over callers, entries, guards and backend servers.
+//! The simulation: an event queue over callers, entries, guards and backend servers.
 
 mod backend_servers;
 mod callers;
@@ -12,20 +12,20 @@
 use sassafrasgap::admission::Action;
 use sassafrasgap::admission::Admission;
 use sassafrasgap::admission::AdmissionConf;
+use sassafrasgap::admission::CallOutcome;
 use sassafrasgap::admission::Dependencies;
 use sassafrasgap::admission::Levels;
-use sassafrasgap::admission::Offer;
-use sassafrasgap::admission::QueuedCall;
-use sassafrasgap::admission::Verdict;
+use sassafrasgap::admission::OfferDecision;
+use sassafrasgap::admission::OfferedCall;
 use sassafrasgap::core::Name;
 use sassafrasgap::core::Priority;
 use sassafrasgap::core::TimeMs;
 
 use super::report::Report;
-use super::story::Control;
-use super::story::DEADLINE_MS;
-use super::story::Story;
-use super::story::WAIT_MS;
+use super::scenario::Control;
+use super::scenario::DEADLINE_MS;
+use super::scenario::Scenario;
+use super::scenario::WAIT_MS;
 
 const HOP_US: u64 = 1_000;
 const CALLER_US: u64 = 3_000;
@@ -34,7 +34,7 @@
 const BASELINE_RETRIES: u32 = 3;
 const BASELINE_CONNECTIONS: usize = 700;
 const ENTRIES: usize = 3;
-/// Each class has a route of its own, so that a class that is shed brings no news of its route.
+/// Each class has its own route, so that a class that is shed reports no level for its route.
 const ROUTES: [&str; 4] = ["jobs", "charges", "notebooks", "lookups"];
 const SHALLOW: &str = "shallow";
 
@@ -43,8 +43,8 @@
     Arrival,
     /// An attempt of a root request reaches its entry.
     Send(usize),
-    /// The caller's patience with an attempt ends.
-    GiveUp(usize, u32),
+    /// The caller's time-out for an attempt expires.
+    CallerTimeout(usize, u32),
     Reach(usize),
     OwnWorkDone(usize),
     Answer(usize),
@@ -59,9 +59,10 @@
     first_sent_us: u64,
     attempt: u32,
     sent_us: u64,
-    over: bool,
-    /// Work done for the present attempt and for those before.
+    ended: bool,
+    /// Work done for the current attempt.
     work_us: u64,
+    /// Work done for the attempts before it.
     spent_us: u64,
 }
 
@@ -89,12 +90,12 @@
     dependencies: Dependencies,
     slots: usize,
     busy: usize,
-    /// What the backend server queues inside because it was given more than it can run.
-    inside: VecDeque<usize>,
+    /// Calls beyond the slots, which wait in the backend server.
+    backend_queue: VecDeque<usize>,
 }
 
 struct Chain<'a> {
-    story: &'a Story,
+    scenario: &'a Scenario,
     rng: Rng,
     now_us: u64,
     queue: BinaryHeap<Reverse<(u64, u64, Event)>>,
@@ -107,16 +108,16 @@
     report: Report,
 }
 
-/// Plays a story and reports what came of it.
-pub fn run(story: &Story) -> Report {
-    let mut chain = Chain::new(story);
+/// Runs a scenario and reports its outcome.
+pub fn run(scenario: &Scenario) -> Report {
+    let mut chain = Chain::new(scenario);
     chain.after(0, Event::Arrival);
-    for service in 0..story.depth {
-        for target in 0..story.targets {
+    for service in 0..scenario.depth {
+        for target in 0..scenario.targets {
             chain.after(POLL_US, Event::Poll(service, target));
         }
     }
-    let end_us = story.end_ms * 1_000;
+    let end_us = scenario.end_ms * 1_000;
     while let Some(Reverse((at_us, _, event))) = chain.queue.pop() {
         if at_us > end_us {
             break;
@@ -129,34 +130,38 @@
 }
 
 impl<'a> Chain<'a> {
-    fn new(story: &'a Story) -> Self {
+    fn new(scenario: &'a Scenario) -> Self {
         let node = |service: usize, target: usize| {
-            let deep = service + 1 == story.depth;
-            let slots = if deep { story.deep_slots } else { story.slots };
+            let deep = service + 1 == scenario.depth;
+            let slots = if deep {
+                scenario.deep_slots
+            } else {
+                scenario.slots
+            };
             let seed = (service * 100 + target) as u64;
             let mut guard = Admission::new(AdmissionConf::default(), seed);
             guard.set_classes(4);
-            guard.set_slots(slots as u32 * story.announced_percent / 100);
+            guard.set_slots(slots as u32 * scenario.announced_percent / 100);
             Node {
                 guard,
                 levels: Levels::default(),
                 dependencies: Dependencies::default(),
                 slots,
                 busy: 0,
-                inside: VecDeque::new(),
+                backend_queue: VecDeque::new(),
             }
         };
-        let service = |service: usize| (0..story.targets).map(|t| node(service, t)).collect();
+        let service = |service: usize| (0..scenario.targets).map(|t| node(service, t)).collect();
         Self {
-            story,
-            rng: Rng::with_seed(story.seed),
+            scenario,
+            rng: Rng::with_seed(scenario.seed),
             now_us: 0,
             queue: BinaryHeap::new(),
             sequence: 0,
             roots: Vec::new(),
             calls: Vec::new(),
-            services: (0..story.depth).map(service).collect(),
-            names: (0..story.depth)
+            services: (0..scenario.depth).map(service).collect(),
+            names: (0..scenario.depth)
                 .map(|i| Name::from(format!("s{i}")))
                 .collect(),
             entries: vec![Levels::default(); ENTRIES],
@@ -178,7 +183,7 @@
         match event {
             Event::Arrival => self.arrival(),
             Event::Send(root) => self.send(root),
-            Event::GiveUp(root, attempt) => self.attempt_failed(root, attempt, 0),
+            Event::CallerTimeout(root, attempt) => self.attempt_failed(root, attempt, 0),
             Event::Reach(call) => self.reach(call),
             Event::OwnWorkDone(call) => self.own_work_done(call),
             Event::Answer(call) => self.answer(call),
@@ -200,19 +205,19 @@
         let root = &mut self.roots[index];
         root.sent_us = now_us;
         let attempt = root.attempt;
-        let patience_us = DEADLINE_MS[root.class] * 1_000;
+        let timeout_us = DEADLINE_MS[root.class] * 1_000;
         let priority = self.priority(&self.roots[index]);
         let route = self.route(index);
         let entry = &mut self.entries[index % ENTRIES];
-        if self.story.control == Control::Levels
+        if self.scenario.control == Control::Levels
             && !entry.may_pass(now, &self.names[0], route, priority)
         {
             self.attempt_failed(index, attempt, 200);
             return;
         }
         self.report.entered += 1;
-        self.after(patience_us, Event::GiveUp(index, attempt));
-        self.forward(index, None, 0, now_us + patience_us, 0);
+        self.after(timeout_us, Event::CallerTimeout(index, attempt));
+        self.forward(index, None, 0, now_us + timeout_us, 0);
     }
 
     fn forward(
@@ -243,30 +248,31 @@
         });
         let call = self.calls.len() - 1;
         self.after(HOP_US, Event::Reach(call));
-        if self.story.control == Control::Baseline {
+        if self.scenario.control == Control::Baseline {
             self.after(BASELINE_TIMEOUT_US, Event::HopTimeout(call));
         }
     }
 
     fn pick(&mut self, service: usize) -> usize {
-        let first = self.rng.usize(0..self.story.targets);
-        let second = self.rng.usize(0..self.story.targets);
-        let baseline = self.story.control == Control::Baseline;
+        let first = self.rng.usize(0..self.scenario.targets);
+        let second = self.rng.usize(0..self.scenario.targets);
+        let baseline = self.scenario.control == Control::Baseline;
         let load = |target: usize| {
             let node = &self.services[service][target];
             let load = node.guard.load();
             let limit = if baseline { 1 } else { load.limit as usize };
             let calls = (load.in_flight + load.queued) as usize;
             let calls = if baseline {
-                node.busy + node.inside.len()
+                node.busy + node.backend_queue.len()
             } else {
                 calls
             };
             calls * 1_000 / limit.max(1)
         };
-        let absent = self.now_us / 1_000 < self.story.joins_ms && service + 1 == self.story.depth;
+        let absent =
+            self.now_us / 1_000 < self.scenario.joins_ms && service + 1 == self.scenario.depth;
         if absent {
-            return self.rng.usize(1..self.story.targets);
+            return self.rng.usize(1..self.scenario.targets);
         }
         if load(second) < load(first) {
             second
@@ -279,9 +285,9 @@
         let now = self.now();
         let call = &self.calls[index];
         let (service, target, root) = (call.service, call.target, call.root);
-        if self.story.control == Control::Baseline {
+        if self.scenario.control == Control::Baseline {
             let node = &self.services[service][target];
-            if node.busy + node.inside.len() >= BASELINE_CONNECTIONS {
+            if node.busy + node.backend_queue.len() >= BASELINE_CONNECTIONS {
                 self.refuse(index, 0);
             } else {
                 self.start(index);
@@ -291,16 +297,16 @@
         let priority = self.priority(&self.roots[root]);
         let route = self.route(root);
         let node = &mut self.services[service][target];
-        let behind = node
+        let downstream = node
             .dependencies
             .level(now, route, Priority::LOWEST, &node.levels);
-        if self.story.control == Control::Levels && priority > behind {
+        if self.scenario.control == Control::Levels && priority > downstream {
             self.refuse(index, 200);
             return;
         }
         let offer = node.guard.offer(
             now,
-            QueuedCall {
+            OfferedCall {
                 ticket: index as u64,
                 priority,
                 depth: service as u8,
@@ -310,9 +316,9 @@
             },
         );
         match offer {
-            Offer::Run => self.start(index),
-            Offer::Wait => self.poll(service, target),
-            Offer::Refuse(refusal) => self.refuse(index, refusal.retry_after_ms),
+            OfferDecision::Run => self.start(index),
+            OfferDecision::Wait => self.poll(service, target),
+            OfferDecision::Refuse(refusal) => self.refuse(index, refusal.retry_after_ms),
         }
     }
 
@@ -362,7 +368,7 @@
                 &mut self.services[parent.service][parent.target].levels
             }
         };
-        levels.note(now, &name, route, admit);
+        levels.record(now, &name, route, admit);
         if self.calls[index].ok {
             self.calls[index].answered = true;
             self.child_ended(index, true);
@@ -378,7 +384,7 @@
         self.calls[index].answered = true;
         let call = &self.calls[index];
         let current = call.attempt == self.roots[call.root].attempt;
-        let baseline = self.story.control == Control::Baseline;
+        let baseline = self.scenario.control == Control::Baseline;
         if baseline && call.retries < BASELINE_RETRIES && (current || call.parent.is_some()) {
             let (root, parent) = (call.root, call.parent);
             let (service, deadline_us) = (call.service, call.deadline_us);
@@ -406,6 +412,13 @@
         let parent_call = &mut self.calls[parent];
         parent_call.child_us += now_us - parent_call.child_from_us;
         parent_call.ok = ok;
-        self.release(parent, if ok { Verdict::Ok } else { Verdict::Failed });
+        self.release(
+            parent,
+            if ok {
+                CallOutcome::Ok
+            } else {
+                CallOutcome::Failed
+            },
+        );
     }
 }
--- a/tests/fake_chain/report.rs
+++ b/tests/fake_chain/report.rs
@@ -1,11 +1,11 @@
-//! What came of a run.
+//! The outcome of a run.
 
-use super::story::Story;
+use super::scenario::Scenario;
 
 const BIN_MS: u64 = 100;
 const SPAN_MS: u64 = 500;
 
-/// One root request that was completed in time.
+/// A root request that was completed in time.
 #[derive(Clone, Copy, Debug)]
 pub struct Done {
     pub at_ms: u64,
@@ -14,7 +14,7 @@
     pub class: usize,
 }
 
-/// One root request that its caller gave up.
+/// A root request that its caller abandoned.
 #[derive(Clone, Copy, Debug)]
 pub struct Lost {
     pub first_sent_ms: u64,
@@ -28,7 +28,7 @@
     pub lost: Vec<Lost>,
     pub work_us: u64,
     pub wasted_us: u64,
-    /// Attempts that the entries let pass.
+    /// Attempts that the entries admitted.
     pub entered: u64,
     /// Calls that backend servers ran.
     pub runs: u64,
@@ -44,26 +44,27 @@
         count as f64 * 1e3 / (to_ms - from_ms) as f64
     }
 
-    /// Goodput of the surge, without its first second.
-    pub fn surge_goodput(&self, story: &Story) -> f64 {
-        self.goodput(story.surge_from_ms + 1_000, story.surge_to_ms)
+    /// Goodput of the surge without its first second.
+    pub fn surge_goodput(&self, scenario: &Scenario) -> f64 {
+        self.goodput(scenario.surge_from_ms + 1_000, scenario.surge_to_ms)
     }
 
-    /// Goodput of the last part of the surge: what a lasting overload settles to.
+    /// Work done for attempts that failed, in percent of all work.
     pub fn wasted_percent(&self) -> f64 {
         self.wasted_us as f64 * 100.0 / self.work_us.max(1) as f64
     }
 
     /// Calls that backend servers ran for attempts that failed, in percent of all that they ran.
-    pub fn wasted_runs_percent(&self, story: &Story) -> f64 {
-        let useful = (self.done.len() * story.depth) as f64;
+    pub fn wasted_runs_percent(&self, scenario: &Scenario) -> f64 {
+        let useful = (self.done.len() * scenario.depth) as f64;
         (self.runs as f64 - useful) * 100.0 / self.runs as f64
     }
 
-    /// The share of the root requests of a class, first sent in the surge, that were lost.
-    pub fn lost_percent(&self, class: usize, story: &Story) -> f64 {
-        let from = story.surge_from_ms;
-        let to = story.surge_to_ms;
+    /// The share of lost requests among the root requests of a class that were first sent in the
+    /// surge, in percent.
+    pub fn lost_percent(&self, class: usize, scenario: &Scenario) -> f64 {
+        let from = scenario.surge_from_ms;
+        let to = scenario.surge_to_ms;
         let sent = |at: u64| (from..to).contains(&at);
         let done = self
             .done
@@ -77,7 +78,7 @@
         lost * 100.0 / (done.count() as f64 + lost).max(1.0)
     }
 
-    /// The given percentile of the latency of what was done between two times.
+    /// A percentile of the latency of requests completed between two times.
     pub fn latency_us(&self, percentile: usize, from_ms: u64, to_ms: u64) -> u64 {
         let mut all: Vec<u64> = self
             .done_between(from_ms, to_ms)
@@ -88,39 +89,39 @@
         all.get(index).copied().unwrap_or(0)
     }
 
-    /// Time from the end of the surge to the first half second in which goodput is 95% of what it
-    /// was before and the 99th percentile is within twice the ordinary one.
-    pub fn recovery_ms(&self, story: &Story) -> u64 {
-        let mut at = story.surge_to_ms;
-        while at + SPAN_MS < story.end_ms && !self.is_ordinary(at, story, 95, 2) {
+    /// The time from the end of the surge to the first half second in which goodput is 95% of that
+    /// before the surge and the 99th percentile is at most twice the ordinary one.
+    pub fn recovery_ms(&self, scenario: &Scenario) -> u64 {
+        let mut at = scenario.surge_to_ms;
+        while at + SPAN_MS < scenario.end_ms && !self.is_ordinary(at, scenario, 95, 2) {
             at += BIN_MS;
         }
-        at - story.surge_to_ms
+        at - scenario.surge_to_ms
     }
 
-    /// Whether any second later than two seconds after the surge is bad again.
-    pub fn relapses(&self, story: &Story) -> usize {
-        let from = story.surge_to_ms + 2_000;
-        let starts = (from..story.end_ms - SPAN_MS).step_by(SPAN_MS as usize);
+    /// The number of half seconds, from two seconds after the surge on, that are degraded again.
+    pub fn relapses(&self, scenario: &Scenario) -> usize {
+        let from = scenario.surge_to_ms + 2_000;
+        let starts = (from..scenario.end_ms - SPAN_MS).step_by(SPAN_MS as usize);
         starts
-            .filter(|&at| !self.is_ordinary(at, story, 80, 3))
+            .filter(|&at| !self.is_ordinary(at, scenario, 80, 3))
             .count()
     }
 
-    fn is_ordinary(&self, from_ms: u64, story: &Story, percent: u64, times: u64) -> bool {
-        let ordinary_p99 = self.latency_us(99, story.settled_ms, story.surge_from_ms);
-        let ordinary = self.goodput(story.settled_ms, story.surge_from_ms);
+    fn is_ordinary(&self, from_ms: u64, scenario: &Scenario, percent: u64, times: u64) -> bool {
+        let ordinary_p99 = self.latency_us(99, scenario.settled_ms, scenario.surge_from_ms);
+        let ordinary = self.goodput(scenario.settled_ms, scenario.surge_from_ms);
         let to_ms = from_ms + SPAN_MS;
         let enough = self.goodput(from_ms, to_ms) >= ordinary * percent as f64 / 100.0;
         enough && self.latency_us(99, from_ms, to_ms) <= times * ordinary_p99
     }
 
-    /// Attempts of root requests that failed in ordinary times, in percent of requests.
-    pub fn ordinary_failures_percent(&self, story: &Story) -> f64 {
-        let ordinary = |at: &&u64| (story.settled_ms..story.surge_from_ms).contains(*at);
+    /// Attempts of root requests that failed under ordinary load, in percent of completed requests.
+    pub fn ordinary_failures_percent(&self, scenario: &Scenario) -> f64 {
+        let ordinary = |at: &&u64| (scenario.settled_ms..scenario.surge_from_ms).contains(*at);
         let failed = self.failed_at_ms.iter().filter(ordinary).count();
         let done = self
-            .done_between(story.settled_ms, story.surge_from_ms)
+            .done_between(scenario.settled_ms, scenario.surge_from_ms)
             .count();
         failed as f64 * 100.0 / done.max(1) as f64
     }
--- a/tests/fake_targets/mod.rs
+++ b/tests/fake_targets/mod.rs
@@ -1,4 +1,4 @@
-//! Targets made by hand, for decisions that only look at them.
+//! Targets with fixed values, for tests of target selection.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -8,12 +8,16 @@
 use sassafrasgap::core::Name;
 use sassafrasgap::core::Target;
 use sassafrasgap::core::TargetState;
-use sassafrasgap::routing::Choice;
+use sassafrasgap::routing::PickContext;
 use sassafrasgap::routing::TargetStats;
 
-/// What a first attempt from failure domain `a` with a small body chooses from.
-pub fn choice<'a>(targets: &'a [Arc<Target>], stats: &'a FastMap<Name, TargetStats>) -> Choice<'a> {
-    Choice {
+/// The context for picking the target of a first attempt, with a small body, from failure domain
+/// `a`.
+pub fn pick_context<'a>(
+    targets: &'a [Arc<Target>],
+    stats: &'a FastMap<Name, TargetStats>,
+) -> PickContext<'a> {
+    PickContext {
         targets,
         stats,
         own_domain: "a",
@@ -23,7 +27,7 @@
     }
 }
 
-/// A target that takes work, of ten slots, in a failure domain.
+/// A target that is up and has ten slots, in the given failure domain.
 pub fn target(name: &str, domain: &str) -> Target {
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
     Target {
--- a/tests/node_answers.rs
+++ b/tests/node_answers.rs
@@ -1,4 +1,4 @@
-//! Callers get the whole answer to their own call, or an error that looks like one.
+//! Callers get the complete answer to their own call, or an error.
 
 mod support;
 
@@ -51,22 +51,22 @@
     Response::new(full_body(text))
 }
 
-/// How a peer answers in the place of a guard.
+/// The fault in the answer of a simulated guard.
 #[derive(Clone, Copy, Debug)]
-enum Lie {
+enum AnswerFault {
     OtherAttempt,
     OtherLength,
     NoHeader,
     OtherVersion,
 }
 
-async fn lying_peer(lie: Lie) -> SocketAddr {
+async fn faulty_peer(fault: AnswerFault) -> SocketAddr {
     let listener = bind(loopback()).await.expect("a port is free");
     let address = listener.local_addr().expect("the port is bound");
     tokio::spawn(serve(listener, move |request, _| async move {
         let call = CallHeader::from_headers(request.headers()).expect("a node sends it");
         let mut response = Response::new(full_body("for another caller"));
-        if let Some(value) = lying_header(lie, &call) {
+        if let Some(value) = faulty_header(fault, &call) {
             let value = HeaderValue::from_str(&value).expect("base64");
             response.headers_mut().insert("sassafrasgap-answer", value);
         }
@@ -75,7 +75,7 @@
     address
 }
 
-fn lying_header(lie: Lie, call: &CallHeader) -> Option<String> {
+fn faulty_header(fault: AnswerFault, call: &CallHeader) -> Option<String> {
     let mut header = AnswerHeader {
         attempt: call.attempt,
         run_state: RunState::Ran,
@@ -87,29 +87,29 @@
         body_len: Some(18),
         owner: None,
     };
-    match lie {
-        Lie::OtherAttempt => header.attempt = AttemptId(7),
-        Lie::OtherLength => header.body_len = Some(19),
-        Lie::NoHeader => return None,
-        Lie::OtherVersion => return Some("Ag".to_owned()),
+    match fault {
+        AnswerFault::OtherAttempt => header.attempt = AttemptId(7),
+        AnswerFault::OtherLength => header.body_len = Some(19),
+        AnswerFault::NoHeader => return None,
+        AnswerFault::OtherVersion => return Some("Ag".to_owned()),
     }
     Some(header.encode())
 }
 
-/// Something between two nodes mixes up answers, or a peer has a fault: the answer that comes is
-/// that of another call, or not all of it. The caller must get neither. An idempotent call goes to
-/// another target; of a non-idempotent one nobody knows whether it ran.
+/// A relay mixes up answers, or a peer has a fault, so the answer belongs to another call or is
+/// incomplete. The caller must not receive it. An idempotent call goes to another target. Of a
+/// non-idempotent one it is unknown whether it ran.
 #[rstest]
-#[case::other_attempt(Lie::OtherAttempt)]
-#[case::other_length(Lie::OtherLength)]
-#[case::no_header(Lie::NoHeader)]
-#[case::other_version(Lie::OtherVersion)]
+#[case::other_attempt(AnswerFault::OtherAttempt)]
+#[case::other_length(AnswerFault::OtherLength)]
+#[case::no_header(AnswerFault::NoHeader)]
+#[case::other_version(AnswerFault::OtherVersion)]
 #[tokio::test]
-async fn a_wrong_answer_is_never_passed_on(#[case] lie: Lie) {
+async fn an_invalid_answer_is_never_forwarded(#[case] fault: AnswerFault) {
     let mut mesh = TestMesh::new();
     let entry = mesh.add("one", "menus", hello).await;
-    mesh.add_stranger("two", "orders", lying_peer(lie).await);
-    mesh.add_stranger("three", "orders", lying_peer(lie).await);
+    mesh.add_external_target("two", "orders", faulty_peer(fault).await);
+    mesh.add_external_target("three", "orders", faulty_peer(fault).await);
     let read = mesh.get(entry, "/orders/7").await;
     assert_eq!(read.status, 503, "{read:?}");
     assert_eq!(read.header("sassafrasgap-outcome"), "unknown");
@@ -138,16 +138,16 @@
     address
 }
 
-/// A backend server breaks off in the middle of its answer, or announces no length at all, so that
-/// its end cannot be told from a break. The caller must not take the part for the whole.
+/// A backend server disconnects in the middle of its answer, or sends no length, so that the end
+/// looks like a broken connection. The caller must get an error instead of the truncated answer.
 #[rstest]
 #[case::shorter("HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nfour")]
-#[case::chunks_cut("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nfour\r\n")]
+#[case::truncated_chunks("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nfour\r\n")]
 #[case::no_end("HTTP/1.1 200 OK\r\n\r\nfour")]
 #[case::no_http("what?")]
 #[case::nothing("")]
 #[tokio::test]
-async fn an_answer_cut_short_is_an_error(#[case] answer: &'static str) {
+async fn a_truncated_answer_is_an_error(#[case] answer: &'static str) {
     let mut mesh = TestMesh::new();
     let address = raw_backend(answer).await;
     let entry = mesh
@@ -160,7 +160,7 @@
 }
 
 #[tokio::test]
-async fn nothing_beyond_the_announced_length_is_passed_on() {
+async fn nothing_beyond_the_announced_length_is_forwarded() {
     let mut mesh = TestMesh::new();
     let address = raw_backend("HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nfour and more").await;
     let entry = mesh
@@ -170,9 +170,10 @@
     assert_eq!(&got.body[..], b"four");
 }
 
-/// Nothing listens where the backend server was: no call was started, and that is said.
+/// Nothing listens at the backend server's address, so no call was started and the outcome is
+/// `not_run`.
 #[tokio::test]
-async fn a_backend_server_that_is_down_did_not_run_it() {
+async fn a_call_to_a_stopped_backend_server_was_not_run() {
     let mut mesh = TestMesh::new();
     let gone = bind(loopback()).await.expect("a port is free");
     let address = gone.local_addr().expect("the port is bound");
@@ -187,7 +188,7 @@
 }
 
 #[tokio::test]
-async fn bodies_larger_than_held_are_streamed_whole_both_ways() {
+async fn large_bodies_are_streamed_in_both_directions() {
     let mut mesh = TestMesh::new();
     let entry = mesh.add("one", "archives", large).await;
     mesh.add("two", "uploads", upload_len).await;
@@ -200,25 +201,26 @@
     assert_eq!(&got.body[..], LARGE_BYTES.to_string().as_bytes());
 }
 
-async fn breaks_off(_request: Request<Body>, _local: SocketAddr) -> Response<Body> {
+async fn fails_midway(_request: Request<Body>, _local: SocketAddr) -> Response<Body> {
     let good = (0..20).map(|_| Ok(Frame::data(Bytes::from(vec![7_u8; 16_384]))));
     let bad = [Err(std::io::Error::other("the disk failed"))];
     let body = StreamBody::new(stream::iter(good.chain(bad)));
     Response::new(body.boxed_unsync())
 }
 
-/// An archive is streamed, and its backend server fails after 300 KB. The caller has the head of a
-/// success already; the break must reach it as one, or it keeps a cut archive for a whole one.
+/// The backend server of a streamed answer fails after 300 KB, when the caller already has a
+/// successful head. The caller must see an error, or it takes the truncated answer for a complete
+/// one.
 #[tokio::test]
-async fn a_streamed_answer_that_breaks_off_breaks_the_callers_connection() {
+async fn a_failed_stream_closes_the_callers_connection() {
     let mut mesh = TestMesh::new();
-    let entry = mesh.add("one", "archives", breaks_off).await;
+    let entry = mesh.add("one", "archives", fails_midway).await;
     let request = Request::get(mesh.uri(entry, "/archives/7")).body(full_body(""));
     let response = mesh.client.request(request.expect("valid")).await;
     let response = response.expect("the head comes");
     assert_eq!(response.status(), 200);
     let body = response.into_body().collect().await;
-    assert!(body.is_err(), "a cut archive must not look whole");
+    assert!(body.is_err(), "a truncated archive must end in an error");
     assert!(mesh.nodes[entry].node.metrics.broken_answers.get() >= 1);
 }
 
@@ -228,10 +230,10 @@
     Response::new(body.boxed_unsync())
 }
 
-/// An archive is streamed, and after 300 KB nothing more comes, though no connection is closed. An
-/// analyst who waits for it loses the afternoon. The stream is broken off visibly after a while.
+/// A streamed answer stalls after 300 KB without a closed connection. It must be aborted with a
+/// visible error, or the caller waits indefinitely.
 #[tokio::test]
-async fn a_streamed_answer_that_stalls_is_broken_off() {
+async fn a_streamed_answer_that_stalls_is_aborted() {
     let mut mesh = TestMesh::new();
     let mut settings = node_settings("one");
     settings.silence_ms = 50;
@@ -242,6 +244,6 @@
     let response = mesh.client.request(request.expect("valid")).await;
     let response = response.expect("the head comes");
     let body = response.into_body().collect().await;
-    assert!(body.is_err(), "a cut archive must not look whole");
+    assert!(body.is_err(), "a truncated archive must end in an error");
     assert!(mesh.nodes[entry].node.metrics.broken_answers.get() >= 1);
 }
--- a/tests/support/test_mesh.rs
+++ b/tests/support/test_mesh.rs
@@ -1,4 +1,4 @@
-//! Nodes in one process, with backend servers that are closures.
+//! Nodes in one process, with closures as backend servers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,14 +22,14 @@
 use sassafrasgap::claims::Claims;
 use sassafrasgap::claims::ClaimsSettings;
 use sassafrasgap::claims::HeldSlot;
-use sassafrasgap::claims::Holding;
 use sassafrasgap::claims::LeaseConf;
 use sassafrasgap::claims::Ledger;
 use sassafrasgap::claims::LedgerBounds;
 use sassafrasgap::claims::OtherOwner;
 use sassafrasgap::claims::ResendLimits;
-use sassafrasgap::claims::SLOTS;
+use sassafrasgap::claims::SLOT_COUNT;
 use sassafrasgap::claims::SharedLedger;
+use sassafrasgap::claims::SlotLease;
 use sassafrasgap::conf::NodeSettings;
 use sassafrasgap::core::Clock;
 use sassafrasgap::core::FastMap;
@@ -40,20 +40,20 @@
 use sassafrasgap::core::View;
 use sassafrasgap::errors::PeerCallError;
 use sassafrasgap::node::Announcement;
-use sassafrasgap::node::AskAttempt;
 use sassafrasgap::node::Attempts;
 use sassafrasgap::node::NodeInputs;
+use sassafrasgap::node::QueryAttempt;
 use sassafrasgap::node::RunningNode;
 use sassafrasgap::preset::ClassPolicy;
 use sassafrasgap::preset::InForce;
 use sassafrasgap::preset::Preset;
 
-/// Nodes with one backend server each, which all know each other.
+/// Nodes with one backend server each. Each node has all others in its view.
 pub struct TestMesh {
     pub nodes: Vec<RunningNode>,
     pub client: HttpClient,
     targets: Vec<Target>,
-    /// Stands in for the control calls between nodes.
+    /// Replaces the control calls between nodes.
     attempts: AttemptsByNode,
     backends: JoinSet<()>,
 }
@@ -61,15 +61,15 @@
 /// The attempts of each guard by its control address.
 type AttemptsByNode = Arc<Mutex<FastMap<SocketAddr, (Arc<Attempts>, Clock)>>>;
 
-/// What a client got, whole.
+/// A complete response as received by a client.
 #[derive(Debug)]
-pub struct Got {
+pub struct ClientResponse {
     pub status: u16,
     pub headers: http::HeaderMap,
     pub body: Bytes,
 }
 
-impl Got {
+impl ClientResponse {
     pub fn header(&self, name: &str) -> &str {
         self.headers
             .get(name)
@@ -111,7 +111,7 @@
     }
 }
 
-/// One class; `POST` is non-idempotent as by default.
+/// A preset with one class, where `POST` is non-idempotent by default.
 pub fn plain_preset() -> Preset {
     Preset {
         name: Name::from("ordinary"),
@@ -138,8 +138,8 @@
         }
     }
 
-    /// Starts a node whose backend server is `handler`; it gets the address of its local listener
-    /// with each request.
+    /// Starts a node whose backend server is `handler`, which gets the address of the local
+    /// listener with each request.
     pub async fn add<F, R>(&mut self, name: &str, service: &str, handler: F) -> usize
     where
         F: Fn(Request<Body>, SocketAddr) -> R + Send + Sync + 'static,
@@ -162,11 +162,11 @@
     {
         let listener = bind(loopback()).await.expect("a port is free");
         let address = listener.local_addr().expect("the port is bound");
-        let place = self.add_at(settings, preset, service, address).await;
-        let local = self.nodes[place].local_address;
+        let index = self.add_at(settings, preset, service, address).await;
+        let local = self.nodes[index].local_address;
         self.backends
             .spawn(serve(listener, move |request, _| handler(request, local)));
-        place
+        index
     }
 
     /// Starts a node in front of whatever listens at `address`.
@@ -182,7 +182,7 @@
         let owner = self.targets.iter().find(same_service);
         let owner = owner.map(|target| target.node.clone());
         inputs.claims = Some(fixed_claims(&settings, service, owner, inputs.clock));
-        inputs.ask_attempt = ask_attempt(&self.attempts);
+        inputs.query_attempt = query_attempt(&self.attempts);
         let known = (inputs.attempts.clone(), inputs.clock);
         let in_force = InForce {
             version: 1,
@@ -192,7 +192,7 @@
         let running = RunningNode::start(settings, inputs)
             .await
             .expect("the node starts");
-        self.note_attempts(running.peer_address, known);
+        self.set_attempts(running.peer_address, known);
         self.targets.push(target_of(&running, service));
         self.nodes.push(running);
         self.announce(self.nodes.len() - 1, service, address).await;
@@ -200,12 +200,12 @@
         self.nodes.len() - 1
     }
 
-    pub fn note_attempts(&self, address: SocketAddr, known: (Arc<Attempts>, Clock)) {
+    pub fn set_attempts(&self, address: SocketAddr, known: (Arc<Attempts>, Clock)) {
         let mut attempts = self.attempts.lock().expect("no holder panics");
         attempts.insert(address, known);
     }
 
-    async fn announce(&self, place: usize, service: &str, address: SocketAddr) {
+    async fn announce(&self, index: usize, service: &str, address: SocketAddr) {
         let announcement = Announcement {
             service: Name::from(service),
             address,
@@ -214,14 +214,14 @@
             state: TargetState::Up,
         };
         let body = serde_json::to_vec(&announcement).expect("plain structs always encode");
-        let uri = format!("http://{}/announce", self.nodes[place].local_address);
+        let uri = format!("http://{}/announce", self.nodes[index].local_address);
         let request = Request::post(uri).body(full_body(body)).expect("valid");
         let got = self.send(request).await;
         assert_eq!(got.status, 204, "{got:?}");
     }
 
-    /// Adds a target that is no node of this mesh.
-    pub fn add_stranger(&mut self, name: &str, service: &str, peer_address: SocketAddr) {
+    /// Adds a target that is not a node of this mesh.
+    pub fn add_external_target(&mut self, name: &str, service: &str, peer_address: SocketAddr) {
         let mut target = self.targets[0].clone();
         target.node = Name::from(name);
         target.service = Name::from(service);
@@ -230,7 +230,7 @@
         self.publish();
     }
 
-    /// Tells every node another address of a target's listener for nodes.
+    /// Publishes another address of a target's listener for nodes.
     pub fn move_target(&mut self, name: &str, peer_address: SocketAddr) {
         let mut targets = self.targets.iter_mut();
         let target = targets.find(|target| &*target.node == name);
@@ -238,7 +238,7 @@
         self.publish();
     }
 
-    /// Tells every node of every target.
+    /// Publishes all targets to every node.
     pub fn publish(&self) {
         let view = Arc::new(view_of(&self.targets));
         for running in &self.nodes {
@@ -247,40 +247,40 @@
     }
 
     /// The URI of a path at one node's listener for callers.
-    pub fn uri(&self, place: usize, path: &str) -> String {
-        format!("http://{}{path}", self.nodes[place].caller_address)
+    pub fn uri(&self, index: usize, path: &str) -> String {
+        format!("http://{}{path}", self.nodes[index].caller_address)
     }
 
-    /// Sends a request and takes in the whole answer.
-    pub async fn send(&self, request: Request<Body>) -> Got {
+    /// Sends a request and reads the complete response.
+    pub async fn send(&self, request: Request<Body>) -> ClientResponse {
         send(&self.client, request).await
     }
 
-    pub async fn get(&self, place: usize, path: &str) -> Got {
-        let request = Request::get(self.uri(place, path));
+    pub async fn get(&self, index: usize, path: &str) -> ClientResponse {
+        let request = Request::get(self.uri(index, path));
         self.send(request.body(full_body("")).expect("valid")).await
     }
 
-    pub async fn post(&self, place: usize, path: &str, body: &'static str) -> Got {
-        let request = Request::post(self.uri(place, path));
+    pub async fn post(&self, index: usize, path: &str, body: &'static str) -> ClientResponse {
+        let request = Request::post(self.uri(index, path));
         self.send(request.body(full_body(body)).expect("valid"))
             .await
     }
 }
 
-/// Sends a request and takes in the whole answer.
-pub async fn send(client: &HttpClient, request: Request<Body>) -> Got {
+/// Sends a request and reads the complete response.
+pub async fn send(client: &HttpClient, request: Request<Body>) -> ClientResponse {
     let response = client.request(request).await.expect("an answer comes");
     let (parts, body) = response.into_parts();
     let body = body.collect().await.expect("the answer is whole");
-    Got {
+    ClientResponse {
         status: parts.status.as_u16(),
         headers: parts.headers,
         body: body.to_bytes(),
     }
 }
 
-fn ask_attempt(attempts: &AttemptsByNode) -> AskAttempt {
+fn query_attempt(attempts: &AttemptsByNode) -> QueryAttempt {
     let attempts = attempts.clone();
     Arc::new(move |address, attempt| {
         let attempts = attempts.lock().expect("no holder panics");
@@ -290,26 +290,26 @@
     })
 }
 
-/// The first target of a service owns all its slots for good.
+/// Creates claims in which the first target of a service owns all its slots permanently.
 fn fixed_claims(
     settings: &NodeSettings,
     service: &str,
     owner: Option<Name>,
     clock: Clock,
 ) -> Arc<Claims> {
-    let mut holding = Holding::nothing();
-    holding.lease_until = TimeMs(u64::MAX);
-    for slot in 0..SLOTS {
+    let mut slot_lease = SlotLease::none_held();
+    slot_lease.lease_until = TimeMs(u64::MAX);
+    for slot in 0..SLOT_COUNT {
         match &owner {
             Some(node) => {
                 let node = node.clone();
-                holding.others[slot] = Some(OtherOwner { node, epoch: 1 });
+                slot_lease.others[slot] = Some(OtherOwner { node, epoch: 1 });
             }
             None => {
-                holding.held[slot] = Some(HeldSlot {
+                slot_lease.held[slot] = Some(HeldSlot {
                     epoch: 1,
                     grace_until: TimeMs(0),
-                    giving: false,
+                    handing_over: false,
                 });
             }
         }
@@ -317,7 +317,7 @@
     let bounds = LedgerBounds::default();
     let limits = ResendLimits::new(10_000);
     let mut ledger = Ledger::new(Name::from(service), fastrand::u64(..), bounds, limits);
-    ledger.set_holding(holding);
+    ledger.set_slot_lease(slot_lease);
     let claims = ClaimsSettings {
         node: settings.node.clone(),
         region: settings.region.clone(),
