--- a/src/metrics/metrics.rs
+++ b/src/metrics/metrics.rs
@@ -28,15 +28,15 @@
     10.0, 30.0,
 ];
 
-/// Accounts shown by name at most.
-const MOST_ACCOUNTS: usize = 10;
+/// How many accounts have a label of their own.
+const MAX_ACCOUNTS: usize = 10;
 
 /// Everything that a node counts.
 pub struct Metrics {
     registry: Registry,
-    /// Refusals given to callers and to local backend servers, by this node as entry.
+    /// Refusals by this node as entry, to callers and to the local backend server.
     entry_refusals: ByReason,
-    /// Refusals given to other nodes, by this node as guard.
+    /// Refusals by this node as guard, to other nodes.
     guard_refusals: ByReason,
     retries: ByReason,
     pub entry_calls: IntCounter,
@@ -57,7 +57,7 @@
     pub guard_in_flight: IntGauge,
     pub guard_limit: IntGauge,
     guard_queue: IntGaugeVec,
-    /// Attempts that this node as entry awaits the end of.
+    /// Attempts that this node as entry has sent and that have not ended.
     pub entry_in_flight: IntGauge,
     pub config_version: IntGauge,
     pub slots_owned: IntGauge,
@@ -65,7 +65,7 @@
     pub ledger_keys: IntGauge,
     pub ledger_answer_bytes: IntGauge,
     pub entry_latency: Histogram,
-    /// The same by route, for requests that were answered by a backend server.
+    /// The latency by route, for requests that were answered by a backend server.
     pub route_latency: ByRoute,
     pub store_reached: IntGauge,
     pub store: StoreCounters,
@@ -73,8 +73,8 @@
     pub failing_permille: IntGauge,
     pressures: IntGaugeVec,
     admitted: IntGaugeVec,
-    account_asked: IntGaugeVec,
-    account_part: IntGaugeVec,
+    account_requests: IntGaugeVec,
+    account_admitted: IntGaugeVec,
     pub guard_wait: Histogram,
     pub backend_latency: Histogram,
 }
@@ -83,12 +83,12 @@
     /// Registers every metric.
     ///
     /// # Panics
-    /// When two metrics bear one name, which is a mistake in the program.
+    /// When two metrics have the same name, which is a bug in the program.
     pub fn new() -> Self {
         let registry = Registry::new();
         let refusals: Vec<&str> = RefusalReason::ALL.iter().map(|r| r.as_str()).collect();
         let retries: Vec<&str> = RetryReason::ALL.iter().map(|r| r.as_str()).collect();
-        let by_reason = |name, help, words| ByReason::register(&registry, name, help, words);
+        let by_reason = |name, help, reasons| ByReason::register(&registry, name, help, reasons);
         let counter = |name, help| counter(&registry, name, help);
         let gauge = |name, help| gauge(&registry, name, help);
         let histogram = |name, help| histogram(&registry, name, help);
@@ -243,13 +243,13 @@
                 "sassafrasgap_admitted_percent",
                 "The part of callers' requests that is let in for a pressed service's sake.",
             ),
-            account_asked: gauge_by(
+            account_requests: gauge_by(
                 &registry,
                 "sassafrasgap_account_asked_per_minute",
                 "Requests of the busiest accounts that come here, and of all others together.",
                 "account",
             ),
-            account_part: gauge_by(
+            account_admitted: gauge_by(
                 &registry,
                 "sassafrasgap_account_part_permille",
                 "The part of an account's requests that its allowance lets in.",
@@ -267,27 +267,27 @@
         }
     }
 
-    /// Counts a refusal given by this node as entry.
+    /// Counts a refusal by this node as entry.
     pub fn count_entry_refusal(&self, reason: RefusalReason) {
         self.entry_refusals.inc(reason as usize);
     }
 
-    /// Counts a refusal given by this node as guard.
+    /// Counts a refusal by this node as guard.
     pub fn count_guard_refusal(&self, reason: RefusalReason) {
         self.guard_refusals.inc(reason as usize);
     }
 
-    /// Counts a further attempt.
+    /// Counts a retry by the reason why the previous attempt failed.
     pub fn count_retry(&self, reason: RetryReason) {
         self.retries.inc(reason as usize);
     }
 
-    /// Counts a word that an answer of the local backend server says of itself.
+    /// Counts an answer in which the local backend server reports its own state as `word`.
     pub fn count_word(&self, word: &str) {
         self.backend_words.with_label_values(&[word]).inc();
     }
 
-    /// Sets how many calls of each class wait at the guard.
+    /// Sets how many calls of each class are queued at the guard.
     pub fn set_guard_queue(&self, queued: &BTreeMap<u8, i64>) {
         self.guard_queue.reset();
         for (class, queued) in queued {
@@ -296,11 +296,12 @@
         }
     }
 
-    /// Sets for which services' sake requests are refused. At most as many as there are services.
-    pub fn set_pressed(&self, pressed: &[OverloadedService]) {
+    /// Sets the overloaded services because of which this entry refuses requests. There are at most
+    /// as many as there are services.
+    pub fn set_overloaded(&self, overloaded: &[OverloadedService]) {
         self.pressures.reset();
         self.admitted.reset();
-        for each in pressed {
+        for each in overloaded {
             let label = [&*each.service];
             let pressure = self.pressures.with_label_values(&label);
             pressure.set(i64::from(each.pressure_permille));
@@ -309,47 +310,49 @@
         }
     }
 
-    /// Sets what comes of each account, the busiest first. Labels are bounded: all others are one.
+    /// Sets the request rate and the admitted fraction of each account. `accounts` is sorted by
+    /// rate, highest first. All accounts after the first 10 share one label, so that the number of
+    /// series is limited.
     pub fn set_accounts<'a>(&self, accounts: impl Iterator<Item = (&'a str, AccountUse)>) {
-        self.account_asked.reset();
-        self.account_part.reset();
+        self.account_requests.reset();
+        self.account_admitted.reset();
         let mut others_per_minute = 0.0;
-        for (order, (name, account)) in accounts.enumerate() {
+        for (rank, (name, account)) in accounts.enumerate() {
             let per_minute = account.per_s * 60.0;
-            if order >= MOST_ACCOUNTS {
+            if rank >= MAX_ACCOUNTS {
                 others_per_minute += per_minute;
                 continue;
             }
-            let asked = self.account_asked.with_label_values(&[name]);
-            asked.set(per_minute as i64);
-            let part = self.account_part.with_label_values(&[name]);
-            part.set(i64::from(account.admitted_permille));
+            let requests = self.account_requests.with_label_values(&[name]);
+            requests.set(per_minute as i64);
+            let fraction = self.account_admitted.with_label_values(&[name]);
+            fraction.set(i64::from(account.admitted_permille));
         }
-        let others = self.account_asked.with_label_values(&["(others)"]);
+        let others = self.account_requests.with_label_values(&["(others)"]);
         others.set(others_per_minute as i64);
     }
 
-    /// Refusals given so far as entry.
+    /// The number of refusals by this node as entry.
     pub fn entry_refusals(&self, reason: RefusalReason) -> u64 {
         self.entry_refusals.get(reason as usize)
     }
 
-    /// Refusals given so far as guard.
+    /// The number of refusals by this node as guard.
     pub fn guard_refusals(&self, reason: RefusalReason) -> u64 {
         self.guard_refusals.get(reason as usize)
     }
 
-    /// Further attempts so far.
+    /// The number of retries.
     pub fn retries(&self, reason: RetryReason) -> u64 {
         self.retries.get(reason as usize)
     }
 
-    /// Where other concerns register their metrics.
+    /// The registry, in which other modules register their metrics.
     pub fn registry(&self) -> &Registry {
         &self.registry
     }
 
-    /// The text that Prometheus scrapes.
+    /// All metrics in the Prometheus text format.
     pub fn render(&self) -> Vec<u8> {
         let mut text = Vec::new();
         TextEncoder::new()
--- a/src/node/guard_run.rs
+++ b/src/node/guard_run.rs
@@ -1,4 +1,4 @@
-//! From the arrival of a checked call at the guard to its end: key, poison, admission, run.
+//! Runs a checked call at the guard: key lookup, poison check, admission and execution.
 
 use std::sync::Arc;
 
@@ -16,10 +16,10 @@
 use crate::node::keyed_guard::run_keyed;
 use crate::poison::Verdict;
 
-/// When to come back after a refusal that says nothing about load, in milliseconds.
-const LATER_MS: u64 = 500;
+/// The minimum retry delay after a refusal that is unrelated to load, in milliseconds.
+const MIN_RETRY_AFTER_MS: u64 = 500;
 
-/// Runs a call, or finds out that it must not run.
+/// Runs a call unless it must be refused.
 ///
 /// # Errors
 /// The refusal to send back.
@@ -34,35 +34,37 @@
 /// Waits for admission and runs the call.
 ///
 /// # Errors
-/// The refusal; `not_run` only if the call was certainly not started.
+/// The refusal. Its outcome is `not_run` only if the call was certainly not started.
 pub(super) async fn admit_and_run(node: &Arc<Node>, call: GuardedCall) -> Result<Answer, Refusal> {
-    takes_work(node, &call)?;
+    check_accepting(node, &call)?;
     if call.deadline <= node.inputs.clock.now() {
         return Err(not_run(RefusalReason::DeadlineExceeded));
     }
-    is_harmless(node, &call)?;
-    passes_deeper(node, &call)?;
-    let queued = OfferedCall {
+    check_poison(node, &call)?;
+    check_downstream_level(node, &call)?;
+    let offered = OfferedCall {
+        // Set by the gate.
         ticket: 0,
         priority: call.header.priority,
         depth: call.header.depth,
         wait_ms: call.header.wait_ms,
+        // The same for all calls, so that class, depth and rank decide the order.
         due: TimeMs(0),
         deadline: call.deadline,
     };
     let arrived_us = node.inputs.clock.now_us();
-    let permit = node.gate.admit(queued).await?;
+    let permit = node.gate.admit(offered).await?;
     let waited_us = permit.since_us.saturating_sub(arrived_us);
     node.metrics.guard_wait.observe(waited_us as f64 / 1e6);
-    // Both may have changed while the call waited.
-    takes_work(node, &call)?;
-    is_harmless(node, &call)?;
+    // The state and the suspected requests may have changed while the call was queued.
+    check_accepting(node, &call)?;
+    check_poison(node, &call)?;
     backend_call::run(node, call, permit).await
 }
 
-/// Whether the call may start here. During a planned stop of the node, the owner of a key goes on
-/// until the slot is handed over: nobody else may run it.
-fn takes_work(node: &Node, call: &GuardedCall) -> Result<(), Refusal> {
+/// Checks whether the call may start here. During a planned stop of the node, the owner of a key
+/// accepts its calls until the slot is handed over, since no other node may run them.
+fn check_accepting(node: &Node, call: &GuardedCall) -> Result<(), Refusal> {
     let local = node.inputs.local.borrow();
     let state = match (&local.announced, key_of(&call.header)) {
         (Some(announced), Some(_)) => announced.state,
@@ -77,20 +79,20 @@
     }
 }
 
-/// Refuses a call that a service behind this one would shed, before it takes a slot here. It passed
-/// its sender with an older level than the one known here.
-fn passes_deeper(node: &Node, call: &GuardedCall) -> Result<(), Refusal> {
+/// Refuses a call that a downstream service would shed, before it takes a slot here. Its sender
+/// admitted it by an older level than the one known here.
+fn check_downstream_level(node: &Node, call: &GuardedCall) -> Result<(), Refusal> {
     let now = node.inputs.clock.now();
     let level = node
         .levels
-        .level_on(now, &call.live.route, Priority::LOWEST);
+        .level_for_route(now, &call.live.route, Priority::LOWEST);
     if call.header.priority > level {
         return Err(not_run(RefusalReason::ShedAtEntry));
     }
     Ok(())
 }
 
-fn is_harmless(node: &Node, call: &GuardedCall) -> Result<(), Refusal> {
+fn check_poison(node: &Node, call: &GuardedCall) -> Result<(), Refusal> {
     let now = node.inputs.clock.now();
     match node
         .inputs
@@ -106,9 +108,9 @@
 }
 
 fn not_run(reason: RefusalReason) -> Refusal {
-    Refusal::not_run(reason, later_ms())
+    Refusal::not_run(reason, retry_after_ms())
 }
 
-fn later_ms() -> u64 {
-    LATER_MS + fastrand::u64(..LATER_MS)
+fn retry_after_ms() -> u64 {
+    MIN_RETRY_AFTER_MS + fastrand::u64(..MIN_RETRY_AFTER_MS)
 }
--- a/src/node/peer_call.rs
+++ b/src/node/peer_call.rs
@@ -1,4 +1,4 @@
-//! One attempt: a call sent to the guard of one target, and what came of it.
+//! One attempt: sends a call to the guard of one target and returns the outcome.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -33,36 +33,37 @@
 use crate::node::call::Call;
 use crate::node::caller_headers;
 use crate::node::kept_answer::headers_of;
-use crate::node::silence::Silence;
-use crate::node::silence::watch;
-use crate::node::targets::InFlightAt;
+use crate::node::overdue::OverdueStatus;
+use crate::node::overdue::watch_overdue;
+use crate::node::targets::InFlightAttempt;
 use crate::node::watched_body::BodyEnd;
 use crate::node::watched_body::watched;
 use crate::wire::AnswerHeader;
 use crate::wire::CallHeader;
 use crate::wire::headers;
 
-/// How long an answer may come after the deadline: the guard's own refusal says more than a
-/// time-out here, so it gets the time to arrive.
-const GRACE_MS: u64 = 50;
-/// When to come back after a target was lost, in milliseconds.
+/// How long after the deadline an answer is still accepted, in milliseconds. The guard's own
+/// refusal is more specific than a local time-out, so it gets time to arrive.
+const DEADLINE_GRACE_MS: u64 = 50;
+/// The minimum retry delay after a target was lost, in milliseconds.
 const LOST_RETRY_AFTER_MS: u64 = 200;
 
-/// What came of an attempt.
+/// The outcome of an attempt.
 pub(super) enum AttemptEnd {
     Answered(Answer, AnswerHeader),
-    /// Refused by the guard, with its header, or lost.
+    /// Refused by the guard, with its header, or lost, without one.
     Refused(Refusal, Option<AnswerHeader>),
 }
 
-/// What has to be remembered of a call while its answer is awaited.
-struct Sent {
+/// The data of a call that is needed while its answer is awaited.
+struct SentAttempt {
     attempt: AttemptId,
     request: RequestId,
     method: Method,
     non_idempotent: bool,
-    /// Giving up does no harm: the call may be sent again, or its key keeps it from running twice.
-    may_give_up: bool,
+    /// Whether the attempt may be abandoned: the call may be sent again, or its key prevents a
+    /// second run.
+    may_abandon: bool,
 }
 
 /// Sends the call to one target, with `share` of its allotment, and waits for the end.
@@ -72,55 +73,58 @@
     target: &Target,
     share: u16,
 ) -> AttemptEnd {
-    let mut in_flight = InFlightAt::new(node.clone(), target.node.clone());
-    let sent = Sent {
+    let mut in_flight = InFlightAttempt::new(node.clone(), target.node.clone());
+    let sent = SentAttempt {
         attempt: AttemptId::random(),
         request: call.request,
         method: call.method.clone(),
         non_idempotent: call.non_idempotent,
-        may_give_up: !call.non_idempotent || call.key.is_some(),
+        may_abandon: !call.non_idempotent || call.key.is_some(),
     };
     let Some(request) = peer_request(node, call, target, sent.attempt, share) else {
         return lost(RefusalReason::BadRequest, RunState::NotRun);
     };
-    let left_ms = call.deadline.since(node.inputs.clock.now()) + GRACE_MS;
+    let left_ms = call.deadline.since(node.inputs.clock.now()) + DEADLINE_GRACE_MS;
     let end = watched_exchange(node, &sent, request, target, &mut in_flight);
     match timeout(Duration::from_millis(left_ms), end).await {
         Ok(AttemptEnd::Answered(answer, header)) => {
-            AttemptEnd::Answered(holding(node, answer, in_flight), header)
+            AttemptEnd::Answered(track_body(node, answer, in_flight), header)
         }
         Ok(refused) => refused,
         Err(_) => lost(RefusalReason::DeadlineExceeded, RunState::Unknown),
     }
 }
 
-/// Waits for the answer, or for the guard's word on a connection that has gone silent. The
-/// connection is then given up with the future that waits on it.
+/// Waits for the answer, or for the guard's report on an attempt whose connection is half-open. The
+/// connection is then dropped together with the future that waits on it.
 async fn watched_exchange(
     node: &Arc<Node>,
-    sent: &Sent,
+    sent: &SentAttempt,
     request: Request<Body>,
     target: &Target,
-    in_flight: &mut InFlightAt,
+    in_flight: &mut InFlightAttempt,
 ) -> AttemptEnd {
     let client = node.peer_client.load_full();
-    let silence = tokio::select! {
+    let overdue = tokio::select! {
         end = exchange(node, &client, sent, request, in_flight) => return end,
-        silence = watch(node, target, sent.attempt, sent.may_give_up) => silence,
+        overdue = watch_overdue(node, target, sent.attempt, sent.may_abandon) => overdue,
     };
     log::info!(
-        "entry: a connection went silent, peer={} attempt={}",
+        "entry: a connection is half-open, peer={} attempt={}",
         target.node,
         sent.attempt
     );
     node.metrics.silent_connections.inc();
     node.renew_peer_client(&client);
-    match silence {
-        Silence::NeverSeen => lost(RefusalReason::Revoked, RunState::NotRun),
-        Silence::Answered(kept) => receive(node, sent, response_of(&kept), in_flight).await,
-        Silence::AnswerGone => lost(RefusalReason::PeerLost, ran_if(sent.non_idempotent)),
-        Silence::Forgotten => lost(RefusalReason::PeerLost, RunState::Unknown),
-        Silence::NobodyThere => {
+    match overdue {
+        OverdueStatus::NeverSeen => lost(RefusalReason::Revoked, RunState::NotRun),
+        OverdueStatus::Answered(kept) => receive(node, sent, response_of(&kept), in_flight).await,
+        OverdueStatus::AnswerNotKept => lost(
+            RefusalReason::PeerLost,
+            ran_if_non_idempotent(sent.non_idempotent),
+        ),
+        OverdueStatus::Forgotten => lost(RefusalReason::PeerLost, RunState::Unknown),
+        OverdueStatus::Unreachable => {
             in_flight.lost();
             lost(RefusalReason::PeerLost, RunState::Unknown)
         }
@@ -170,9 +174,9 @@
 async fn exchange(
     node: &Arc<Node>,
     client: &HttpClient,
-    sent: &Sent,
+    sent: &SentAttempt,
     request: Request<Body>,
-    in_flight: &mut InFlightAt,
+    in_flight: &mut InFlightAttempt,
 ) -> AttemptEnd {
     match client.request(request).await {
         Ok(response) => {
@@ -182,24 +186,27 @@
         }
         Err(error) => {
             in_flight.lost();
-            log::debug!("entry: lost a peer, request={} error={error}", sent.request);
+            log::debug!(
+                "entry: call to a peer failed, request={} error={error}",
+                sent.request
+            );
             lost(RefusalReason::PeerLost, run_state_of(&error))
         }
     }
 }
 
-/// Checks an answer, however it came, and takes it in.
+/// Checks and reads an answer, whether it came from the connection or from the guard's record.
 async fn receive(
     node: &Node,
-    sent: &Sent,
+    sent: &SentAttempt,
     response: Response<Body>,
-    in_flight: &mut InFlightAt,
+    in_flight: &mut InFlightAttempt,
 ) -> AttemptEnd {
     let body_len = response.body().size_hint().exact();
     match check_head(response.headers(), sent.attempt, body_len) {
         Ok(header) => {
             in_flight.reported(&header);
-            take_answer(node, sent, response, header).await
+            read_answer(node, sent, response, header).await
         }
         Err(error) if is_plain_not_run(response.headers(), &error) => {
             lost(RefusalReason::PeerVersion, RunState::NotRun)
@@ -207,7 +214,7 @@
         Err(error) => {
             node.metrics.wrong_answers.inc();
             log::warn!(
-                "entry: dropped a wrong answer, request={} error={error}",
+                "entry: dropped an invalid answer, request={} error={error}",
                 sent.request
             );
             lost(RefusalReason::PeerLost, RunState::Unknown)
@@ -215,7 +222,7 @@
     }
 }
 
-fn ran_if(non_idempotent: bool) -> RunState {
+fn ran_if_non_idempotent(non_idempotent: bool) -> RunState {
     if non_idempotent {
         RunState::Ran
     } else {
@@ -223,7 +230,7 @@
     }
 }
 
-/// Nothing was sent when no connection could be made; after that anything may have happened.
+/// Nothing was sent if no connection could be made. After that the call may have run.
 fn run_state_of(error: &hyper_util::client::legacy::Error) -> RunState {
     if error.is_connect() {
         RunState::NotRun
@@ -232,9 +239,9 @@
     }
 }
 
-async fn take_answer(
+async fn read_answer(
     node: &Node,
-    sent: &Sent,
+    sent: &SentAttempt,
     response: Response<Body>,
     header: AnswerHeader,
 ) -> AttemptEnd {
@@ -247,7 +254,7 @@
         Ok(body) if check_len(&header, body.len()).is_ok() => body,
         _ => {
             node.metrics.wrong_answers.inc();
-            return cut_short(sent, &header);
+            return truncated(sent, &header);
         }
     };
     let answer = Answer {
@@ -258,9 +265,9 @@
     AttemptEnd::Answered(answer, header)
 }
 
-/// The answer was lost on its way. That a non-idempotent call ran is still known and said; an
-/// idempotent one counts as lost, so that it may be sent again.
-fn cut_short(sent: &Sent, header: &AnswerHeader) -> AttemptEnd {
+/// Handles an answer that was truncated on its way. For a non-idempotent call the run state is
+/// known and reported. An idempotent call counts as lost, so that it may be sent again.
+fn truncated(sent: &SentAttempt, header: &AnswerHeader) -> AttemptEnd {
     let run_state = if sent.non_idempotent {
         header.run_state
     } else {
@@ -278,8 +285,8 @@
     AttemptEnd::Refused(refusal, None)
 }
 
-/// Keeps a streamed answer counted as in flight until its end, and checks its length on the way.
-fn holding(node: &Arc<Node>, mut answer: Answer, in_flight: InFlightAt) -> Answer {
+/// Counts a streamed answer as in flight until its end, and checks its length meanwhile.
+fn track_body(node: &Arc<Node>, mut answer: Answer, in_flight: InFlightAttempt) -> Answer {
     if let NodeBody::Streamed { body, len } = answer.body {
         let stall_ms = node.stall_ms();
         let node = node.clone();
--- a/src/node/poison_guard.rs
+++ b/src/node/poison_guard.rs
@@ -1,4 +1,5 @@
-//! Notices crashes of the local backend server and tells the other targets what was running.
+//! Detects crashes of the local backend server and reports the running requests to the other
+//! targets.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -10,7 +11,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use crate::control::Suspects as SuspectsNews;
+use crate::control::Suspects as SuspectsReport;
 use crate::core::TargetState;
 use crate::core::TimeMs;
 use crate::node::LocalBackend;
@@ -22,28 +23,28 @@
 use crate::poison::Suspects;
 use crate::poison::Verdict;
 
-/// How long the backend server is given to take a connection and keep it.
-const PROBE: Duration = Duration::from_millis(40);
-/// How long the other targets are given to take in a report, before the caller is answered.
-const REPORT: Duration = Duration::from_millis(300);
+/// How long the backend server may take to accept a connection, and then has to keep it open.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(40);
+/// How long the other targets may take to accept a report before the caller is answered.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The crash that was noticed last.
+/// The crash detected last.
 struct LastCrash {
     id: CrashId,
-    /// When it was noticed, in microseconds: what was sent before broke in it.
+    /// When it was detected, in microseconds. Broken calls that were sent earlier belong to it.
     at_us: u64,
     running: Vec<RunningRequest>,
 }
 
-/// The suspects of the local service.
+/// The suspected requests of the local service.
 pub struct PoisonGuard {
     suspects: Mutex<Suspects>,
-    /// Held while a crash is reported: nobody who ran in it is answered before.
+    /// Locked while a crash is reported, so that no call that broke in it is answered earlier.
     last_crash: tokio::sync::Mutex<Option<LastCrash>>,
 }
 
 impl PoisonGuard {
-    /// Nobody is suspected.
+    /// Creates a guard that suspects no request.
     pub fn new() -> Self {
         Self {
             suspects: Mutex::new(Suspects::new(PoisonSettings::default())),
@@ -51,9 +52,9 @@
         }
     }
 
-    /// Takes in the report of another target.
-    pub fn merge(&self, now: TimeMs, news: &SuspectsNews) {
-        self.lock().merge(now, &news.report);
+    /// Merges the report of another target.
+    pub fn merge(&self, now: TimeMs, message: &SuspectsReport) {
+        self.lock().merge(now, &message.report);
     }
 
     pub(super) fn verdict(&self, now: TimeMs, live: &LiveCall, non_idempotent: bool) -> Verdict {
@@ -61,7 +62,7 @@
         suspects.verdict(now, live.request, live.fingerprint, non_idempotent)
     }
 
-    pub(super) fn note_success(&self, live: &LiveCall) {
+    pub(super) fn record_success(&self, live: &LiveCall) {
         let mut suspects = self.lock();
         if !suspects.is_empty() && suspects.record_completion(live.fingerprint) {
             log::info!("poison: cleared, fingerprint={:016x}", live.fingerprint);
@@ -79,9 +80,10 @@
     }
 }
 
-/// Called while a call that broke still counts as running. If the backend server crashed, all
-/// targets of the service know what was running when this returns, or were given the time to.
-pub(super) async fn backend_broke(
+/// Handles a call whose connection to the backend server broke. The call must still be registered
+/// as live. If the backend server crashed, the running requests are reported to all targets of the
+/// service before this returns, within [`REPORT_TIMEOUT`].
+pub(super) async fn handle_broken_call(
     node: &Node,
     address: SocketAddr,
     live: &LiveCall,
@@ -92,7 +94,7 @@
     }
     let poison = &node.inputs.poison;
     let mut last = poison.last_crash.lock().await;
-    let this = live.running();
+    let this = live.running_request();
     let id = match last.as_mut() {
         Some(crash) if since_us <= crash.at_us => {
             if crash.running.contains(&this) {
@@ -101,13 +103,14 @@
             crash.running.push(this);
             crash.id
         }
-        // It met a backend server that was still down. Held against it, every call that does so
-        // would be taken for the cause, and refused after two of them.
+        // The call was sent to a backend server that was still down, so it did not cause a crash.
+        // If it counted as a suspect, a request that was sent to it twice would be refused as
+        // poison.
         Some(_) if is_down(node) => return,
         _ => last.insert(new_crash(node, this)).id,
     };
-    // Nothing more is sent there until it announces itself again.
-    node.inputs.local.send_if_modified(LocalBackend::went_down);
+    // No further calls are sent until the backend server announces itself again.
+    node.inputs.local.send_if_modified(LocalBackend::mark_down);
     let running = last.as_ref().map_or(&[][..], |crash| &crash.running);
     log::warn!(
         "poison: the backend server crashed, running={}",
@@ -115,7 +118,7 @@
     );
     let now = node.inputs.clock.now();
     let report = poison.lock().record_crash(now, id, running);
-    tell_targets(node, report).await;
+    notify_targets(node, report).await;
 }
 
 fn is_down(node: &Node) -> bool {
@@ -134,30 +137,33 @@
     }
 }
 
-/// Whether the backend server takes a connection and keeps it. One that crashed refuses it; a
-/// relay in between takes it and closes it at once.
+/// Whether the backend server accepts a connection and keeps it open. A crashed one refuses it, and
+/// a relay in between accepts it and closes it at once.
 async fn is_alive(address: SocketAddr) -> bool {
-    let Ok(Ok(mut stream)) = timeout(PROBE, TcpStream::connect(address)).await else {
+    let Ok(Ok(mut stream)) = timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await else {
         return false;
     };
     let mut byte = [0];
-    // Nothing was asked, so a live server stays silent.
-    timeout(PROBE, stream.read(&mut byte)).await.is_err()
+    // No request was sent, so a running server sends nothing and the read times out.
+    timeout(PROBE_TIMEOUT, stream.read(&mut byte))
+        .await
+        .is_err()
 }
 
-async fn tell_targets(node: &Node, report: crate::poison::CrashReport) {
+async fn notify_targets(node: &Node, report: crate::poison::CrashReport) {
     let Some(announced) = node.inputs.local.borrow().announced.clone() else {
         return;
     };
     let view = node.inputs.view.load_full();
-    let news = SuspectsNews {
+    let message = SuspectsReport {
         service: announced.service.clone(),
         report,
     };
     let targets = view.targets(&announced.service).iter();
     let others = targets.filter(|target| target.node != node.settings.node);
-    let told = others.map(|target| (node.inputs.report_suspects)(target.control_address, &news));
-    if timeout(REPORT, join_all(told)).await.is_err() {
-        log::warn!("poison: not all targets took in the report in time");
+    let reports =
+        others.map(|target| (node.inputs.report_suspects)(target.control_address, &message));
+    if timeout(REPORT_TIMEOUT, join_all(reports)).await.is_err() {
+        log::warn!("poison: some targets did not accept the crash report in time");
     }
 }
--- a/src/preset/mod.rs
+++ b/src/preset/mod.rs
@@ -1,4 +1,5 @@
-//! Presets: what operators say matters most and how long each kind of work may wait.
+//! Presets, with which operators set the importance of each class of calls and how long its calls
+//! may wait.
 
 mod call_policy;
 mod preset;
--- a/src/traffic/allowances.rs
+++ b/src/traffic/allowances.rs
@@ -1,4 +1,4 @@
-//! Accounts' allowances at one node: asked by its entry, told of among nodes.
+//! The allowances of client accounts at one node: checked by its entry, exchanged among nodes.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -22,34 +22,35 @@
 use crate::traffic::InForce;
 use crate::traffic::fleet_watch::FleetWatch;
 
-/// How often keepers of different failure domains tell each other, in milliseconds.
-const DOMAINS_MS: u64 = 300;
+/// How often coordinators of different failure domains exchange usage, in milliseconds.
+const DOMAIN_EXCHANGE_MS: u64 = 300;
 
-/// A message and the node that it is for.
-pub(super) type Told = (Name, AllowanceMessage);
+/// A message and its peer: the recipient of an outgoing one, the sender of an incoming one.
+pub(super) type PeerMessage = (Name, AllowanceMessage);
 
 #[derive(Debug)]
-struct Keeping {
-    keeper: AllowanceCoordinator,
+struct CoordinatorState {
+    coordinator: AllowanceCoordinator,
     fleet: FleetWatch,
-    /// The version whose allowances are kept.
+    /// The version of the desired state whose allowances are in use.
     version: u64,
-    told_domains: TimeMs,
+    last_domain_exchange: TimeMs,
 }
 
-/// Shared by the entry and the control thread. No lock is held while another one is taken.
+/// Shared by the entry and the control thread. To rule out deadlocks, no lock is held while another
+/// one is taken.
 #[derive(Debug)]
 pub(super) struct Allowances {
     node: Name,
     domain: Name,
-    /// How many nodes there are, as last looked up.
+    /// The number of nodes at the last update of the fleet.
     nodes: AtomicUsize,
     entry: Mutex<EntryAllowances>,
-    keeping: Mutex<Keeping>,
+    coordinator_state: Mutex<CoordinatorState>,
 }
 
 impl Allowances {
-    /// Nothing is used yet.
+    /// Starts with no usage.
     pub(super) fn new(
         node: Name,
         domain: Name,
@@ -63,22 +64,22 @@
             domain,
             nodes: AtomicUsize::new(0),
             entry: Mutex::new(EntryAllowances::new(bound, is_first_start, process, now)),
-            keeping: Mutex::new(Keeping {
-                keeper: AllowanceCoordinator::new(is_first_start, now),
+            coordinator_state: Mutex::new(CoordinatorState {
+                coordinator: AllowanceCoordinator::new(is_first_start, now),
                 fleet: FleetWatch::default(),
                 version: 0,
-                told_domains: now,
+                last_domain_exchange: now,
             }),
         }
     }
 
-    /// Changes the bound of the whole system.
+    /// Changes the system-wide bound.
     pub(super) fn set_bound(&self, bound: AllowanceBound) {
         self.entry().set_bound(bound);
     }
 
-    /// Decides about a request and counts it; see [`EntryAllowances::admit`].
-    pub(super) fn ask(
+    /// Decides whether to admit a request, and counts it; see [`EntryAllowances::admit`].
+    pub(super) fn admit(
         &self,
         now: TimeMs,
         account: AccountId,
@@ -89,121 +90,128 @@
         self.entry().admit(now, account, allowance, nodes, random)
     }
 
-    /// A request that was let in has reached no backend server.
-    pub(super) fn give_back(&self, account: AccountId) {
+    /// Refunds an admitted request that reached no backend server.
+    pub(super) fn refund(&self, account: AccountId) {
         self.entry().refund(account);
     }
 
-    /// What comes of each account here; see [`EntryAllowances::uses`].
+    /// The usage of each account at this node; see [`EntryAllowances::uses`].
     pub(super) fn uses(&self, now: TimeMs) -> Vec<AccountUse> {
         self.entry().uses(now)
     }
 
-    /// When a keeper last gave a word.
-    pub(super) fn worded(&self) -> Option<TimeMs> {
+    /// When a coordinator last replied to a report.
+    pub(super) fn last_reply(&self) -> Option<TimeMs> {
         self.entry().last_reply_at()
     }
 
-    /// Looks at the time, and answers what is to be told.
-    pub(super) fn tick(&self, now: TimeMs, view: &View, in_force: &InForce) -> Vec<Told> {
+    /// Performs the work that is due, and returns the messages to send.
+    pub(super) fn tick(&self, now: TimeMs, view: &View, in_force: &InForce) -> Vec<PeerMessage> {
         if in_force.accounts.is_none() {
             return Vec::new();
         }
-        let keepers = self.follow(now, view, in_force);
-        let mut told = Vec::new();
+        let coordinators = self.update_fleet(now, view, in_force);
+        let mut outgoing = Vec::new();
         // Not in the condition itself, which would hold the lock for the whole block.
         let report = self.entry().report(now);
         if let Some(report) = report {
-            self.tell_report(now, &keepers, report, &mut told);
+            self.send_report(now, &coordinators, report, &mut outgoing);
         }
-        if keepers.first() == Some(&self.node) {
-            self.tell_domains(now, &mut told);
+        if coordinators.first() == Some(&self.node) {
+            self.send_to_other_domains(now, &mut outgoing);
         }
-        told
+        outgoing
     }
 
-    /// Takes in what another node tells, and answers what it is to be told.
-    pub(super) fn take(
+    /// Handles a message of another node, and returns the reply, if any.
+    pub(super) fn handle(
         &self,
         now: TimeMs,
         view: &View,
         from: &Name,
         message: AllowanceMessage,
-    ) -> Option<Told> {
+    ) -> Option<PeerMessage> {
         match message {
-            AllowanceMessage::Report(report) => self.take_report(now, from, &report),
-            AllowanceMessage::Reply(word) => {
-                self.entry().apply_reply(now, &word);
+            AllowanceMessage::Report(report) => self.handle_report(now, from, &report),
+            AllowanceMessage::Reply(reply) => {
+                self.entry().apply_reply(now, &reply);
                 None
             }
-            AllowanceMessage::Domain(news) => {
+            AllowanceMessage::Domain(demands) => {
                 let sender = view.nodes.get(from)?;
-                let mut keeping = self.keeping();
-                keeping
-                    .keeper
-                    .apply_domain_demands(now, &sender.domain, &news);
+                let mut coordinator_state = self.coordinator_state();
+                coordinator_state
+                    .coordinator
+                    .apply_domain_demands(now, &sender.domain, &demands);
                 None
             }
         }
     }
 
-    /// Follows who is there and what is in force; answers the keepers of the own failure domain.
-    fn follow(&self, now: TimeMs, view: &View, in_force: &InForce) -> Vec<Name> {
-        let mut keeping = self.keeping();
-        if keeping.version != in_force.state.version {
-            keeping.version = in_force.state.version;
+    /// Updates the set of nodes and the allowances; returns the coordinators of this node's failure
+    /// domain.
+    fn update_fleet(&self, now: TimeMs, view: &View, in_force: &InForce) -> Vec<Name> {
+        let mut coordinator_state = self.coordinator_state();
+        if coordinator_state.version != in_force.state.version {
+            coordinator_state.version = in_force.state.version;
             let allowances = allowances_of(in_force);
-            keeping.keeper.set_allowances(allowances);
+            coordinator_state.coordinator.set_allowances(allowances);
         }
-        if let Some(fleet) = keeping.fleet.follow(now, view, &self.domain) {
+        if let Some(fleet) = coordinator_state.fleet.update(now, view, &self.domain) {
             self.nodes.store(fleet.nodes(), Ordering::Relaxed);
-            keeping.keeper.set_fleet(now, fleet);
+            coordinator_state.coordinator.set_fleet(now, fleet);
         }
-        keeping.fleet.keepers(&self.domain).to_vec()
+        coordinator_state.fleet.coordinators(&self.domain).to_vec()
     }
 
-    /// Both keepers of the failure domain hear what is used, so that the second one knows all when the first
-    /// is gone; the first one answers, and the second one if there was no word lately.
-    fn tell_report(
+    /// Reports usage to both coordinators of the failure domain, so the second one has all data if
+    /// the first fails. The first one replies; the second one replies only if a reply is overdue.
+    fn send_report(
         &self,
         now: TimeMs,
-        keepers: &[Name],
+        coordinators: &[Name],
         report: UsageReport,
-        told: &mut Vec<Told>,
+        outgoing: &mut Vec<PeerMessage>,
     ) {
-        let is_worded = self
-            .worded()
+        let has_recent_reply = self
+            .last_reply()
             .is_some_and(|at| now.since(at) < EntryAllowances::REPLY_MISSED_MS);
-        for (order, keeper) in keepers.iter().enumerate() {
+        for (order, coordinator) in coordinators.iter().enumerate() {
             let report = UsageReport {
-                wants_reply: order == 0 || !is_worded,
+                wants_reply: order == 0 || !has_recent_reply,
                 ..report.clone()
             };
-            if *keeper != self.node {
-                told.push((keeper.clone(), AllowanceMessage::Report(report)));
+            if *coordinator != self.node {
+                outgoing.push((coordinator.clone(), AllowanceMessage::Report(report)));
                 continue;
             }
-            let word = self.keeping().keeper.apply_report(now, keeper, &report);
-            if let Some(word) = word {
-                self.entry().apply_reply(now, &word);
+            let reply =
+                self.coordinator_state()
+                    .coordinator
+                    .apply_report(now, coordinator, &report);
+            if let Some(reply) = reply {
+                self.entry().apply_reply(now, &reply);
             }
         }
     }
 
-    fn take_report(&self, now: TimeMs, from: &Name, report: &UsageReport) -> Option<Told> {
-        let word = self.keeping().keeper.apply_report(now, from, report)?;
-        Some((from.clone(), AllowanceMessage::Reply(word)))
+    fn handle_report(&self, now: TimeMs, from: &Name, report: &UsageReport) -> Option<PeerMessage> {
+        let reply = self
+            .coordinator_state()
+            .coordinator
+            .apply_report(now, from, report)?;
+        Some((from.clone(), AllowanceMessage::Reply(reply)))
     }
 
-    fn tell_domains(&self, now: TimeMs, told: &mut Vec<Told>) {
-        let mut keeping = self.keeping();
-        if now.since(keeping.told_domains) < DOMAINS_MS {
+    fn send_to_other_domains(&self, now: TimeMs, outgoing: &mut Vec<PeerMessage>) {
+        let mut coordinator_state = self.coordinator_state();
+        if now.since(coordinator_state.last_domain_exchange) < DOMAIN_EXCHANGE_MS {
             return;
         }
-        keeping.told_domains = now;
-        let news = keeping.keeper.domain_demands(now);
-        for keeper in keeping.fleet.other_keepers(&self.domain) {
-            told.push((keeper.clone(), AllowanceMessage::Domain(news.clone())));
+        coordinator_state.last_domain_exchange = now;
+        let usage = coordinator_state.coordinator.domain_demands(now);
+        for coordinator in coordinator_state.fleet.other_coordinators(&self.domain) {
+            outgoing.push((coordinator.clone(), AllowanceMessage::Domain(usage.clone())));
         }
     }
 
@@ -211,8 +219,10 @@
         self.entry.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn keeping(&self) -> MutexGuard<'_, Keeping> {
-        self.keeping.lock().unwrap_or_else(PoisonError::into_inner)
+    fn coordinator_state(&self) -> MutexGuard<'_, CoordinatorState> {
+        self.coordinator_state
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
--- a/src/traffic/backend.rs
+++ b/src/traffic/backend.rs
@@ -1,4 +1,4 @@
-//! RunningRequest an admitted call at the local backend server.
+//! Runs an admitted call at the local backend server.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,24 +19,24 @@
 use crate::node::permit::Permit;
 use crate::poison::RunningRequest;
 use crate::traffic::backend_answer::check;
-use crate::traffic::backend_answer::is_for;
+use crate::traffic::backend_answer::matches_id;
 use crate::traffic::call::GuardedCall;
 use crate::traffic::call::Progress;
 use crate::traffic::guard::not_run;
 use crate::traffic::passed_headers::strip_answer;
 use crate::traffic::traffic::Traffic;
 
-/// When to come back after the backend server failed, in milliseconds.
+/// Retry-after when the backend server failed, in milliseconds.
 const FAILED_RETRY_AFTER_MS: u64 = 300;
 
-/// What came of a call at the backend server.
+/// The outcome of a call at the backend server.
 pub(super) struct BackendEnd {
     pub result: Result<WholeAnswer, Refusal>,
     pub reached_backend: bool,
 }
 
 impl BackendEnd {
-    /// It was not sent.
+    /// The call was not sent.
     pub(super) fn not_sent(refusal: Refusal) -> Self {
         Self {
             result: Err(refusal),
@@ -52,8 +52,8 @@
     }
 }
 
-/// Runs a call until its deadline. Dropped, it closes the connection to the backend server, which
-/// then stops working on the call.
+/// Runs a call until its deadline. Dropping the future closes the connection to the backend server,
+/// which then stops working on the call.
 pub(super) async fn run(
     traffic: &Arc<Traffic>,
     call: GuardedCall,
@@ -78,14 +78,14 @@
         Err(refusal) if refusal.reason == RefusalReason::DeadlineExceeded => CallOutcome::Cancelled,
         Err(_) => CallOutcome::Failed,
     };
-    traffic.note_end(outcome != CallOutcome::Ok);
+    traffic.record_end(outcome != CallOutcome::Ok);
     if outcome == CallOutcome::Ok {
-        traffic.poison.note_success(&suspect);
+        traffic.poison.record_success(&suspect);
     }
     let service_us = traffic.clock.now_us().saturating_sub(permit.since_us);
     let seconds = service_us as f64 / 1e6;
     traffic.metrics.backend_latency.observe(seconds);
-    permit.note(Completion {
+    permit.set_completion(Completion {
         service_us,
         child_us: 0,
         outcome,
@@ -108,13 +108,13 @@
     let Some(request) = request(traffic, call, incarnation, left_ms) else {
         return BackendEnd::not_sent(not_run(RefusalReason::BadRequest));
     };
-    progress.sent();
+    progress.mark_sent();
     traffic.metrics.backend_calls.inc();
     let sent_at = traffic.clock.now();
     let address = traffic.live().backend_address;
     let sent = traffic
         .backend
-        .send(address, request, |response| is_for(names, id, response))
+        .send(address, request, |response| matches_id(names, id, response))
         .await;
     match sent {
         Ok(mut answer) => {
@@ -123,7 +123,7 @@
             BackendEnd::sent(result.map(|()| answer))
         }
         Err(error) => {
-            log::debug!("guard: lost the backend server, error={error}");
+            log::debug!("guard: connection to the backend server failed, error={error}");
             lost(traffic, incarnation, suspect, &error)
         }
     }
@@ -161,10 +161,10 @@
     error: &SendError,
 ) -> BackendEnd {
     if error.is_unsent() {
-        traffic.change_local(|local| local.note_refused(incarnation));
+        traffic.update_local(|local| local.mark_down(incarnation));
         return BackendEnd::not_sent(not_run(RefusalReason::BackendDown));
     }
-    traffic.poison.note_broken(suspect);
+    traffic.poison.record_broken(suspect);
     BackendEnd::sent(Err(unknown(RefusalReason::BackendBroke)))
 }
 
--- a/src/traffic/desired_task.rs
+++ b/src/traffic/desired_task.rs
@@ -1,4 +1,4 @@
-//! Keeps the desired state in force up to date from the store.
+//! Follows the desired state in the store and puts each new version into force.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,67 +12,67 @@
 use crate::desired::WATCH_LONG_POLL_MS;
 use crate::desired::WATCH_MAX_BACKOFF_MS;
 use crate::errors::DesiredStateError;
+use crate::store::Backoff;
 use crate::store::RowChange;
 use crate::store::RowName;
 use crate::store::Store;
-use crate::store::TableNews;
+use crate::store::TableChanges;
 use crate::store::TableWatch;
-use crate::store::WatchPause;
 use crate::traffic::DesiredInForce;
 
-/// Decodes a desired state from the operator's row.
+/// Decodes the operator's row into a desired state.
 pub type DecodeDesired =
     Arc<dyn Fn(&[u8]) -> Result<DesiredState, DesiredStateError> + Send + Sync>;
 
-/// Where the operator keeps the desired state, and how it is written there.
+/// The row where the operator keeps the desired state, and its decoder.
 #[derive(Clone)]
 pub struct DesiredSource {
     pub row: RowName,
     pub decode: DecodeDesired,
 }
 
-/// Tells all members which version is in force here.
+/// Announces to all members which version is in force here.
 pub(super) type AnnounceVersion = Arc<dyn Fn(u64) + Send + Sync>;
 
-/// Tells all members that the store holds nothing newer than a version.
+/// Announces to all members that the store holds nothing newer than a version.
 pub(super) type ConfirmVersion = Arc<dyn Fn(u64) + Send + Sync>;
 
-/// Whether this node asks the store now, rather than rely on what others tell.
-pub(super) type AsksStore = Arc<dyn Fn() -> bool + Send + Sync>;
+/// Whether this node polls the store now, instead of relying on announcements of other nodes.
+pub(super) type ShouldPollStore = Arc<dyn Fn() -> bool + Send + Sync>;
 
-/// Follows the operator's row.
+/// Watches the operator's row in the store.
 pub(super) struct StoreFollower {
     pub(super) store: Arc<dyn Store>,
     pub(super) source: DesiredSource,
     pub(super) desired: Arc<DesiredInForce>,
     pub(super) announce: AnnounceVersion,
     pub(super) confirm: ConfirmVersion,
-    pub(super) asks: AsksStore,
-    /// Woken when others told of a version and could not hand it over.
-    pub(super) ask_now: Arc<Notify>,
+    pub(super) should_poll: ShouldPollStore,
+    /// Notified when a peer announced a version but did not deliver it.
+    pub(super) poll_now: Arc<Notify>,
     pub(super) reached: IntGauge,
-    /// The version that the store holds, as it last said; `None` where that is unknown.
+    /// The version that was last read from the store; `None` if unknown.
     pub(super) stored: Option<u64>,
 }
 
 impl StoreFollower {
-    /// Runs for good.
+    /// Runs until the process ends.
     pub(super) async fn run(mut self) {
         let (table, part) = (self.source.row.table.clone(), self.source.row.part.clone());
         let mut watch = TableWatch::new(self.store.clone(), table, part);
-        let mut pause = WatchPause::default();
+        let mut pause = Backoff::default();
         let mut was_reached = true;
         loop {
-            self.until_it_asks().await;
+            self.wait_until_polling().await;
             match watch.next(WATCH_LONG_POLL_MS).await {
-                Ok(news) => {
+                Ok(changes) => {
                     pause.reset();
                     self.reached.set(1);
                     if !was_reached {
                         log::info!("store: reached again");
                     }
                     was_reached = true;
-                    self.take(&news);
+                    self.apply(&changes);
                 }
                 Err(error) => {
                     self.reached.set(0);
@@ -80,57 +80,61 @@
                         log::warn!("store: lost, error={error}");
                     }
                     was_reached = false;
-                    let pause_ms = pause.up_to(WATCH_MAX_BACKOFF_MS, fastrand::f64());
+                    let pause_ms = pause.after_failure_up_to(WATCH_MAX_BACKOFF_MS, fastrand::f64());
                     sleep(Duration::from_millis(pause_ms)).await;
                 }
             }
         }
     }
 
-    /// Takes in what the store holds, and confirms what is in force if that is the same.
+    /// Applies changes read from the store. Confirms the version in force if the store holds the
+    /// same.
     ///
-    /// Guards against a store that was restored from an older copy and shows an older state than the one in
-    /// force: that stays, and the store's word says nothing of whether it is the newest.
-    fn take(&mut self, news: &TableNews) {
-        if news.is_whole {
+    /// A store that was restored from an older copy may hold an older state than the one in force.
+    /// The latter then stays in force, and is not confirmed as the newest.
+    fn apply(&mut self, changes: &TableChanges) {
+        if changes.is_snapshot {
             self.stored = None;
         }
-        let of_operator = news.rows.iter().filter(|row| row.name == self.source.row);
+        let of_operator = changes
+            .rows
+            .iter()
+            .filter(|row| row.name == self.source.row);
         for row in of_operator {
-            self.stored = self.take_row(row);
+            self.stored = self.apply_row(row);
         }
         if self.stored == Some(self.desired.version()) {
             (self.confirm)(self.desired.version());
         }
     }
 
-    /// Answers which version the row holds.
-    fn take_row(&self, row: &RowChange) -> Option<u64> {
+    /// Returns the version that the row holds.
+    fn apply_row(&self, row: &RowChange) -> Option<u64> {
         let Some(value) = &row.value else {
-            log::error!("config: the operator's row was dropped; the last version stays in force");
+            log::error!("config: the operator's row was deleted; the last version stays in force");
             return None;
         };
         match (self.source.decode)(value) {
             Ok(state) => {
                 let version = state.version;
-                if self.desired.offer(state) {
+                if self.desired.apply_if_newer(state) {
                     (self.announce)(version);
                 }
                 Some(version)
             }
             Err(error) => {
-                log::error!("config: the operator's row is not valid, error={error}");
+                log::error!("config: the operator's row is invalid, error={error}");
                 None
             }
         }
     }
 
-    async fn until_it_asks(&self) {
-        while !(self.asks)() {
-            let look = sleep(Duration::from_millis(WATCH_CHECK_INTERVAL_MS));
+    async fn wait_until_polling(&self) {
+        while !(self.should_poll)() {
+            let poll = sleep(Duration::from_millis(WATCH_CHECK_INTERVAL_MS));
             tokio::select! {
-                () = look => {}
-                () = self.ask_now.notified() => return,
+                () = poll => {}
+                () = self.poll_now.notified() => return,
             }
         }
     }
--- a/src/traffic/entry_account.rs
+++ b/src/traffic/entry_account.rs
@@ -1,4 +1,4 @@
-//! What an entry asks of the client account behind a request: whose it is, how important, how much it may.
+//! Client accounts at the entry: identity, priority and allowance of a request's account.
 
 use http::HeaderMap;
 use http::HeaderName;
@@ -14,25 +14,25 @@
 use crate::core::RefusalReason;
 use crate::core::RequestId;
 use crate::core::RouteOrigin;
-use crate::desired::ActiveRoute;
+use crate::desired::RouteInForce;
 use crate::traffic::HeaderNames;
 use crate::traffic::InForce;
 use crate::traffic::call::Call;
-use crate::traffic::story::tell_beyond;
+use crate::traffic::request_log::log_allowance_exceeded;
 use crate::traffic::traffic::Traffic;
 use crate::wire::CallAccount;
 
-/// When to come back while keys are not relied on, in milliseconds.
-const UNSURE_LATER_MS: u64 = 500;
-/// The class of calls of backend servers: work has been done for them already, so they go before
-/// every caller's own request.
-const DEEP_CLASS: u8 = 0;
+/// Retry-after of a refusal for an account key, in milliseconds.
+const KEY_REFUSAL_RETRY_AFTER_MS: u64 = 500;
+/// The priority class of calls of backend servers. Work has already been done for them, so they
+/// precede all requests of callers.
+const BACKEND_CALL_CLASS: u8 = 0;
 
-/// Whose a request is, by its key.
-pub(super) fn caller_of(
+/// Identifies the sender of a request by its account key.
+pub(super) fn identify_caller(
     traffic: &Traffic,
     in_force: &InForce,
-    found: &ActiveRoute,
+    found: &RouteInForce,
     headers: &HeaderMap,
 ) -> Result<Caller, Refusal> {
     let route = &found.route;
@@ -42,12 +42,12 @@
         route_saw_valid_key: traffic.keyed_routes.contains(&route.name),
         presented: presented(headers, &traffic.settings.header_names.account_key),
     };
-    let caller = identify(identity).map_err(not_allowed)?;
+    let caller = identify(identity).map_err(key_refusal)?;
     if matches!(caller, Caller::Account(..)) {
-        if !traffic.keys_hold() {
-            return Err(not_allowed(RefusalReason::AccountKeysUnsure));
+        if !traffic.keys_are_fresh() {
+            return Err(key_refusal(RefusalReason::AccountKeysUnsure));
         }
-        traffic.keyed_routes.note(&route.name);
+        traffic.keyed_routes.record(&route.name);
     }
     Ok(caller)
 }
@@ -61,7 +61,8 @@
     }
 }
 
-/// A key ends here, and only this program says whose a request is.
+/// Removes the key, which is never forwarded, and any account name set by the sender: only nodes
+/// may set it.
 pub(super) fn strip_account(names: &HeaderNames, headers: &mut HeaderMap) {
     headers.remove(&names.account_key);
     headers.remove(&names.account);
@@ -78,33 +79,38 @@
     })
 }
 
-/// Calls of backend servers first, then callers' requests by the ranks of account and route.
+/// The priority class: calls of backend servers first, then requests of callers by the ranks of
+/// account and route.
 pub(super) fn class(
     ranking: &Ranking,
-    found: &ActiveRoute,
+    found: &RouteInForce,
     origin: Option<RouteOrigin>,
     caller: &Caller,
 ) -> u8 {
     if origin == Some(RouteOrigin::Backends) {
-        return DEEP_CLASS;
+        return BACKEND_CALL_CLASS;
     }
-    let of_account = match caller {
+    let account_rank = match caller {
         Caller::Account(account, _) => account.rank,
         Caller::Backend | Caller::Anonymous => None,
     };
-    let place = ranking.place(of_account, found.route.rank);
-    place.saturating_add(DEEP_CLASS + 1)
+    let place = ranking.place(account_rank, found.route.rank);
+    place.saturating_add(BACKEND_CALL_CLASS + 1)
 }
 
-/// Within a class, requests are ranked by their identifiers, so that every node keeps the same.
+/// The priority of a request. Within a class requests are ranked by a hash of their identifiers, so
+/// all nodes admit the same ones.
 pub(super) fn priority(traffic: &Traffic, class: u8, headers: &HeaderMap) -> Priority {
     let id = headers.get(&traffic.settings.header_names.request_id);
     let id = id.and_then(|id| id.to_str().ok()).unwrap_or("");
     Priority::new(class, RequestId::of_key("", id).rank())
 }
 
-/// Turns a request away that is beyond its account's allowance. Answers from which account it took a part.
-pub(super) fn ask_allowance(traffic: &Traffic, call: &Call) -> Result<Option<AccountId>, Refusal> {
+/// Refuses a request that exceeds its account's allowance. Returns the account that was charged.
+pub(super) fn check_allowance(
+    traffic: &Traffic,
+    call: &Call,
+) -> Result<Option<AccountId>, Refusal> {
     let Some(account) = &call.account else {
         return Ok(None);
     };
@@ -117,14 +123,14 @@
         return Ok(None);
     };
     let id = AccountId::of(&account.name);
-    let asked = traffic.allowances.ask(traffic.clock.now(), id, allowance);
-    asked.map(|()| Some(id)).map_err(|beyond| {
-        tell_beyond(traffic, account, allowance, beyond);
-        Refusal::not_run(RefusalReason::AllowanceSpent, beyond.retry_after_ms)
+    let decision = traffic.allowances.admit(traffic.clock.now(), id, allowance);
+    decision.map(|()| Some(id)).map_err(|exceeded| {
+        log_allowance_exceeded(traffic, account, allowance, exceeded);
+        Refusal::not_run(RefusalReason::AllowanceSpent, exceeded.retry_after_ms)
     })
 }
 
-fn not_allowed(reason: RefusalReason) -> Refusal {
-    let retry_after_ms = UNSURE_LATER_MS + fastrand::u64(..UNSURE_LATER_MS);
+fn key_refusal(reason: RefusalReason) -> Refusal {
+    let retry_after_ms = KEY_REFUSAL_RETRY_AFTER_MS + fastrand::u64(..KEY_REFUSAL_RETRY_AFTER_MS);
     Refusal::not_run(reason, retry_after_ms)
 }
--- a/src/traffic/fleet_watch.rs
+++ b/src/traffic/fleet_watch.rs
@@ -1,4 +1,4 @@
-//! Who is there, as keepers of allowances see it.
+//! Tracks which nodes share the allowances of accounts, and which of them are coordinators.
 
 use std::collections::BTreeMap;
 
@@ -10,38 +10,38 @@
 use crate::core::TimeMs;
 use crate::core::View;
 
-/// Keepers of each failure domain: two, so that what is known survives one of them.
-const KEEPERS: usize = 2;
-/// A dead node counts as there for so long, in milliseconds: it may be alive behind a cut and go on using
-/// its share.
-const DEAD_COUNTS_MS: u64 = EntryAllowances::SHARE_VALID_MS;
+/// The number of coordinators in each failure domain: two, so the data survives the failure of one.
+const COORDINATORS_PER_DOMAIN: usize = 2;
+/// A dead node is counted for this time, in milliseconds: it may be alive on the other side of a
+/// network partition and still use its share.
+const DEAD_COUNTED_MS: u64 = EntryAllowances::SHARE_VALID_MS;
 
-/// Follows the view.
+/// The nodes and coordinators as of the last view.
 #[derive(Clone, Debug, Default)]
 pub(super) struct FleetWatch {
-    at_change: Option<u64>,
-    /// Since when nodes are dead.
+    view_change: Option<u64>,
+    /// When each dead node was first seen as dead.
     dead: FastMap<Name, TimeMs>,
-    /// When the first of them counts no longer.
+    /// When the next dead node stops being counted.
     next_expiry: Option<TimeMs>,
-    keepers: BTreeMap<Name, Vec<Name>>,
+    coordinators: BTreeMap<Name, Vec<Name>>,
 }
 
 impl FleetWatch {
-    /// Who is there, if that has changed.
-    pub(super) fn follow(&mut self, now: TimeMs, view: &View, own: &Name) -> Option<Fleet> {
+    /// Updates from the view. Returns the fleet, if it may have changed.
+    pub(super) fn update(&mut self, now: TimeMs, view: &View, own: &Name) -> Option<Fleet> {
         let has_expired = self.next_expiry.is_some_and(|expiry| now >= expiry);
-        if self.at_change == Some(view.changes) && !has_expired {
+        if self.view_change == Some(view.changes) && !has_expired {
             return None;
         }
-        self.note_dead(now, view);
-        self.at_change = Some(view.changes);
+        self.track_dead(now, view);
+        self.view_change = Some(view.changes);
         let mut present: BTreeMap<Name, Vec<Name>> = BTreeMap::new();
-        let mut keepers: BTreeMap<Name, Vec<Name>> = BTreeMap::new();
+        let mut coordinators: BTreeMap<Name, Vec<Name>> = BTreeMap::new();
         for node in view.nodes.values() {
             let is_counted = match node.state {
                 TargetState::Left => false,
-                TargetState::Dead => self.counts_though_dead(now, &node.node),
+                TargetState::Dead => self.is_recently_dead(now, &node.node),
                 _ => true,
             };
             if is_counted {
@@ -49,15 +49,15 @@
                 nodes.push(node.node.clone());
             }
             if !matches!(node.state, TargetState::Left | TargetState::Dead) {
-                let nodes = keepers.entry(node.domain.clone()).or_default();
+                let nodes = coordinators.entry(node.domain.clone()).or_default();
                 nodes.push(node.node.clone());
             }
         }
-        for nodes in keepers.values_mut() {
+        for nodes in coordinators.values_mut() {
             nodes.sort_unstable();
-            nodes.truncate(KEEPERS);
+            nodes.truncate(COORDINATORS_PER_DOMAIN);
         }
-        self.keepers = keepers;
+        self.coordinators = coordinators;
         let others = present.iter().filter(|(domain, _)| *domain != own);
         Some(Fleet {
             others: others
@@ -67,33 +67,35 @@
         })
     }
 
-    /// The keepers of a failure domain, the one that answers first.
-    pub(super) fn keepers(&self, domain: &Name) -> &[Name] {
-        self.keepers.get(domain).map_or(&[], |keepers| keepers)
+    /// The coordinators of a failure domain; the first one replies to usage reports.
+    pub(super) fn coordinators(&self, domain: &Name) -> &[Name] {
+        self.coordinators
+            .get(domain)
+            .map_or(&[], |coordinators| coordinators)
     }
 
-    /// The keepers of all other failure domains.
-    pub(super) fn other_keepers(&self, own: &Name) -> impl Iterator<Item = &Name> {
+    /// The coordinators of all other failure domains.
+    pub(super) fn other_coordinators(&self, own: &Name) -> impl Iterator<Item = &Name> {
         let others = self
-            .keepers
+            .coordinators
             .iter()
             .filter(move |(domain, _)| *domain != own);
-        others.flat_map(|(_, keepers)| keepers)
+        others.flat_map(|(_, coordinators)| coordinators)
     }
 
-    fn counts_though_dead(&self, now: TimeMs, node: &Name) -> bool {
+    fn is_recently_dead(&self, now: TimeMs, node: &Name) -> bool {
         let since = self.dead.get(node);
-        since.is_some_and(|since| now.since(*since) < DEAD_COUNTS_MS)
+        since.is_some_and(|since| now.since(*since) < DEAD_COUNTED_MS)
     }
 
-    fn note_dead(&mut self, now: TimeMs, view: &View) {
+    fn track_dead(&mut self, now: TimeMs, view: &View) {
         let is_dead = |node: &Name| {
             let node = view.nodes.get(node);
             node.is_some_and(|node| node.state == TargetState::Dead)
         };
         self.dead.retain(|node, _| is_dead(node));
-        // One that was dead before this node saw it alive counts no more.
-        let since = match self.at_change {
+        // A node that was dead in this node's first view is not counted.
+        let since = match self.view_change {
             Some(_) => now,
             None => TimeMs::default(),
         };
@@ -101,7 +103,7 @@
         for node in dead {
             self.dead.entry(node.node.clone()).or_insert(since);
         }
-        let expiries = self.dead.values().map(|since| *since + DEAD_COUNTS_MS);
+        let expiries = self.dead.values().map(|since| *since + DEAD_COUNTED_MS);
         self.next_expiry = expiries.filter(|expiry| *expiry > now).min();
     }
 }
--- a/src/traffic/in_flight.rs
+++ b/src/traffic/in_flight.rs
@@ -1,46 +1,52 @@
-//! An attempt counted as in flight at its target until it has ended, however it ends.
+//! Counts an attempt as in flight at its target until it ends, with or without an answer.
 
 use std::sync::Arc;
 
 use crate::core::Name;
 use crate::core::RefusalReason;
 use crate::core::TimeMs;
-use crate::node::targets::AttemptNews;
+use crate::node::targets::AttemptOutcome;
 use crate::traffic::attempt::AttemptEnd;
 use crate::traffic::traffic::Traffic;
 
-/// Counted from the choice of the target on.
-pub(super) struct InFlightAt {
+/// An attempt that is in flight from the choice of its target until this value is dropped.
+pub(super) struct InFlightAttempt {
     traffic: Arc<Traffic>,
     target: Name,
     since: TimeMs,
-    news: AttemptNews,
-    /// The route of the call, once it ran well.
-    ran: Option<Name>,
+    outcome: AttemptOutcome,
+    /// The route of the call, if it succeeded.
+    succeeded_route: Option<Name>,
 }
 
-impl InFlightAt {
-    /// The choice has already counted the attempt at its target.
+impl InFlightAttempt {
+    /// The choice of the target has already counted the attempt there.
     pub(super) fn new(traffic: Arc<Traffic>, target: Name) -> Self {
         traffic.metrics.entry_in_flight.inc();
         Self {
             since: traffic.clock.now(),
             traffic,
             target,
-            news: AttemptNews::default(),
-            ran: None,
+            outcome: AttemptOutcome::default(),
+            succeeded_route: None,
         }
     }
 
-    /// Notes how the attempt of a call of this route ended.
+    /// Records the outcome of the attempt.
     pub(super) fn ended(&mut self, end: &AttemptEnd, route: &Name) {
-        self.news.report = end.news.as_ref().map(|news| news.load);
-        self.news.failing_permille = end.news.as_ref().map_or(0, |news| news.failing_permille);
-        self.news.took_ms = self.traffic.clock.now().since(self.since);
-        self.ran = end.ran_well().then(|| route.clone());
-        self.news.is_lost = end.reason() == Some(RefusalReason::PeerLost);
-        let word = end.news.as_ref().and_then(|news| news.word.as_ref());
-        let is_leaving = word.is_some_and(|word| word.is_leaving);
+        self.outcome.report = end.guard_status.as_ref().map(|status| status.load);
+        self.outcome.failing_permille = end
+            .guard_status
+            .as_ref()
+            .map_or(0, |status| status.failing_permille);
+        self.outcome.took_ms = self.traffic.clock.now().since(self.since);
+        self.succeeded_route = end.has_succeeded().then(|| route.clone());
+        self.outcome.is_lost = end.reason() == Some(RefusalReason::PeerLost);
+        let advertisement = end
+            .guard_status
+            .as_ref()
+            .and_then(|status| status.advertisement.as_ref());
+        let is_leaving = advertisement.is_some_and(|advertisement| advertisement.is_leaving);
         let is_closed = matches!(
             end.reason(),
             Some(
@@ -50,15 +56,20 @@
                     | RefusalReason::NoTarget
             )
         );
-        self.news.is_closed = is_closed || is_leaving;
+        self.outcome.is_closed = is_closed || is_leaving;
     }
 }
 
-impl Drop for InFlightAt {
+impl Drop for InFlightAttempt {
     fn drop(&mut self) {
         self.traffic.metrics.entry_in_flight.dec();
         let now = self.traffic.clock.now();
         let targets = &self.traffic.targets;
-        targets.ended(&self.target, self.news, self.ran.as_ref(), now);
+        targets.ended(
+            &self.target,
+            self.outcome,
+            self.succeeded_route.as_ref(),
+            now,
+        );
     }
 }
--- a/src/traffic/poison_watch.rs
+++ b/src/traffic/poison_watch.rs
@@ -1,5 +1,5 @@
-//! Requests that crash the local backend server, and what other guards say of theirs
-//! ([docs/POISON.md](../../docs/POISON.md)).
+//! Tracks requests that crash the local backend server, and exchanges crash reports with other
+//! guards ([docs/POISON.md](../../docs/POISON.md)).
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -11,7 +11,7 @@
 use tokio::sync::mpsc::Sender;
 
 use crate::control::ControlHandle;
-use crate::control::Suspects as SuspectsNews;
+use crate::control::Suspects as SuspectsReport;
 use crate::core::Clock;
 use crate::core::RequestId;
 use crate::core::fingerprint_of;
@@ -25,36 +25,36 @@
 use crate::traffic::call::Message;
 use crate::traffic::traffic::Traffic;
 
-/// So many crashes refuse a content. One more than at the product's own interface: there a report is
-/// out before any answer, here it waits until it is certain that there was a crash, and a call whose
-/// target crashed is sent to a second one meanwhile.
-const CRASHES: usize = 3;
+/// After this number of crashes, requests with the same content are refused. One more than for
+/// calls in the nodes' own protocol: there a crash report is sent before any answer. Here it is
+/// sent only once the crash is certain, and until then the call is retried at a second target.
+const CRASHES_TO_REFUSE: usize = 3;
 
 #[derive(Debug)]
-struct Known {
+struct WatchState {
     suspects: Suspects,
     broken: BrokenCalls,
 }
 
-/// Shared by the traffic of a guard and its control calls.
+/// Shared by the guard's request path and its control calls.
 #[derive(Debug)]
 pub(super) struct PoisonWatch {
     clock: Clock,
-    known: Mutex<Known>,
+    state: Mutex<WatchState>,
     reports: Sender<CrashReport>,
 }
 
 impl PoisonWatch {
-    /// Nobody is suspected. Reports for other guards go to `reports`.
+    /// Starts without suspects. Reports for other guards are sent to `reports`.
     pub(super) fn new(clock: Clock, reports: Sender<CrashReport>) -> Self {
         let settings = PoisonSettings {
-            crashes: CRASHES,
-            crashes_non_idempotent: CRASHES,
+            crashes: CRASHES_TO_REFUSE,
+            crashes_non_idempotent: CRASHES_TO_REFUSE,
             ..PoisonSettings::default()
         };
         Self {
             clock,
-            known: Mutex::new(Known {
+            state: Mutex::new(WatchState {
                 suspects: Suspects::new(settings),
                 broken: BrokenCalls::default(),
             }),
@@ -63,33 +63,33 @@
     }
 
     /// Whether a call may run.
-    pub(super) fn is_harmless(&self, call: &RunningRequest) -> bool {
+    pub(super) fn is_allowed(&self, call: &RunningRequest) -> bool {
         let now = self.clock.now();
-        let known = self.lock();
+        let state = self.lock();
         let (request, fingerprint) = (call.request, call.fingerprint);
-        known.suspects.verdict(now, request, fingerprint, false) == Verdict::Allowed
+        state.suspects.verdict(now, request, fingerprint, false) == Verdict::Allowed
     }
 
-    /// A call came to its end.
-    pub(super) fn note_success(&self, call: &RunningRequest) {
-        let mut known = self.lock();
-        if !known.suspects.is_empty() && known.suspects.record_completion(call.fingerprint) {
+    /// Records a call that succeeded.
+    pub(super) fn record_success(&self, call: &RunningRequest) {
+        let mut state = self.lock();
+        if !state.suspects.is_empty() && state.suspects.record_completion(call.fingerprint) {
             log::info!("poison: cleared, fingerprint={:016x}", call.fingerprint);
         }
     }
 
-    /// The connection of a call to the backend server broke.
-    pub(super) fn note_broken(&self, call: RunningRequest) {
+    /// Records a call whose connection to the backend server broke.
+    pub(super) fn record_broken(&self, call: RunningRequest) {
         let now = self.clock.now();
         self.lock().broken.record(now, call);
     }
 
-    /// The backend server has ended, one way or another: calls that broke just before were running
-    /// when it did.
-    pub(super) fn note_ended(&self) {
+    /// Records the end of the backend server, for any reason: calls that broke just before were
+    /// running at that time.
+    pub(super) fn record_backend_exit(&self) {
         let now = self.clock.now();
-        let mut known = self.lock();
-        let running = known.broken.take(now);
+        let mut state = self.lock();
+        let running = state.broken.take(now);
         if running.is_empty() {
             return;
         }
@@ -97,27 +97,29 @@
             "poison: the backend server crashed, running={}",
             running.len()
         );
-        let report = known
+        let report = state
             .suspects
             .record_crash(now, CrashId::random(), &running);
         if self.reports.try_send(report).is_err() {
-            log::warn!("poison: a report was dropped, too many wait");
+            log::warn!("poison: crash report dropped because the queue is full");
         }
     }
 
-    /// Takes in another guard's report.
+    /// Applies another guard's report.
     pub(super) fn merge(&self, report: &CrashReport) {
         let now = self.clock.now();
         self.lock().suspects.merge(now, report);
     }
 
-    fn lock(&self) -> MutexGuard<'_, Known> {
-        self.known.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, WatchState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// The call as a suspect, should the backend server crash. Whoever sends a poisoned request again
-/// gives it another identifier, so its content tells: where it comes from, method, path and body.
+/// Identifies a call as a suspect in case the backend server crashes.
+///
+/// A caller that retries a poisoned request uses another identifier. So the fingerprint covers the
+/// content: calling service, method, path and body.
 pub(super) fn as_suspect(message: &Message, caller_service: &str, id: &str) -> RunningRequest {
     let path = message.path_and_query.as_str();
     let method = message.method.as_str();
@@ -127,50 +129,54 @@
     }
 }
 
-/// Passes reports on to the other targets of the local service.
-pub(super) async fn tell_targets(
+/// Sends crash reports to the other targets of the local service.
+pub(super) async fn forward_reports(
     mut reports: Receiver<CrashReport>,
     traffic: Arc<Traffic>,
     control: Arc<ControlHandle>,
 ) {
     while let Some(report) = reports.recv().await {
-        tell(&traffic, &control, report).await;
+        send_report(&traffic, &control, report).await;
     }
 }
 
-async fn tell(traffic: &Arc<Traffic>, control: &Arc<ControlHandle>, report: CrashReport) {
+async fn send_report(traffic: &Arc<Traffic>, control: &Arc<ControlHandle>, report: CrashReport) {
     let service = &traffic.settings.service;
     let view = traffic.view.load_full();
     let others = view.targets(service).iter();
     let others = others.filter(|target| target.node != traffic.settings.node);
-    let told = others.map(|target| {
-        let news = SuspectsNews {
+    let deliveries = others.map(|target| {
+        let suspects_report = SuspectsReport {
             service: service.clone(),
             report: report.clone(),
         };
-        let told = control
+        let delivery = control
             .clients
-            .report_suspects(target.control_address, news);
+            .report_suspects(target.control_address, suspects_report);
         async {
-            if let Err(error) = told.await {
+            if let Err(error) = delivery.await {
                 log::warn!(
-                    "poison: a report was not taken in, peer={} error={error}",
+                    "poison: crash report not delivered, peer={} error={error}",
                     target.node
                 );
             }
         }
     });
-    join_all(told).await;
+    join_all(deliveries).await;
 }
 
-/// The service that a report is about is the local one, or its sender is mistaken.
-pub(super) fn take_report(watch: &PoisonWatch, local_service: &str, news: &SuspectsNews) {
-    if &*news.service == local_service {
-        watch.merge(&news.report);
+/// Applies a peer's report. A report on another service than the local one is dropped.
+pub(super) fn apply_peer_report(
+    watch: &PoisonWatch,
+    local_service: &str,
+    suspects_report: &SuspectsReport,
+) {
+    if &*suspects_report.service == local_service {
+        watch.merge(&suspects_report.report);
     } else {
         log::warn!(
-            "poison: a report for another service, service={}",
-            news.service
+            "poison: crash report for another service dropped, service={}",
+            suspects_report.service
         );
     }
 }
--- a/src/traffic/process.rs
+++ b/src/traffic/process.rs
@@ -1,4 +1,4 @@
-//! A whole node: listeners, control thread and store joined.
+//! A whole node: connects listeners, control thread and store.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,18 +22,18 @@
 use crate::traffic::DesiredInForce;
 use crate::traffic::DesiredSource;
 use crate::traffic::TrafficSettings;
-use crate::traffic::allowance_task::keep_allowances;
-use crate::traffic::allowance_task::take_allowances;
+use crate::traffic::allowance_task::allowance_handler;
+use crate::traffic::allowance_task::run_allowances;
 use crate::traffic::allowances::Allowances;
 use crate::traffic::control_link::announce_eras;
 use crate::traffic::control_link::announce_local;
 use crate::traffic::control_link::announce_routes;
 use crate::traffic::control_link::announce_version;
-use crate::traffic::control_link::asks;
 use crate::traffic::control_link::confirm_version;
 use crate::traffic::control_link::control_settings;
+use crate::traffic::control_link::era_handler;
 use crate::traffic::control_link::handlers;
-use crate::traffic::control_link::take_era;
+use crate::traffic::control_link::should_poll;
 use crate::traffic::cost_log::log_costs;
 use crate::traffic::desired_task::StoreFollower;
 use crate::traffic::listeners::Listeners;
@@ -41,28 +41,31 @@
 use crate::traffic::listeners::serve_admins;
 use crate::traffic::listeners::serve_callers;
 use crate::traffic::listeners::serve_peers;
+use crate::traffic::maintenance::log_admission;
+use crate::traffic::maintenance::poll_gate;
 use crate::traffic::poison_watch::PoisonWatch;
-use crate::traffic::poison_watch::tell_targets;
+use crate::traffic::poison_watch::forward_reports;
 use crate::traffic::roster::Roster;
-use crate::traffic::route_origins::KnownOrigins;
+use crate::traffic::route_origins::RouteOrigins;
 use crate::traffic::traffic::SharedParts;
 use crate::traffic::traffic::Traffic;
-use crate::traffic::upkeep::log_admission;
-use crate::traffic::upkeep::poll_gate;
-use crate::traffic::version_news::VersionFetch;
+use crate::traffic::version_fetch::VersionFetch;
 
-/// News of versions that wait; more are dropped, since gossip repeats them.
-const MOST_WAITING_NEWS: usize = 64;
-/// Reports of crashes that wait to be passed on; a backend server does not crash more often.
-const MOST_WAITING_REPORTS: usize = 16;
-/// What others tell of allowances and waits; more is dropped, for counts are told again.
-const MOST_WAITING_ALLOWANCES: usize = 1_024;
-/// News of routes that wait to be told; more are dropped, since others find them out as well.
-const MOST_WAITING_ROUTES: usize = 256;
-/// Classes of priority: calls of backend servers, and callers' requests by rank.
-const CLASSES: usize = 16;
+/// Queue length for announcements of versions; more are dropped, since gossip repeats them.
+const VERSION_QUEUE_LENGTH: usize = 64;
+/// Queue length for crash reports to other guards; a backend server does not crash more often.
+const CRASH_QUEUE_LENGTH: usize = 16;
+/// Queue length for allowance messages of other nodes; more are dropped, since counts are sent
+/// again.
+const ALLOWANCE_QUEUE_LENGTH: usize = 1_024;
+/// Queue length for route origins to announce; more are dropped, since other nodes detect them as
+/// well.
+const ROUTE_QUEUE_LENGTH: usize = 256;
+/// The number of priority classes: one for calls of backend servers, the rest for callers' requests
+/// by rank.
+const PRIORITY_CLASSES: usize = 16;
 
-/// What a node needs from outside.
+/// The dependencies of a node.
 pub struct TrafficInputs {
     pub settings: TrafficSettings,
     pub store: Arc<dyn Store>,
@@ -71,7 +74,7 @@
     pub clock: Clock,
 }
 
-/// A node that serves. Dropping it closes its listeners and ends its control thread, as a crash would.
+/// A running node. Dropping it closes its listeners and ends its control thread, as a crash would.
 pub struct TrafficProcess {
     pub(super) traffic: Arc<Traffic>,
     pub(super) control: Arc<ControlHandle>,
@@ -86,18 +89,18 @@
     /// Opens the listeners, starts the control thread and serves.
     ///
     /// # Errors
-    /// When an address cannot be bound or the control thread cannot be started.
+    /// Fails if an address cannot be bound or the control thread cannot be started.
     pub async fn start(inputs: TrafficInputs) -> Result<Self, TrafficError> {
         let settings = inputs.settings.clone();
         let listeners = Listeners::open(&settings).await?;
         let peer_address = local_address(&listeners.peers, settings.peer_address);
         let metrics = Arc::new(Metrics::new());
         let desired = Arc::new(DesiredInForce::default());
-        let (news_sender, news) = channel(MOST_WAITING_NEWS);
-        let (crash_sender, crashes) = channel(MOST_WAITING_REPORTS);
+        let (version_sender, version_announcements) = channel(VERSION_QUEUE_LENGTH);
+        let (crash_sender, crashes) = channel(CRASH_QUEUE_LENGTH);
         let poison = Arc::new(PoisonWatch::new(inputs.clock, crash_sender));
-        let (route_sender, route_news) = channel(MOST_WAITING_ROUTES);
-        let origins = Arc::new(KnownOrigins::new(route_sender));
+        let (route_sender, route_updates) = channel(ROUTE_QUEUE_LENGTH);
+        let origins = Arc::new(RouteOrigins::new(route_sender));
         let allowances = Arc::new(Allowances::new(
             settings.node.clone(),
             settings.domain.clone(),
@@ -105,12 +108,12 @@
             settings.is_first_start,
             inputs.clock.now(),
         ));
-        let (told_sender, told) = channel(MOST_WAITING_ALLOWANCES);
+        let (allowance_sender, allowance_messages) = channel(ALLOWANCE_QUEUE_LENGTH);
         let eras = EraWatch::new();
         let handlers = ControlHandlers {
-            allowances: take_allowances(told_sender),
-            store_era: take_era(&eras),
-            ..handlers(&settings, &desired, &poison, &origins, news_sender)
+            allowances: allowance_handler(allowance_sender),
+            store_era: era_handler(&eras),
+            ..handlers(&settings, &desired, &poison, &origins, version_sender)
         };
         let control_settings = control_settings(&settings, peer_address, inputs.clock);
         let control_metrics = ControlMetrics::new(metrics.registry())?;
@@ -126,20 +129,20 @@
         };
         let traffic = Traffic::new(settings, inputs.clock, shared);
         let traffic = Arc::new(traffic);
-        traffic.gate.set_classes(CLASSES);
+        traffic.gate.set_classes(PRIORITY_CLASSES);
         let announce = announce_version(&control);
         let runtime = &control.runtime;
         let counted = CountedStore::new(inputs.store, traffic.metrics.store.clone());
         let store = Arc::new(EraStore::new(counted, eras.clone()));
-        let ask_now = Arc::new(Notify::new());
+        let poll_now = Arc::new(Notify::new());
         let follower = StoreFollower {
             store: store.clone(),
             source: inputs.source,
             desired: desired.clone(),
             announce: announce.clone(),
             confirm: confirm_version(&control),
-            asks: asks(&traffic, &control),
-            ask_now: ask_now.clone(),
+            should_poll: should_poll(&traffic, &control),
+            poll_now: poll_now.clone(),
             reached: traffic.metrics.store_reached.clone(),
             stored: None,
         };
@@ -149,13 +152,17 @@
             domain: traffic.settings.domain.clone(),
             desired: desired.clone(),
             announce,
-            ask_now,
+            poll_now,
         };
-        runtime.spawn(fetch.run(news));
+        runtime.spawn(fetch.run(version_announcements));
         runtime.spawn(announce_local(control.clone(), traffic.clone()));
-        runtime.spawn(announce_routes(control.clone(), route_news));
-        runtime.spawn(keep_allowances(traffic.clone(), control.clone(), told));
-        runtime.spawn(tell_targets(crashes, traffic.clone(), control.clone()));
+        runtime.spawn(announce_routes(control.clone(), route_updates));
+        runtime.spawn(run_allowances(
+            traffic.clone(),
+            control.clone(),
+            allowance_messages,
+        ));
+        runtime.spawn(forward_reports(crashes, traffic.clone(), control.clone()));
         let roster = Roster {
             store,
             eras: eras.clone(),
@@ -209,35 +216,35 @@
         }
     }
 
-    /// The version of the desired state in force here; 0 while there is none.
+    /// The version of the desired state in force; 0 while there is none.
     pub fn desired_version(&self) -> u64 {
         self.traffic.desired.version()
     }
 
     /// How long ago the store was last known to hold nothing newer, in milliseconds.
     pub fn confirmed_ms_ago(&self) -> u64 {
-        let confirmed = self.traffic.freshness.confirmed();
+        let confirmed = self.traffic.freshness.last_confirmed();
         self.traffic.clock.now().since(confirmed)
     }
 
-    /// How many targets of a service take work, as far as is known here.
+    /// How many known targets of a service accept work.
     pub fn targets_of(&self, service: &str) -> usize {
         self.slots_of(service).len()
     }
 
-    /// How many calls each target of a service that takes work can run at once, as far as is known here.
+    /// How many calls each known target of a service that accepts work can run at once.
     pub fn slots_of(&self, service: &str) -> Vec<u32> {
         let view = self.traffic.view.load();
         let targets = view.targets(service).iter();
-        let open = targets.filter(|target| target.state.takes_work());
+        let open = targets.filter(|target| target.state.accepts_calls());
         open.map(|target| target.slots).collect()
     }
 }
 
-/// Guards against a node that is gone and still gossips: its own tasks on the control thread hold the
-/// handle that would end the thread. It shows as a node that never counts as dead, and as one whose
-/// successor under the same name loses its state to it again and again. It holds because the thread
-/// ends here, whoever still holds the handle.
+/// Ends the control thread explicitly. The node's own tasks on that thread hold its handle, so
+/// dropping the handle would not end it, and the node would continue to gossip. Other nodes would
+/// then never detect it as dead, and its successor under the same name would repeatedly lose its
+/// state to it.
 impl Drop for TrafficProcess {
     fn drop(&mut self) {
         self.control.shutdown();
--- a/src/traffic/retry_budgets.rs
+++ b/src/traffic/retry_budgets.rs
@@ -1,4 +1,4 @@
-//! The node's part in the bounds on repeats, by service.
+//! This node's share of the system-wide retry limits, per service.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -11,19 +11,21 @@
 use crate::retry::RetryBound;
 use crate::retry::WindowBudget;
 
-/// The part of the bound that is used. How likely a call is a repeat of its parent's is known as a mean
-/// only, and arrivals are counted a little later than sends.
-const USED_PART: f32 = 0.9;
-/// The part of the fixed allowance that is used: a node may know of fewer others than there are.
-const USED_SLACK_PART: f32 = 0.5;
-/// Services for which budgets are kept; beyond it those the view does not know go.
-const MOST_SERVICES: usize = 1_024;
+/// The fraction of the allowed retry ratio that is used. Some is kept in reserve, because the
+/// probability that a call's parent is a retry is known only as a mean, and because arrivals are
+/// counted a little later than sends.
+const USED_RATIO_FRACTION: f32 = 0.9;
+/// The fraction of the fixed retry allowance that is used: a node may know of fewer nodes than
+/// exist.
+const USED_SLACK_FRACTION: f32 = 0.5;
+/// Maximum number of budgets; beyond it those of services that are not in the view are dropped.
+const MAX_SERVICES: usize = 1_024;
 
 #[derive(Debug)]
-struct Known {
-    /// That of the whole system.
+struct BudgetState {
+    /// The bound of the whole system.
     bound: RetryBound,
-    /// How many nodes share the fixed allowance.
+    /// The number of nodes that share the fixed allowance.
     nodes: usize,
     budgets: FastMap<Name, WindowBudget>,
 }
@@ -31,72 +33,79 @@
 /// Shared by all calls of the entry.
 #[derive(Debug)]
 pub(super) struct RetryBudgets {
-    known: Mutex<Known>,
+    state: Mutex<BudgetState>,
 }
 
 impl RetryBudgets {
     /// Nothing is spent yet.
     pub(super) fn new(bound: RetryBound) -> Self {
-        let known = Mutex::new(Known {
+        let state = Mutex::new(BudgetState {
             bound,
             nodes: usize::MAX,
             budgets: FastMap::default(),
         });
-        Self { known }
+        Self { state }
     }
 
     /// Changes the bound of the whole system; see [`WindowBudget::set_share`].
     pub(super) fn set_bound(&self, bound: RetryBound) {
-        let mut known = self.lock();
-        known.bound = bound;
-        known.share_anew();
+        let mut state = self.lock();
+        state.bound = bound;
+        state.update_shares();
     }
 
-    /// Notes a call that is sent for the first time; see [`WindowBudget::record_first_attempt`].
-    pub(super) fn first_attempt(&self, now: TimeMs, view: &View, service: &Name, repeated: f32) {
-        let mut known = self.lock();
-        known.follow(view);
-        known.budget_of(service).record_first_attempt(now, repeated);
+    /// Records the first attempt of a call; see [`WindowBudget::record_first_attempt`].
+    pub(super) fn record_first_attempt(
+        &self,
+        now: TimeMs,
+        view: &View,
+        service: &Name,
+        repeated: f32,
+    ) {
+        let mut state = self.lock();
+        state.update_nodes(view);
+        state.budget_of(service).record_first_attempt(now, repeated);
     }
 
-    /// Pays for a repeat; false when none is left.
+    /// Takes a retry from the budget; returns false if the budget is spent.
     pub(super) fn try_retry(&self, now: TimeMs, service: &Name) -> bool {
         self.lock().budget_of(service).try_retry(now)
     }
 
-    /// Whether a repeat may begin that makes calls to the service; see [`WindowBudget::has_remaining`].
-    pub(super) fn has_left(&self, now: TimeMs, service: &Name) -> bool {
+    /// Whether a retried request that makes calls to the service may start; see
+    /// [`WindowBudget::has_remaining`].
+    pub(super) fn has_remaining(&self, now: TimeMs, service: &Name) -> bool {
         self.lock().budget_of(service).has_remaining(now)
     }
 
-    fn lock(&self) -> MutexGuard<'_, Known> {
-        self.known.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, BudgetState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Known {
-    /// This node's part.
+impl BudgetState {
+    /// This node's share of the bound.
     fn share(&self) -> RetryBound {
         RetryBound {
-            ratio: self.bound.ratio * USED_PART,
-            slack: self.bound.slack * USED_SLACK_PART / self.nodes as f32,
+            ratio: self.bound.ratio * USED_RATIO_FRACTION,
+            slack: self.bound.slack * USED_SLACK_FRACTION / self.nodes as f32,
             window_ms: self.bound.window_ms,
         }
     }
 
-    fn follow(&mut self, view: &View) {
+    fn update_nodes(&mut self, view: &View) {
         let nodes = view.nodes.len().max(1);
         if nodes != self.nodes {
             self.nodes = nodes;
-            self.share_anew();
+            self.update_shares();
         }
-        if self.budgets.len() > MOST_SERVICES {
+        if self.budgets.len() > MAX_SERVICES {
             self.budgets
                 .retain(|service, _| view.services.contains_key(service));
         }
     }
 
-    fn share_anew(&mut self) {
+    fn update_shares(&mut self) {
         let share = self.share();
         for budget in self.budgets.values_mut() {
             budget.set_share(share);
--- a/src/traffic/root_admission.rs
+++ b/src/traffic/root_admission.rs
@@ -1,4 +1,4 @@
-//! What answers teach about pressure deep down, and the admission of roots by it.
+//! Admission of root requests by the pressure of downstream services, as learned from answers.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -13,20 +13,21 @@
 use crate::core::TimeMs;
 
 #[derive(Debug, Default)]
-struct Learnt {
+struct PressureState {
     pressures: Pressures,
     control: RootControl,
 }
 
-/// Shared by entry and guard. Both parts bound themselves.
+/// Shared by entry and guard. Both parts of the state limit their own size.
 #[derive(Debug, Default)]
 pub(super) struct RootAdmission {
-    learnt: Mutex<Learnt>,
+    state: Mutex<PressureState>,
 }
 
 impl RootAdmission {
-    /// Takes in what an answer of a service said; `is_root` when the call was a caller's own.
-    pub(super) fn note_answer(
+    /// Records the pressure reported with an answer. `is_root` means that a caller sent the
+    /// request.
+    pub(super) fn record_answer(
         &self,
         now: TimeMs,
         service: &Name,
@@ -34,43 +35,42 @@
         pressure: Option<&Pressure>,
         is_root: bool,
     ) {
-        let mut learnt = self.lock();
-        learnt.pressures.note(now, service, route, pressure);
+        let mut state = self.lock();
+        state.pressures.record(now, service, route, pressure);
         if !is_root {
             return;
         }
         match pressure {
             Some(pressure) => {
                 let (service, permille) = (&pressure.service, pressure.permille);
-                learnt.control.note(now, service, permille);
+                state.control.record(now, service, permille);
             }
             None => {
-                if let Some(service) = learnt.pressures.overloaded_service(service, route).cloned()
-                {
-                    learnt.control.note(now, &service, 0);
+                if let Some(service) = state.pressures.overloaded_service(service, route).cloned() {
+                    state.control.record(now, &service, 0);
                 }
             }
         }
     }
 
-    /// Notes a call of the local backend server: each of the routes that run there may have led to
-    /// it.
-    pub(super) fn note_child(
+    /// Records a call of the local backend server as a possible child of each route that is running
+    /// there.
+    pub(super) fn record_child(
         &self,
         now: TimeMs,
         parents: &[Name],
         service: &Name,
         child_route: &str,
     ) {
-        let mut learnt = self.lock();
+        let mut state = self.lock();
         for parent in parents {
-            learnt
+            state
                 .pressures
-                .note_child(now, parent, service, child_route);
+                .record_child(now, parent, service, child_route);
         }
     }
 
-    /// Whether a caller's own request is let in.
+    /// Whether a caller's request is admitted.
     pub(super) fn may_pass(
         &self,
         now: TimeMs,
@@ -78,54 +78,59 @@
         route: &str,
         priority: Priority,
     ) -> bool {
-        let mut learnt = self.lock();
-        let Some(pressed) = learnt.pressures.overloaded_service(service, route).cloned() else {
+        let mut state = self.lock();
+        let Some(overloaded) = state.pressures.overloaded_service(service, route).cloned() else {
             return true;
         };
-        learnt.control.may_pass(now, &pressed, priority)
+        state.control.may_pass(now, &overloaded, priority)
     }
 
-    /// The service for whose sake requests on a route are refused; `None` while all are let in.
-    pub(super) fn pressed_behind(&self, service: &str, route: &str) -> Option<OverloadedService> {
-        let learnt = self.lock();
-        let behind = learnt.pressures.overloaded_service(service, route)?;
-        let mut pressed = learnt.control.overloaded();
-        pressed.find(|pressed| pressed.service == *behind)
+    /// The overloaded service for which requests on a route are refused; `None` while all are
+    /// admitted.
+    pub(super) fn overloaded_service_for(
+        &self,
+        service: &str,
+        route: &str,
+    ) -> Option<OverloadedService> {
+        let state = self.lock();
+        let downstream = state.pressures.overloaded_service(service, route)?;
+        let mut overloaded = state.control.overloaded();
+        overloaded.find(|overloaded| overloaded.service == *downstream)
     }
 
-    /// All services for whose sake requests are refused.
-    pub(super) fn pressed(&self) -> Vec<OverloadedService> {
+    /// All overloaded services for which requests are refused.
+    pub(super) fn overloaded(&self) -> Vec<OverloadedService> {
         self.lock().control.overloaded().collect()
     }
 
-    /// The pressure to tell with an answer on `route` of the local service.
-    pub(super) fn on_answer(&self, now: TimeMs, route: &str, own: Pressure) -> Option<Pressure> {
+    /// The pressure to report with an answer on `route` of the local service.
+    pub(super) fn for_answer(&self, now: TimeMs, route: &str, own: Pressure) -> Option<Pressure> {
         self.lock().pressures.for_answer(now, route, own)
     }
 
-    /// The services that work on `route` of the local service may call.
-    pub(super) fn services_behind(&self, now: TimeMs, route: &str) -> Vec<Name> {
+    /// The services that requests on `route` of the local service may call.
+    pub(super) fn downstream_services(&self, now: TimeMs, route: &str) -> Vec<Name> {
         self.lock().pressures.downstream_services(now, route)
     }
 
-    /// The highest pressure behind any of these routes of the local service.
-    pub(super) fn deepest_permille(&self, now: TimeMs, routes: &[Name]) -> u32 {
+    /// The highest pressure downstream of any of these routes of the local service.
+    pub(super) fn max_downstream_permille(&self, now: TimeMs, routes: &[Name]) -> u32 {
         self.lock().pressures.max_downstream_permille(now, routes)
     }
 
-    /// Logs for whose sake requests are refused at present.
-    pub(super) fn log_closed(&self) {
-        for pressed in self.pressed() {
+    /// Logs the services for which requests are currently refused.
+    pub(super) fn log_restricted(&self) {
+        for overloaded in self.overloaded() {
             log::info!(
                 "entry: refuses roots, service={} pressure_permille={} admitted_percent={}",
-                pressed.service,
-                pressed.pressure_permille,
-                pressed.admitted_percent
+                overloaded.service,
+                overloaded.pressure_permille,
+                overloaded.admitted_percent
             );
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Learnt> {
-        self.learnt.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, PressureState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/src/traffic/roster.rs
+++ b/src/traffic/roster.rs
@@ -1,7 +1,7 @@
-//! One row a node: how nodes find each other, and what a node has to know after a restart.
+//! Stores one row per node, for the discovery of other nodes and for the node's own restart.
 //!
-//! A row is written once its backend server is known and when that says that it leaves, never for a
-//! heartbeat: who lives is told by gossip. Both work without the other.
+//! A row is written once the backend server is known, and when it is leaving, but not at
+//! heartbeats: liveness is detected by gossip. The store and gossip work without each other.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,30 +13,31 @@
 use crate::control::ControlHandle;
 use crate::core::Name;
 use crate::errors::StoreError;
+use crate::store::Backoff;
 use crate::store::EraWatch;
-use crate::store::KeptRow;
-use crate::store::RowKeeper;
 use crate::store::RowName;
+use crate::store::RowWriter;
 use crate::store::Store;
-use crate::store::WatchPause;
+use crate::store::WriteOutcome;
 use crate::store::part_name;
-use crate::traffic::find_others::FindOthers;
-use crate::traffic::recall::recall_server;
+use crate::traffic::peer_discovery::PeerDiscovery;
 use crate::traffic::roster_row::RosterRow;
 use crate::traffic::roster_row::roster_key;
 use crate::traffic::row_checks::RowChecks;
-use crate::traffic::traffic::LocalNews;
+use crate::traffic::server_restore::restore_server;
+use crate::traffic::traffic::LocalServerStatus;
 use crate::traffic::traffic::Traffic;
 
 /// The table with a row for each node.
 const TABLE: &str = "nodes";
-/// How long what is known from before a restart is waited for.
-const OWN_ROW_WITHIN: Duration = Duration::from_millis(1_500);
-/// How long a first row waits for the first report of the backend server, which comes within a heartbeat of
-/// its own start: each write is paid for, and it would be written anew a moment later.
-const FIRST_REPORT_WITHIN: Duration = Duration::from_millis(4_500);
+/// Time-out for the read of the node's own row after a restart.
+const OWN_ROW_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// How long the first write of a row waits for the first report of the backend server, which comes
+/// within a heartbeat of the server's start. Without the wait, a second and costly write would
+/// follow shortly after.
+const FIRST_REPORT_TIMEOUT: Duration = Duration::from_millis(4_500);
 
-/// Keeps the own row and finds others.
+/// Maintains this node's row and discovers other nodes.
 pub(super) struct Roster {
     pub(super) store: Arc<dyn Store>,
     pub(super) eras: EraWatch,
@@ -45,7 +46,7 @@
 }
 
 impl Roster {
-    /// Runs for good.
+    /// Runs until the process ends.
     pub(super) async fn run(self) {
         let settings = &self.traffic.settings;
         let is_first_start = settings.is_first_start;
@@ -55,10 +56,10 @@
             part: part_name(settings.store_rates.part_of(&settings.node)),
             key: own_key.clone(),
         };
-        let mut keeper = RowKeeper::new(self.store.clone(), name);
-        // Holds true once others may be looked for; see [`FindOthers`].
-        let (may_find, mut is_time) = watch::channel(!is_first_start);
-        let others = FindOthers {
+        let mut writer = RowWriter::new(self.store.clone(), name);
+        // True once discovery may start; see [`PeerDiscovery`].
+        let (allow_discovery, mut is_allowed) = watch::channel(!is_first_start);
+        let others = PeerDiscovery {
             store: self.store.clone(),
             control: self.control.clone(),
             table: Name::from(TABLE),
@@ -68,115 +69,117 @@
             own_key,
             is_first_start,
         };
-        let finding = async {
-            // The sender lives as long as this does.
-            drop(is_time.wait_for(|is_time| *is_time).await);
+        let discovery = async {
+            // The sender outlives this future.
+            drop(is_allowed.wait_for(|is_allowed| *is_allowed).await);
             others.run().await;
         };
         let own = async {
             let before = if is_first_start {
-                self.write_first(&mut keeper).await
+                self.write_first(&mut writer).await
             } else {
-                self.recall(&mut keeper).await
+                self.read_own_row(&mut writer).await
             };
-            may_find.send_replace(true);
-            self.keep(&mut keeper, before).await;
+            allow_discovery.send_replace(true);
+            self.keep(&mut writer, before).await;
         };
-        tokio::join!(own, finding);
+        tokio::join!(own, discovery);
     }
 
-    /// Writes a first row. Answers what the row holds.
+    /// Writes this node's row for the first time. Returns the content of the row.
     ///
-    /// Nothing is stored of a node when the whole system starts for the first time, so nothing is read.
-    /// Should there be a row all the same, the write says so, and what it holds counts.
-    async fn write_first(&self, keeper: &mut RowKeeper) -> Option<RosterRow> {
-        let mut news = self.traffic.local_news.subscribe();
-        let is_known = |news: &LocalNews| news.known.is_some() || news.leaving.is_some();
-        drop(timeout(FIRST_REPORT_WITHIN, news.wait_for(is_known)).await);
-        keeper.take_as_absent();
-        let wanted = self.wanted(None);
-        match keeper.write(&wanted.encode()).await {
-            KeptRow::Written => Some(wanted),
-            KeptRow::Again(StoreError::Conflict { .. }) => self.recall(keeper).await,
-            KeptRow::Again(error) => {
-                log::debug!("roster: the own row was not written, error={error}");
+    /// On the first start of the whole system the store has no rows, so nothing is read first. If a
+    /// row exists nevertheless, the write reports a conflict, and the stored content is used.
+    async fn write_first(&self, writer: &mut RowWriter) -> Option<RosterRow> {
+        let mut status = self.traffic.local_status.subscribe();
+        let is_known =
+            |status: &LocalServerStatus| status.known.is_some() || status.leaving.is_some();
+        drop(timeout(FIRST_REPORT_TIMEOUT, status.wait_for(is_known)).await);
+        writer.assume_absent();
+        let wanted = self.wanted_row(None);
+        match writer.write(&wanted.encode()).await {
+            WriteOutcome::Written => Some(wanted),
+            WriteOutcome::Retry(StoreError::Conflict { .. }) => self.read_own_row(writer).await,
+            WriteOutcome::Retry(error) => {
+                log::debug!("roster: own row not written, error={error}");
                 None
             }
         }
     }
 
-    /// Guards against a node that is restarted after its backend server said that it leaves: a
-    /// report from before that, arriving late, would have it sent new work.
+    /// Reads this node's row, and restores a departure of the backend server from it. Returns the
+    /// content of the row.
     ///
-    /// Answers what the row holds.
-    async fn recall(&self, keeper: &mut RowKeeper) -> Option<RosterRow> {
-        let row = match timeout(OWN_ROW_WITHIN, keeper.read()).await {
+    /// Without the restored departure, a late report from before it would cause new work to be sent
+    /// to the backend server after a restart of the node.
+    async fn read_own_row(&self, writer: &mut RowWriter) -> Option<RosterRow> {
+        let row = match timeout(OWN_ROW_TIMEOUT, writer.read()).await {
             Ok(Ok(row)) => row,
             Ok(Err(error)) => {
-                log::warn!("roster: the own row cannot be read, error={error}");
+                log::warn!("roster: own row cannot be read, error={error}");
                 None
             }
             Err(_) => {
-                log::warn!("roster: the own row was not read in time");
+                log::warn!("roster: read of own row timed out");
                 None
             }
         };
         let before = row.as_ref().and_then(RosterRow::decode)?;
         if let Some(leaving) = &before.leaving {
             let started_unix_ms = before.leaving_started_unix_ms;
-            self.traffic.local().note_gone(leaving, started_unix_ms);
+            self.traffic.local().mark_gone(leaving, started_unix_ms);
         }
         Some(before)
     }
 
-    /// Keeps the row as it has to be. `before` is what it holds, if that is known.
-    async fn keep(&self, keeper: &mut RowKeeper, before: Option<RosterRow>) {
+    /// Keeps the row up to date. `before` is its stored content, if known.
+    async fn keep(&self, writer: &mut RowWriter, before: Option<RosterRow>) {
         let known = before.as_ref().and_then(|before| before.known.clone());
-        let asking = async {
+        let restoring = async {
             if let Some(known) = known {
-                recall_server(self.traffic.clone(), known).await;
+                restore_server(self.traffic.clone(), known).await;
             }
         };
-        tokio::join!(asking, self.keep_own(keeper, before));
+        tokio::join!(restoring, self.maintain_row(writer, before));
     }
 
-    async fn keep_own(&self, keeper: &mut RowKeeper, before: Option<RosterRow>) {
-        let mut held = before.clone();
-        let mut news = self.traffic.local_news.subscribe();
+    async fn maintain_row(&self, writer: &mut RowWriter, before: Option<RosterRow>) {
+        let mut written = before.clone();
+        let mut status = self.traffic.local_status.subscribe();
         let mut checks = RowChecks::new(&self.eras);
-        let mut pause = WatchPause::default();
+        let mut pause = Backoff::default();
         loop {
-            news.mark_unchanged();
-            let wanted = self.wanted(before.as_ref());
-            if held.as_ref() == Some(&wanted) {
+            status.mark_unchanged();
+            let wanted = self.wanted_row(before.as_ref());
+            if written.as_ref() == Some(&wanted) {
                 tokio::select! {
-                    changed = news.changed() => if changed.is_err() {
+                    changed = status.changed() => if changed.is_err() {
                         return;
                     },
                     () = checks.due() => {
-                        keeper.forget();
-                        held = None;
+                        writer.forget();
+                        written = None;
                     }
                 }
                 continue;
             }
-            match keeper.write(&wanted.encode()).await {
-                KeptRow::Written => {
+            match writer.write(&wanted.encode()).await {
+                WriteOutcome::Written => {
                     pause.reset();
-                    held = Some(wanted);
+                    written = Some(wanted);
                 }
-                KeptRow::Again(error) => {
-                    held = None;
-                    log::debug!("roster: the own row was not written, error={error}");
+                WriteOutcome::Retry(error) => {
+                    written = None;
+                    log::debug!("roster: own row not written, error={error}");
                     sleep(Duration::from_millis(pause.after_failure(fastrand::f64()))).await;
                 }
             }
         }
     }
 
-    fn wanted(&self, before: Option<&RosterRow>) -> RosterRow {
-        let news = self.traffic.local_news.borrow();
+    fn wanted_row(&self, before: Option<&RosterRow>) -> RosterRow {
+        let status = self.traffic.local_status.borrow();
         let domain = &self.traffic.settings.domain;
-        RosterRow::of(self.control.address, domain, &news, before)
+        RosterRow::of(self.control.address, domain, &status, before)
     }
 }
--- a/src/traffic/route_origins.rs
+++ b/src/traffic/route_origins.rs
@@ -1,4 +1,5 @@
-//! Who uses each route: learnt at the guard, told with answers, remembered at the entry.
+//! Whether callers or backend servers use each route: detected at the guard, sent with answers, and
+//! cached at the entry.
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
@@ -16,12 +17,12 @@
 use crate::core::View;
 use crate::wire::HopCall;
 
-/// Routes remembered at an entry at most; beyond it all are forgotten and told anew.
-const MOST_ROUTES: usize = 4_096;
+/// Maximum number of routes cached at an entry; beyond it the cache is cleared and fills again.
+const MAX_ROUTES: usize = 4_096;
 
-/// What a guard has found out.
+/// The state of a guard.
 #[derive(Debug, Default)]
-struct Seen {
+struct GuardState {
     origins: OriginsByDomain,
     callers: Callers,
 }
@@ -30,95 +31,105 @@
 #[derive(Debug, Default)]
 struct Callers {
     at_change: u64,
-    near: Vec<CallingService>,
+    own_domain: Vec<CallingService>,
     all: Vec<CallingService>,
 }
 
-/// Who uses a route, found out here first.
-pub(super) type RouteNews = (Name, RouteOrigin);
+/// A route and its origin, to be announced to other nodes.
+pub(super) type RouteOriginUpdate = (Name, RouteOrigin);
 
-/// Both sides' knowledge.
+/// The state of entry and guard.
 #[derive(Debug)]
-pub(super) struct KnownOrigins {
-    seen: Mutex<Seen>,
-    told: Mutex<FastMap<Name, RouteOrigin>>,
-    /// Takes what is new here, for the other nodes.
-    news: Sender<RouteNews>,
+pub(super) struct RouteOrigins {
+    guard_state: Mutex<GuardState>,
+    learned: Mutex<FastMap<Name, RouteOrigin>>,
+    /// Queues what this node has learned, for the announcement to other nodes.
+    updates: Sender<RouteOriginUpdate>,
 }
 
-impl KnownOrigins {
+impl RouteOrigins {
     /// Nothing is known yet.
-    pub(super) fn new(news: Sender<RouteNews>) -> Self {
+    pub(super) fn new(updates: Sender<RouteOriginUpdate>) -> Self {
         Self {
-            seen: Mutex::default(),
-            told: Mutex::default(),
-            news,
+            guard_state: Mutex::default(),
+            learned: Mutex::default(),
+            updates,
         }
     }
 
-    /// Counts a call at the guard, and answers what is known of its route.
-    pub(super) fn note(&self, view: &View, domain: &str, call: &HopCall) -> Option<RouteOrigin> {
-        let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
-        let Seen { origins, callers } = &mut *seen;
-        callers.follow(view, domain);
-        let heard = ObservedCall {
+    /// Counts a call at the guard, and returns the origin of its route, if known.
+    pub(super) fn record_call(
+        &self,
+        view: &View,
+        domain: &str,
+        call: &HopCall,
+    ) -> Option<RouteOrigin> {
+        let mut guard_state = self
+            .guard_state
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let GuardState { origins, callers } = &mut *guard_state;
+        callers.update(view, domain);
+        let observed = ObservedCall {
             route: &call.route,
             caller_service: &call.caller_service,
-            same_domain: call.is_near && callers.near.len() > 1,
+            same_domain: call.is_same_domain && callers.own_domain.len() > 1,
             reported_origin: call.origin,
         };
         let services = CallingServices {
-            own_domain: &callers.near,
+            own_domain: &callers.own_domain,
             all: &callers.all,
         };
-        origins.note(heard, services)
+        origins.record(observed, services)
     }
 
-    /// Takes in what a guard said of a route, of this node or another one.
-    pub(super) fn take(&self, route: &Name, origin: Option<RouteOrigin>) {
+    /// Records the origin of a route as detected by the guard of this or another node.
+    pub(super) fn learn(&self, route: &Name, origin: Option<RouteOrigin>) {
         let Some(origin) = origin else {
             return;
         };
-        let mut told = self.told.lock().unwrap_or_else(PoisonError::into_inner);
-        if told.get(route) == Some(&origin) {
+        let mut learned = self.learned.lock().unwrap_or_else(PoisonError::into_inner);
+        if learned.get(route) == Some(&origin) {
             return;
         }
-        if told.len() >= MOST_ROUTES {
-            told.clear();
+        if learned.len() >= MAX_ROUTES {
+            learned.clear();
         }
         log::info!("entry: a route is used by, route={route} origin={origin:?}");
-        let is_first = told.insert(route.clone(), origin).is_none();
-        if is_first && self.news.try_send((route.clone(), origin)).is_err() {
-            log::debug!("entry: news of a route were dropped, route={route}");
+        let is_first = learned.insert(route.clone(), origin).is_none();
+        if is_first && self.updates.try_send((route.clone(), origin)).is_err() {
+            log::debug!(
+                "entry: route origin not announced because the queue is full, route={route}"
+            );
         }
     }
 
-    /// Takes in what another node has found out, unless something is known already.
-    pub(super) fn take_news(&self, route: &Name, origin: RouteOrigin) {
-        if self.of(route).is_none() {
-            self.take(route, Some(origin));
+    /// Records the origin of a route as announced by another node, unless one is known already.
+    pub(super) fn learn_from_peer(&self, route: &Name, origin: RouteOrigin) {
+        if self.origin_of(route).is_none() {
+            self.learn(route, Some(origin));
         }
     }
 
-    /// Who uses a route, if any guard has said so.
-    pub(super) fn of(&self, route: &Name) -> Option<RouteOrigin> {
-        let told = self.told.lock().unwrap_or_else(PoisonError::into_inner);
-        told.get(route).copied()
+    /// The origin of a route, if known.
+    pub(super) fn origin_of(&self, route: &Name) -> Option<RouteOrigin> {
+        let learned = self.learned.lock().unwrap_or_else(PoisonError::into_inner);
+        learned.get(route).copied()
     }
 }
 
 impl Callers {
-    fn follow(&mut self, view: &View, domain: &str) {
+    fn update(&mut self, view: &View, domain: &str) {
         if self.at_change == view.changes && !self.all.is_empty() {
             return;
         }
         self.at_change = view.changes;
-        self.near = calling_services(view, |other| other == domain);
+        self.own_domain = calling_services(view, |other| other == domain);
         self.all = calling_services(view, |_| true);
     }
 }
 
-/// The services of the counted domains' nodes, each with its part of them.
+/// The services of the nodes in the counted failure domains, each with its share of those nodes.
 fn calling_services(view: &View, is_counted: impl Fn(&str) -> bool) -> Vec<CallingService> {
     let mut services: FastMap<&Name, (usize, bool)> = FastMap::default();
     let mut nodes: usize = 0;
--- a/tests/configuration_state.rs
+++ b/tests/configuration_state.rs
@@ -1,12 +1,12 @@
-//! Versions only rise, whatever is heard from whom.
+//! Versions only increase, whichever documents are offered from whichever source.
 
 mod support;
 
 use proptest::prelude::*;
 use rstest::rstest;
 use sassafrasgap::configuration::ConfigState;
-use sassafrasgap::configuration::Ignored;
-use sassafrasgap::configuration::Offer;
+use sassafrasgap::configuration::IgnoreReason;
+use sassafrasgap::configuration::OfferOutcome;
 use sassafrasgap::configuration::Source;
 use sassafrasgap::control::ConfigDocument;
 use support::presets::document;
@@ -15,59 +15,61 @@
 fn in_force(version: u64) -> ConfigState {
     let mut state = ConfigState::new();
     let offer = state.offer(document(version), Source::Platform);
-    assert!(matches!(offer, Offer::Apply(_)));
+    assert!(matches!(offer, OfferOutcome::Apply(_)));
     state
 }
 
-// What a user would see: the preset of last week is back for some seconds after a node restarts.
-// The platform is down. The node asks its peers; one of them was cut off for a while and answers
-// first, with an old version. Cause: the first answer was applied as soon as it came.
+// Guards against an old preset in force for seconds after a restart with the platform down: a peer
+// that was cut off answers first, with an old version, and the node applies the first answer.
 #[test]
-fn a_restarted_node_waits_for_all_peers_asked_before_it_applies_one() {
+fn a_restarted_node_waits_for_all_queried_peers_before_it_applies_an_answer() {
     let mut state = ConfigState::new();
     let stale = state.offer(document(4), Source::Peer);
-    assert_eq!(stale, Offer::Ignore(Ignored::StillAsking));
+    assert_eq!(stale, OfferOutcome::Ignore(IgnoreReason::StillAsking));
     assert_eq!(state.version(), 0);
     assert!(
-        state.above(0).is_none(),
-        "what is not in force is not handed on"
+        state.document_above(0).is_none(),
+        "a version that is not in force is not sent to peers"
     );
     state.offer(document(7), Source::Peer);
     state.offer(document(5), Source::Peer);
-    let applied = state.finish_asking().expect("something was heard");
+    let applied = state.finish_initial_queries().expect("peers have answered");
     assert_eq!(applied.version, 7);
-    assert_eq!(state.above(6).map(|held| held.version), Some(7));
-    assert!(state.finish_asking().is_none());
+    assert_eq!(state.document_above(6).map(|held| held.version), Some(7));
+    assert!(state.finish_initial_queries().is_none());
 }
 
 #[rstest]
-#[case::lower(document(6), Ignored::NotHigher { in_force: 7 })]
-#[case::same(document(7), Ignored::NotHigher { in_force: 7 })]
+#[case::lower(document(6), IgnoreReason::NotHigher { in_force: 7 })]
+#[case::same(document(7), IgnoreReason::NotHigher { in_force: 7 })]
 #[case::other_content(ConfigDocument { document: "preset: x".into(), ..document(7) },
-    Ignored::OtherContent)]
-fn what_is_not_higher_is_ignored(#[case] offered: ConfigDocument, #[case] expected: Ignored) {
+    IgnoreReason::OtherContent)]
+fn what_is_not_higher_is_ignored(#[case] offered: ConfigDocument, #[case] expected: IgnoreReason) {
     let mut state = in_force(7);
     for source in [Source::Peer, Source::Platform] {
         assert_eq!(
             state.offer(offered.clone(), source),
-            Offer::Ignore(expected.clone())
+            OfferOutcome::Ignore(expected.clone())
         );
     }
     assert_eq!(state.version(), 7);
 }
 
-// What a user would see: a node that runs an older program refuses every call after a switch.
-// The new preset has a field that the old program does not know. Cause: it must not guess what an
-// unreadable preset means, but the one in force is still the best that it knows.
+// Guards against a node with an older program that refuses every call after a switch to a preset
+// with a field unknown to it. It must not guess what the new preset means, so it keeps the one in
+// force.
 #[test]
-fn an_unreadable_document_leaves_what_is_in_force() {
+fn an_unreadable_document_leaves_the_version_in_force() {
     let mut state = in_force(7);
     let unreadable = ConfigDocument {
         document: "preset: ordinary\nnew_field: 1\n".into(),
         ..document(8)
     };
     let offer = state.offer(unreadable, Source::Platform);
-    assert!(matches!(offer, Offer::Ignore(Ignored::Unreadable(_))));
+    assert!(matches!(
+        offer,
+        OfferOutcome::Ignore(IgnoreReason::Unreadable(_))
+    ));
     assert_eq!((state.version(), state.highest()), (7, 7));
 }
 
@@ -87,8 +89,8 @@
     Restart {
         node: usize,
     },
-    /// One round of questions to everybody who can be reached; `first` rotates the answers.
-    AskPeers {
+    /// One round of queries to all reachable peers; `first` rotates the order of the answers.
+    QueryPeers {
         node: usize,
         first: usize,
     },
@@ -107,7 +109,7 @@
         3 => node.clone().prop_map(|node| Step::Poll { node }),
         6 => (node.clone(), node.clone()).prop_map(|(by, from)| Step::Pull { by, from }),
         2 => node.clone().prop_map(|node| Step::Restart { node }),
-        3 => (node.clone(), node).prop_map(|(node, first)| Step::AskPeers { node, first }),
+        3 => (node.clone(), node).prop_map(|(node, first)| Step::QueryPeers { node, first }),
         1 => any::<bool>().prop_map(|up| Step::SetPlatform { up }),
         1 => any::<bool>().prop_map(|cut| Step::SetCut { cut }),
     ]
@@ -117,7 +119,7 @@
 /// the platform when it is cut off from domain 1.
 struct Model {
     nodes: Vec<ConfigState>,
-    /// What each node had in force last, over restarts.
+    /// The version that each node had in force before its last restart.
     before_restart: Vec<u64>,
     platform_version: u64,
     platform_up: bool,
@@ -147,15 +149,15 @@
         let before = self.nodes[node].version();
         let version = offered.version;
         match self.nodes[node].offer(offered, source) {
-            Offer::Apply(applied) => {
-                assert!(applied.version > before, "versions rise");
+            OfferOutcome::Apply(applied) => {
+                assert!(applied.version > before, "versions increase");
                 assert!(applied.version >= version);
             }
-            Offer::Ignore(_) => assert_eq!(self.nodes[node].version(), before),
+            OfferOutcome::Ignore(_) => assert_eq!(self.nodes[node].version(), before),
         }
     }
 
-    fn ask_peers(&mut self, node: usize, first: usize) {
+    fn query_peers(&mut self, node: usize, first: usize) {
         if self.nodes[node].version() > 0 {
             return;
         }
@@ -166,14 +168,14 @@
         let of_peers = peers.iter().map(|peer| self.nodes[*peer].version());
         let highest = of_peers.chain([self.nodes[node].highest()]).max();
         for peer in peers {
-            if let Some(held) = self.nodes[peer].above(self.nodes[node].highest()) {
+            if let Some(held) = self.nodes[peer].document_above(self.nodes[node].highest()) {
                 self.take(node, held, Source::Peer);
             }
         }
-        self.nodes[node].finish_asking();
+        self.nodes[node].finish_initial_queries();
         let version = self.nodes[node].version();
         assert_eq!(version, highest.unwrap_or(0), "the highest answer counts");
-        // A node whose version somebody within reach still holds does not come back lower.
+        // A restarted node gets no lower version while a reachable peer still holds its old one.
         let known = highest.unwrap_or(0).min(self.before_restart[node]);
         assert!(version >= known);
     }
@@ -192,7 +194,7 @@
             Step::Poll { .. } => {}
             Step::Pull { by, from } => {
                 let above = self.nodes[by].highest();
-                let held = self.nodes[from].above(above);
+                let held = self.nodes[from].document_above(above);
                 if let Some(held) = held.filter(|_| self.reaches(by, from)) {
                     self.take(by, held, Source::Peer);
                 }
@@ -201,29 +203,29 @@
                 self.before_restart[node] = self.nodes[node].version();
                 self.nodes[node] = ConfigState::new();
             }
-            Step::AskPeers { node, first } => self.ask_peers(node, first),
+            Step::QueryPeers { node, first } => self.query_peers(node, first),
             Step::SetPlatform { up } => self.platform_up = up,
             Step::SetCut { cut } => self.cut = cut,
         }
     }
 
-    /// Everything heals and everybody hears of everybody: all have the last version.
+    /// Ends all faults and lets every node poll or query: all nodes reach the latest version.
     fn settle(&mut self) {
         self.cut = false;
         self.platform_up = true;
         self.run(&Step::Poll { node: 0 });
         for by in 1..NODES {
             self.run(&Step::Pull { by, from: 0 });
-            self.run(&Step::AskPeers { node: by, first: 0 });
+            self.run(&Step::QueryPeers { node: by, first: 0 });
         }
         let versions: Vec<u64> = self.nodes.iter().map(ConfigState::version).collect();
         assert_eq!(versions, vec![self.platform_version; NODES]);
     }
 }
 
-// What a user would see: a preset that was replaced an hour ago is in force again somewhere.
-// Nodes restart while the platform is down, domains are cut off and healed, peers are behind; in
-// any order. Cause: any path on which a lower version is applied after a higher one.
+// Guards against a replaced preset that comes into force again, on any path on which a lower
+// version is applied after a higher one: restarts with the platform down, partitions that heal, and
+// peers that are behind, in any order.
 proptest! {
     #![proptest_config(ProptestConfig {
         cases: 400,
--- a/tests/fake_targets/mod.rs
+++ b/tests/fake_targets/mod.rs
@@ -1,4 +1,4 @@
-//! Targets made by hand, for decisions that only look at them.
+//! Targets with fixed values, for tests of target selection.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -11,8 +11,9 @@
 use sassafrasgap::routing::PickContext;
 use sassafrasgap::routing::TargetStats;
 
-/// What a first attempt from failure domain `a` with a small body chooses from.
-pub fn choice<'a>(
+/// The context for picking the target of a first attempt, with a small body, from failure domain
+/// `a`.
+pub fn pick_context<'a>(
     targets: &'a [Arc<Target>],
     stats: &'a FastMap<Name, TargetStats>,
 ) -> PickContext<'a> {
@@ -26,7 +27,7 @@
     }
 }
 
-/// A target that takes work, of ten slots, in a failure domain.
+/// A target that is up and has ten slots, in the given failure domain.
 pub fn target(name: &str, domain: &str) -> Target {
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
     Target {
--- a/tests/node_bad_input.rs
+++ b/tests/node_bad_input.rs
@@ -1,4 +1,5 @@
-//! What callers and other nodes send that is wrong: a typed refusal, counted, and nothing crashes.
+//! Invalid input of callers and other nodes is refused with a reason and counted, and nothing
+//! crashes.
 
 mod support;
 
@@ -22,10 +23,10 @@
 use sassafrasgap::core::RefusalReason;
 use sassafrasgap::wire::PROTOCOL_VERSION;
 
-use support::test_mesh::Got;
+use support::test_mesh::ClientResponse;
 use support::test_mesh::TestMesh;
 
-/// Answers with the internal headers that it was given, and counts its runs.
+/// A backend server that answers with the internal headers it received and counts its runs.
 struct Backend {
     runs: Arc<AtomicU32>,
 }
@@ -60,15 +61,15 @@
     Response::new(full_body(format!("whole={whole} {}", internal.join(" "))))
 }
 
-fn assert_refused(got: &Got, status: u16, reason: RefusalReason, outcome: &str) {
+fn assert_refused(got: &ClientResponse, status: u16, reason: RefusalReason, outcome: &str) {
     assert_eq!(got.status, status, "{got:?}");
     assert_eq!(got.header("sassafrasgap-reason"), reason.as_str());
     assert_eq!(got.header("sassafrasgap-outcome"), outcome);
     assert!(!got.header("retry-after").is_empty());
 }
 
-/// A caller claims a class, an allotment and the identity of a live call. If it were believed, it
-/// could outrank billing and multiply its retries. The entry drops what it must not set.
+/// A caller sets a class, an allotment and the context of a live call. If they were trusted, it
+/// could outrank billing and multiply its retries. The entry drops internal headers.
 #[tokio::test]
 async fn forged_internal_headers_are_dropped_and_counted() {
     let (mesh, _) = Backend::mesh().await;
@@ -100,7 +101,7 @@
 #[case::expired("/catalogue/x", &[("sassafrasgap-deadline-ms", "0")], 504, RefusalReason::DeadlineExceeded)]
 #[case::no_number("/catalogue/x", &[("sassafrasgap-deadline-ms", "soon")], 400, RefusalReason::BadRequest)]
 #[tokio::test]
-async fn a_wrong_request_is_refused_at_the_entry(
+async fn an_invalid_request_is_refused_at_the_entry(
     #[case] path: &str,
     #[case] headers: &[(&str, &str)],
     #[case] status: u16,
@@ -117,14 +118,14 @@
     assert_eq!(backend.runs(), 0);
 }
 
-/// A key that no ledger takes must not be left out silently: the order would run without it, and
-/// twice when it is sent again.
+/// A key that no ledger accepts must not be ignored silently. The order would run without it, and a
+/// second time when it is sent again.
 #[rstest]
 #[case::too_long(&["k"; 1], 300)]
 #[case::twice(&["a", "b"], 1)]
 #[case::empty(&[""], 1)]
 #[tokio::test]
-async fn an_unfit_key_is_refused(#[case] keys: &[&str], #[case] times: usize) {
+async fn an_invalid_key_is_refused(#[case] keys: &[&str], #[case] times: usize) {
     let (mesh, backend) = Backend::mesh().await;
     let mut request = Request::post(mesh.uri(0, "/catalogue/orders"));
     for key in keys {
@@ -136,7 +137,7 @@
 }
 
 #[tokio::test]
-async fn oversize_headers_are_refused() {
+async fn oversized_headers_are_refused() {
     let (mesh, backend) = Backend::mesh().await;
     let request = Request::get(mesh.uri(0, "/catalogue/x"))
         .header("x-large", "x".repeat(20_000))
@@ -147,10 +148,10 @@
     assert_eq!(backend.runs(), 0);
 }
 
-/// A caller announces ten bytes, sends four and goes away. If the four were passed on, half an
-/// order would run. The entry waits for the announced length and drops the call.
+/// A caller announces ten bytes, sends four and disconnects. If the four bytes were forwarded, half
+/// an order would run. The entry waits for the announced length and drops the call.
 #[tokio::test]
-async fn a_request_cut_short_never_reaches_the_backend_server() {
+async fn a_truncated_request_never_reaches_the_backend_server() {
     let (mesh, backend) = Backend::mesh().await;
     let mut stream = TcpStream::connect(mesh.nodes[0].caller_address)
         .await
@@ -168,23 +169,20 @@
     assert_eq!(backend.runs(), 0);
 }
 
-/// A header with a version and no message after it.
+/// Encodes a header that has a version and no message.
 fn version_byte(version: u8) -> String {
     URL_SAFE_NO_PAD.encode([version])
 }
 
-/// A node of another protocol version forwards a call. Misread, it would run under wrong terms. The
-/// guard refuses it in plain headers, which every version understands.
+/// A node of another protocol version forwards a call. If it were decoded wrongly, it would run
+/// with wrong settings. The guard refuses it in plain headers, which every version understands.
 #[rstest]
 #[case::other_version(version_byte(PROTOCOL_VERSION + 1), RefusalReason::PeerVersion)]
 #[case::earlier_version(version_byte(PROTOCOL_VERSION - 1), RefusalReason::PeerVersion)]
 #[case::malformed(version_byte(PROTOCOL_VERSION), RefusalReason::BadRequest)]
 #[case::no_base64("!!".to_owned(), RefusalReason::BadRequest)]
 #[tokio::test]
-async fn a_call_header_that_cannot_be_read_is_refused(
-    #[case] header: String,
-    #[case] reason: RefusalReason,
-) {
+async fn an_invalid_call_header_is_refused(#[case] header: String, #[case] reason: RefusalReason) {
     let (mesh, backend) = Backend::mesh().await;
     let uri = format!("http://{}/catalogue/x", mesh.nodes[0].peer_address);
     let request = Request::get(uri)
@@ -199,7 +197,7 @@
 }
 
 #[tokio::test]
-async fn an_announcement_that_cannot_be_read_is_refused() {
+async fn an_invalid_announcement_is_refused() {
     let (mesh, _) = Backend::mesh().await;
     let uri = format!("http://{}/announce", mesh.nodes[0].local_address);
     let request = Request::post(uri).body(full_body("{\"service\": 7}"));
--- a/tests/node_silence.rs
+++ b/tests/node_half_open.rs
@@ -1,4 +1,4 @@
-//! Connections between nodes that go silent for good while new ones work.
+//! Connections between nodes that become half-open while new ones work.
 
 mod support;
 
@@ -31,14 +31,14 @@
 use support::test_relay::Lost;
 use support::test_relay::TestRelay;
 
-/// An entry, and a target of `orders` behind a relay; the runs are counted.
-struct Story {
+/// An entry, and a target of `orders` behind a relay, with its runs counted.
+struct Scenario {
     mesh: TestMesh,
     relay: TestRelay,
     runs: Arc<AtomicU32>,
 }
 
-async fn story() -> Story {
+async fn scenario() -> Scenario {
     let runs = Arc::new(AtomicU32::new(0));
     let mut mesh = TestMesh::new();
     mesh.add("one", "menus", |_, _| async {
@@ -63,14 +63,14 @@
         .await;
     let relay = TestRelay::start(mesh.nodes[target].peer_address).await;
     mesh.move_target("two", relay.address);
-    // A guard's word on an attempt counts when its memory reaches back beyond the sending by more
-    // than two clocks may differ.
+    // A guard's report that an attempt was never seen is trusted only if its record reaches back
+    // beyond the sending by more than the clock drift.
     tokio::time::sleep(Duration::from_millis(100)).await;
-    Story { mesh, relay, runs }
+    Scenario { mesh, relay, runs }
 }
 
-impl Story {
-    async fn order(&self, method: &str, key: Option<&str>) -> support::test_mesh::Got {
+impl Scenario {
+    async fn order(&self, method: &str, key: Option<&str>) -> support::test_mesh::ClientResponse {
         let mut request = Request::builder()
             .method(method)
             .uri(self.mesh.uri(0, "/orders/7"));
@@ -82,14 +82,14 @@
             .await
     }
 
-    /// Replaces the target's memory of attempts by that of a new process after its n-th run began.
+    /// Replaces the target's record of attempts by that of a new process after the given run began.
     async fn restart_after_run(&self, run: u32) {
         while self.runs.load(Ordering::SeqCst) < run {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         let new_process = (Arc::new(Attempts::default()), Clock::new());
         let address = self.mesh.nodes[1].peer_address;
-        self.mesh.note_attempts(address, new_process);
+        self.mesh.set_attempts(address, new_process);
     }
 
     fn retries(&self, reason: RetryReason) -> u64 {
@@ -97,71 +97,73 @@
     }
 }
 
-/// An order goes out on a kept connection that something in between has lost track of: the guard
-/// never sees it, and nothing is ever closed. The entry asks over another connection, learns that
-/// the order was never seen, and sends it again. It runs once.
+/// An order is sent on a kept connection that is half-open: the guard never sees it, and nothing is
+/// closed. The entry queries the guard over another connection. The guard reports the order as
+/// never seen, and the entry sends it again. It must run once.
 #[rstest]
 #[case::order("POST", None)]
 #[case::order_with_key("POST", Some("order-7"))]
 #[case::read("PUT", None)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_call_lost_on_its_way_is_sent_again(#[case] method: &str, #[case] key: Option<&str>) {
-    let story = story().await;
+    let scenario = scenario().await;
     assert_eq!(
-        &story.order("PUT", None).await.body[..],
+        &scenario.order("PUT", None).await.body[..],
         b"run 1 of two sacks"
     );
-    story.relay.silence(Lost::Requests);
-    let got = story.order(method, key).await;
+    scenario.relay.make_half_open(Lost::Requests);
+    let got = scenario.order(method, key).await;
     assert_eq!(got.status, 200, "{got:?}");
     assert_eq!(&got.body[..], b"run 2 of two sacks");
-    assert_eq!(story.runs.load(Ordering::SeqCst), 2);
-    assert!(story.retries(RetryReason::SilentConnection) >= 1);
-    assert!(story.relay.accepted() >= 2);
+    assert_eq!(scenario.runs.load(Ordering::SeqCst), 2);
+    assert!(scenario.retries(RetryReason::SilentConnection) >= 1);
+    assert!(scenario.relay.accepted() >= 2);
 }
 
-/// The order runs, but its answer is lost on a connection gone silent. Sent again it would run
-/// twice; given up, its caller would not know. The entry asks and gets the kept answer.
+/// The order runs, but its answer is lost on a half-open connection. A resend would run it twice,
+/// and giving up would leave the caller without the outcome. The entry must fetch the kept answer.
 #[rstest]
 #[case::order("POST", None)]
 #[case::order_with_key("POST", Some("order-7"))]
 #[case::read("PUT", None)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_answer_lost_on_its_way_is_fetched(#[case] method: &str, #[case] key: Option<&str>) {
-    let story = story().await;
-    story.order("PUT", None).await;
+    let scenario = scenario().await;
+    scenario.order("PUT", None).await;
     if key.is_some() {
-        // The owner's stamp is known before, so that the order goes out on the kept connection.
-        story.order("POST", Some("order-6")).await;
+        // The owner's stamp is known before, so that the order is sent on the kept connection.
+        scenario.order("POST", Some("order-6")).await;
     }
-    let before = story.runs.load(Ordering::SeqCst);
-    story.relay.silence(Lost::Answers);
-    let got = story.order(method, key).await;
+    let before = scenario.runs.load(Ordering::SeqCst);
+    scenario.relay.make_half_open(Lost::Answers);
+    let got = scenario.order(method, key).await;
     assert_eq!(got.status, 200, "{got:?}");
     assert_eq!(got.body, format!("run {} of two sacks", before + 1));
-    assert_eq!(story.runs.load(Ordering::SeqCst), before + 1);
-    let metrics = &story.mesh.nodes[0].node.metrics;
+    assert_eq!(scenario.runs.load(Ordering::SeqCst), before + 1);
+    let metrics = &scenario.mesh.nodes[0].node.metrics;
     assert!(metrics.silent_connections.get() >= 1);
 }
 
-/// Connections go silent again and again, both ways; each call still completes and runs once.
+/// Connections become half-open repeatedly in both directions. Each call must still complete and
+/// run once.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn repeated_silence_costs_no_call() {
-    let story = story().await;
+async fn repeated_half_open_connections_lose_no_call() {
+    let scenario = scenario().await;
     for round in 1..=4 {
-        story.relay.silence(Lost::Both);
-        let got = story.order("POST", None).await;
+        scenario.relay.make_half_open(Lost::Both);
+        let got = scenario.order("POST", None).await;
         assert_eq!(got.body, format!("run {round} of two sacks"));
     }
-    assert_eq!(story.runs.load(Ordering::SeqCst), 4);
+    assert_eq!(scenario.runs.load(Ordering::SeqCst), 4);
 }
 
-/// The sender was told that its attempt was never seen, and has sent the order anew. Then the
-/// silent connection delivers the first attempt after all. It must not run beside the second.
+/// The guard reported the attempt as never seen, and the sender has sent the order again. Then the
+/// half-open connection delivers the first attempt after all. It must not run in addition to the
+/// second.
 #[tokio::test]
 async fn a_revoked_attempt_that_arrives_late_is_refused() {
-    let story = story().await;
-    let guard = &story.mesh.nodes[1];
+    let scenario = scenario().await;
+    let guard = &scenario.mesh.nodes[1];
     let attempt = AttemptId(7);
     let inputs = &guard.node.inputs;
     let status = inputs.attempts.status(inputs.clock.now(), attempt);
@@ -186,36 +188,36 @@
         .header("sassafrasgap-call", header.encode())
         .body(full_body(""))
         .expect("valid");
-    story.mesh.send(request).await;
-    assert_eq!(story.runs.load(Ordering::SeqCst), 0);
+    scenario.mesh.send(request).await;
+    assert_eq!(scenario.runs.load(Ordering::SeqCst), 0);
     let refusals = guard.node.metrics.guard_refusals(RefusalReason::Revoked);
     assert_eq!(refusals, 1);
 }
 
-/// A charge runs, its answer is lost on a connection gone silent, and the guard's process is
-/// started anew. Asked, the new process has never seen the attempt. Were that believed, the charge
-/// would run twice; the entry says that it does not know.
+/// A charge runs, its answer is lost on a half-open connection, and the guard's process restarts.
+/// The new process has never seen the attempt. If its report were trusted, the charge would run
+/// twice. The entry must return `unknown`.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_guard_started_anew_is_not_believed_to_have_seen_nothing() {
-    let story = story().await;
-    story.order("PUT", None).await;
-    story.relay.silence(Lost::Answers);
-    let (got, ()) = tokio::join!(story.order("POST", None), story.restart_after_run(2));
+async fn a_restarted_guard_is_not_trusted_about_earlier_attempts() {
+    let scenario = scenario().await;
+    scenario.order("PUT", None).await;
+    scenario.relay.make_half_open(Lost::Answers);
+    let (got, ()) = tokio::join!(scenario.order("POST", None), scenario.restart_after_run(2));
     assert_eq!(got.header("sassafrasgap-outcome"), "unknown", "{got:?}");
-    assert_eq!(story.runs.load(Ordering::SeqCst), 2);
+    assert_eq!(scenario.runs.load(Ordering::SeqCst), 2);
 }
 
-/// A charge ran so long ago that the guard has forgotten the attempt. Its sender, which could not
-/// ask before, must not hear that it was never seen: the memory does not reach back so far.
+/// A charge ran so long ago that the guard has evicted the attempt. The sender, which could not
+/// query earlier, must not take it as never seen, since the record does not reach back that far.
 #[test]
-fn what_is_forgotten_counts_as_never_seen_no_more() {
+fn the_record_does_not_cover_forgotten_attempts() {
     let attempts = Attempts::default();
     let attempt = AttemptId(7);
     attempts.arrive(TimeMs(1_000), attempt);
     attempts.end(TimeMs(2_000), attempt, None);
-    let asked_at = TimeMs(60_000);
-    let AttemptStatus::NeverSeen { complete_for_ms } = attempts.status(asked_at, attempt) else {
-        panic!("it was forgotten long ago");
+    let queried_at = TimeMs(60_000);
+    let AttemptStatus::NeverSeen { complete_for_ms } = attempts.status(queried_at, attempt) else {
+        panic!("the attempt is still remembered");
     };
-    assert_eq!(complete_for_ms, asked_at.since(TimeMs(2_000)));
+    assert_eq!(complete_for_ms, queried_at.since(TimeMs(2_000)));
 }
--- a/tests/traffic_rate_fleet.rs
+++ b/tests/traffic_rate_fleet.rs
@@ -1,4 +1,4 @@
-//! A rate that one backend server names, kept over a fleet of entries, in virtual time.
+//! A simulation in virtual time: many entries respect the rate limit of one backend server.
 
 use std::collections::BTreeMap;
 
@@ -15,40 +15,40 @@
 use sassafrasgap::core::Name;
 use sassafrasgap::core::Priority;
 use sassafrasgap::core::TimeMs;
+use sassafrasgap::traffic::AdvertisementCache;
 use sassafrasgap::traffic::LocalServer;
 use sassafrasgap::traffic::ReportedState;
 use sassafrasgap::traffic::ServerReport;
-use sassafrasgap::traffic::ToldWords;
-use sassafrasgap::wire::ServerWord;
+use sassafrasgap::wire::Advertisement;
 
 const WINDOW_MS: u64 = 4_000;
-/// An entry is bound by what it passed on this long before.
-const TOLD_FOR_MS: u64 = 500;
-const WAY_MS: u64 = 2;
+/// This long after an entry relayed an advertisement, its calls count against the limit.
+const ADVERTISED_FOR_MS: u64 = 500;
+const HOP_MS: u64 = 2;
 const RUN_MS: u64 = 60;
-/// Requests a second that choose this backend server, and during a surge.
+/// Requests per second to this backend server, normally and during a surge.
 const USUAL_PER_S: f64 = 75.0;
 const SURGE_PER_S: f64 = 225.0;
-/// When the backend server begins to name its rate, and when the rule binds.
-const NAMED_MS: u64 = 4_000;
-const BINDS_MS: u64 = NAMED_MS + 3_000;
+/// When the backend server starts to advertise its rate limit, and when the limit is enforced.
+const ADVERTISED_MS: u64 = 4_000;
+const ENFORCED_MS: u64 = ADVERTISED_MS + 3_000;
 const ENDS_MS: u64 = 60_000;
 
 #[derive(Clone, Debug)]
 enum Event {
-    /// A call of this entry reaches the guard.
-    Reaches(usize, Option<ServerWord>),
+    /// A call of this entry reaches the guard, with the advertisement that the entry has cached.
+    Reaches(usize, Option<Advertisement>),
     /// The backend server answers the call with this ticket, of this entry.
     Answers(u64, usize),
-    /// The guard's answer reaches its entry.
-    Returns(usize, Option<ServerWord>, bool),
+    /// The guard's answer reaches its entry; the flag says whether the call ran.
+    Returns(usize, Option<Advertisement>, bool),
 }
 
-/// The guard's process.
+/// The process of the guard.
 struct Guard {
     local: LocalServer,
     admission: Admission,
-    /// Entries of calls that wait or run, and when those that run were sent.
+    /// The entry of each waiting or running call, and when a running one was sent.
     calls: BTreeMap<u64, (usize, Option<TimeMs>)>,
 }
 
@@ -61,7 +61,7 @@
         let mut admission = Admission::new(conf, seed);
         admission.set_slots(100);
         let mut local = LocalServer::new(1_500);
-        local.take(now, &ready());
+        local.apply_report(now, &ready());
         Self {
             local,
             admission,
@@ -81,25 +81,25 @@
     }
 }
 
-struct World {
+struct Simulation {
     random: Rng,
     now: TimeMs,
     events: BTreeMap<(TimeMs, u64), Event>,
     order: u64,
     guard: Guard,
-    entries: Vec<ToldWords>,
-    /// When each entry passed on an answer with the rate first, since it was started.
-    told_at: Vec<Option<TimeMs>>,
-    is_cut: Vec<bool>,
-    /// Arrivals at the backend server, and whether their entries were bound.
+    entries: Vec<AdvertisementCache>,
+    /// When each entry first relayed an answer with the rate limit since its start.
+    advertised_at: Vec<Option<TimeMs>>,
+    is_cut_off: Vec<bool>,
+    /// Arrivals at the backend server, and whether their entries were bound by the limit.
     arrived: Vec<(TimeMs, bool)>,
     next_ticket: u64,
     node: Name,
-    /// What the backend server names.
+    /// The rate limit of the backend server.
     per_s: f64,
 }
 
-impl World {
+impl Simulation {
     fn new(entries: usize, per_s: f64, seed: u64) -> Self {
         Self {
             random: Rng::with_seed(seed),
@@ -107,9 +107,9 @@
             events: BTreeMap::new(),
             order: 0,
             guard: Guard::started(TimeMs(0), seed),
-            entries: vec![ToldWords::default(); entries],
-            told_at: vec![None; entries],
-            is_cut: vec![false; entries],
+            entries: vec![AdvertisementCache::default(); entries],
+            advertised_at: vec![None; entries],
+            is_cut_off: vec![false; entries],
             arrived: Vec::new(),
             next_ticket: 0,
             node: Name::from("n"),
@@ -117,13 +117,13 @@
         }
     }
 
-    fn at(&mut self, in_ms: u64, event: Event) {
+    fn schedule(&mut self, in_ms: u64, event: Event) {
         self.order += 1;
         self.events.insert((self.now + in_ms, self.order), event);
     }
 
-    fn names_rate(&self) -> bool {
-        self.now >= TimeMs(NAMED_MS)
+    fn advertises_rate(&self) -> bool {
+        self.now >= TimeMs(ADVERTISED_MS)
     }
 
     fn step(&mut self, per_s: f64) {
@@ -135,15 +135,15 @@
             .is_some_and(|((at, _), _)| *at <= due)
         {
             let (_, event) = self.events.pop_first().unwrap();
-            self.take(event);
+            self.handle(event);
         }
         let mut expected = per_s / 1_000.0;
         while self.random.f64() < expected {
             expected -= 1.0;
             let entry = self.random.usize(..self.entries.len());
-            if !self.is_cut[entry] {
-                let word = self.entries[entry].of(&self.node).cloned();
-                self.at(WAY_MS, Event::Reaches(entry, word));
+            if !self.is_cut_off[entry] {
+                let advertisement = self.entries[entry].get(&self.node).cloned();
+                self.schedule(HOP_MS, Event::Reaches(entry, advertisement));
             }
         }
         if self.now.0.is_multiple_of(20) {
@@ -151,26 +151,26 @@
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Reaches(entry, word) => self.reaches(entry, word),
+            Event::Reaches(entry, advertisement) => self.reaches(entry, advertisement),
             Event::Answers(ticket, entry) => self.answers(ticket, entry),
-            Event::Returns(entry, word, has_run) => {
-                if self.is_cut[entry] {
+            Event::Returns(entry, advertisement, has_run) => {
+                if self.is_cut_off[entry] {
                     return;
                 }
-                if has_run && word.is_some() && self.told_at[entry].is_none() {
-                    self.told_at[entry] = Some(self.now);
+                if has_run && advertisement.is_some() && self.advertised_at[entry].is_none() {
+                    self.advertised_at[entry] = Some(self.now);
                 }
-                self.entries[entry].note(self.now, &self.node, word, has_run);
+                self.entries[entry].update(self.now, &self.node, advertisement, has_run);
             }
         }
     }
 
-    fn reaches(&mut self, entry: usize, word: Option<ServerWord>) {
+    fn reaches(&mut self, entry: usize, advertisement: Option<Advertisement>) {
         let now = self.now;
-        if let Some(word) = word {
-            self.guard.local.take_word(now, &word);
+        if let Some(advertisement) = advertisement {
+            self.guard.local.apply_advertisement(now, &advertisement);
             self.guard
                 .admission
                 .set_rate(now, self.guard.local.rate_per_s());
@@ -194,8 +194,8 @@
                 self.guard.calls.insert(ticket, (entry, None));
             }
             OfferDecision::Refuse(_) => {
-                let word = self.guard.local.word();
-                self.at(WAY_MS, Event::Returns(entry, word, false));
+                let advertisement = self.guard.local.advertisement();
+                self.schedule(HOP_MS, Event::Returns(entry, advertisement, false));
             }
         }
         self.poll();
@@ -207,8 +207,8 @@
                 Action::Start(ticket) => self.start(ticket),
                 Action::Refuse(ticket, _) => {
                     let (entry, _) = self.guard.calls.remove(&ticket).unwrap();
-                    let word = self.guard.local.word();
-                    self.at(WAY_MS, Event::Returns(entry, word, false));
+                    let advertisement = self.guard.local.advertisement();
+                    self.schedule(HOP_MS, Event::Returns(entry, advertisement, false));
                 }
             }
         }
@@ -219,24 +219,27 @@
         let call = self.guard.calls.get_mut(&ticket).unwrap();
         call.1 = Some(now);
         let entry = call.0;
-        let is_bound = self.told_at[entry].is_some_and(|at| now.since(at) >= TOLD_FOR_MS);
+        let is_bound =
+            self.advertised_at[entry].is_some_and(|at| now.since(at) >= ADVERTISED_FOR_MS);
         self.arrived.push((now, is_bound));
-        self.at(RUN_MS, Event::Answers(ticket, entry));
+        self.schedule(RUN_MS, Event::Answers(ticket, entry));
     }
 
     fn answers(&mut self, ticket: u64, entry: usize) {
         let now = self.now;
-        // A guard that was restarted meanwhile has forgotten the call, and its entry lost it.
+        // A guard that was restarted in between has no record of the call.
         let Some((_, Some(sent_at))) = self.guard.calls.remove(&ticket) else {
             return;
         };
-        let word = if self.names_rate() {
+        let advertisement = if self.advertises_rate() {
             AdvertisedRate::PerSecond(self.per_s)
         } else {
             AdvertisedRate::Absent
         };
         let incarnation = Name::from("i-1");
-        self.guard.local.note_rate(now, &incarnation, sent_at, word);
+        self.guard
+            .local
+            .apply_rate(now, &incarnation, sent_at, advertisement);
         let admission = &mut self.guard.admission;
         admission.set_rate(now, self.guard.local.rate_per_s());
         let completion = Completion {
@@ -245,8 +248,8 @@
             outcome: CallOutcome::Ok,
         };
         admission.complete(now, ticket, completion);
-        let word = self.guard.local.word();
-        self.at(WAY_MS, Event::Returns(entry, word, true));
+        let advertisement = self.guard.local.advertisement();
+        self.schedule(HOP_MS, Event::Returns(entry, advertisement, true));
         self.poll();
     }
 
@@ -255,12 +258,13 @@
     }
 
     fn restart_entry(&mut self, entry: usize) {
-        self.entries[entry] = ToldWords::default();
-        self.told_at[entry] = None;
+        self.entries[entry] = AdvertisementCache::default();
+        self.advertised_at[entry] = None;
     }
 
-    /// The most arrivals of bound entries in a window that ends after the rule binds.
-    fn most_in_a_window(&self) -> usize {
+    /// The maximum number of arrivals of bound entries in a window that ends after the limit is
+    /// enforced.
+    fn max_arrivals_in_window(&self) -> usize {
         let bound: Vec<TimeMs> = self
             .arrived
             .iter()
@@ -272,76 +276,79 @@
             bound[first..].iter().take_while(|at| **at < last).count()
         };
         let windows =
-            (0..bound.len()).filter(|first| bound[*first] + WINDOW_MS >= TimeMs(BINDS_MS));
+            (0..bound.len()).filter(|first| bound[*first] + WINDOW_MS >= TimeMs(ENFORCED_MS));
         windows.map(within).max().unwrap_or(0)
     }
 }
 
-/// What happens beside the surge.
+/// A fault in addition to the surge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Trouble {
+enum Fault {
     None,
     GuardKilled,
     GuardKilledOften,
-    EntryCut,
-    DomainCut,
+    EntryCutOff,
+    DomainCutOff,
     AllRestarted,
 }
 
-/// Guards against a fleet that brings a backend server more than it named: by its size, a surge, a cut, or
-/// processes that were restarted and forgot.
+/// All entries together must not exceed the rate limit. They could because of their number, a
+/// surge, a network partition, or restarted processes that lost the advertisement.
 #[rstest]
-fn no_window_is_beyond_the_bound_over_a_fleet(
+fn no_window_exceeds_the_limit_across_entries(
     #[values(13, 81, 986, 1_972)] entries: usize,
     #[values(
-        Trouble::None,
-        Trouble::GuardKilled,
-        Trouble::GuardKilledOften,
-        Trouble::EntryCut,
-        Trouble::DomainCut,
-        Trouble::AllRestarted
+        Fault::None,
+        Fault::GuardKilled,
+        Fault::GuardKilledOften,
+        Fault::EntryCutOff,
+        Fault::DomainCutOff,
+        Fault::AllRestarted
     )]
-    trouble: Trouble,
+    fault: Fault,
     #[values(25.0, 1.0)] per_s: f64,
     #[values(1, 2, 3)] seed: u64,
 ) {
-    let mut world = World::new(entries, per_s, seed);
+    let mut simulation = Simulation::new(entries, per_s, seed);
     for ms in 1..ENDS_MS {
-        let is_surge = (20_000..32_000).contains(&ms) || ms < NAMED_MS;
-        match (trouble, ms) {
-            (Trouble::GuardKilled, 24_000) => world.restart_guard(),
-            (Trouble::GuardKilledOften, ms) if ms > 20_000 && ms.is_multiple_of(1_700) => {
-                world.restart_guard()
+        let is_surge = (20_000..32_000).contains(&ms) || ms < ADVERTISED_MS;
+        match (fault, ms) {
+            (Fault::GuardKilled, 24_000) => simulation.restart_guard(),
+            (Fault::GuardKilledOften, ms) if ms > 20_000 && ms.is_multiple_of(1_700) => {
+                simulation.restart_guard()
             }
-            (Trouble::EntryCut, 22_000 | 30_000) => world.is_cut[0] = ms == 22_000,
-            (Trouble::DomainCut, 22_000 | 34_000) => {
+            (Fault::EntryCutOff, 22_000 | 30_000) => simulation.is_cut_off[0] = ms == 22_000,
+            (Fault::DomainCutOff, 22_000 | 34_000) => {
                 let third = entries / 3;
-                world.is_cut[..third].fill(ms == 22_000);
+                simulation.is_cut_off[..third].fill(ms == 22_000);
             }
-            (Trouble::AllRestarted, 26_000) => {
-                world.restart_guard();
-                (0..entries).for_each(|entry| world.restart_entry(entry));
+            (Fault::AllRestarted, 26_000) => {
+                simulation.restart_guard();
+                (0..entries).for_each(|entry| simulation.restart_entry(entry));
             }
             _ => {}
         }
-        world.step(if is_surge { SURGE_PER_S } else { USUAL_PER_S });
+        simulation.step(if is_surge { SURGE_PER_S } else { USUAL_PER_S });
     }
-    let most = world.most_in_a_window() as f64;
+    let most = simulation.max_arrivals_in_window() as f64;
     let allowed = 1.5 * WINDOW_MS as f64 / 1_000.0 * per_s + 5.0;
     assert!(most <= allowed, "{most} of {allowed}");
-    let calm = world
+    let after_surge = simulation
         .arrived
         .iter()
         .filter(|(at, _)| at.0 >= 40_000)
         .count() as f64;
-    let named = per_s * (ENDS_MS - 40_000) as f64 / 1_000.0;
-    if trouble != Trouble::GuardKilledOften {
-        assert!(calm >= named * 0.9 - 1.0, "{calm} of {named}");
+    let at_limit = per_s * (ENDS_MS - 40_000) as f64 / 1_000.0;
+    if fault != Fault::GuardKilledOften {
+        assert!(
+            after_surge >= at_limit * 0.9 - 1.0,
+            "{after_surge} of {at_limit}"
+        );
     }
 }
 
-fn word(incarnation: &str, is_leaving: bool, rate_milli: Option<u64>) -> ServerWord {
-    ServerWord {
+fn advertisement(incarnation: &str, is_leaving: bool, rate_milli: Option<u64>) -> Advertisement {
+    Advertisement {
         incarnation: Name::from(incarnation),
         started_unix_ms: None,
         is_leaving,
@@ -349,46 +356,72 @@
     }
 }
 
-/// Guards against an entry that forgets what binds it because a guard that knows nothing refused it.
+/// A refusal of a restarted guard, which has no advertisement, must not remove the cached one.
 #[test]
-fn a_refusal_without_a_word_takes_nothing_back() {
+fn a_refusal_without_an_advertisement_keeps_the_cached_one() {
     let node = Name::from("n");
-    let mut told = ToldWords::default();
-    told.note(
+    let mut cache = AdvertisementCache::default();
+    cache.update(
         TimeMs(1),
         &node,
-        Some(word("i-1", false, Some(2_000))),
+        Some(advertisement("i-1", false, Some(2_000))),
         true,
     );
-    told.note(TimeMs(2), &node, None, false);
-    assert_eq!(told.of(&node), Some(&word("i-1", false, Some(2_000))));
-    told.note(TimeMs(3), &node, None, true);
-    assert_eq!(told.of(&node), None);
+    cache.update(TimeMs(2), &node, None, false);
+    assert_eq!(
+        cache.get(&node),
+        Some(&advertisement("i-1", false, Some(2_000)))
+    );
+    cache.update(TimeMs(3), &node, None, true);
+    assert_eq!(cache.get(&node), None);
 }
 
-/// Guards against a departure that is taken back by an answer without it.
+/// An answer without the departure must not revoke it within the same incarnation.
 #[test]
 fn a_departure_is_kept_within_its_incarnation() {
     let node = Name::from("n");
-    let mut told = ToldWords::default();
-    told.note(TimeMs(1), &node, Some(word("i-1", true, Some(2_000))), true);
-    told.note(TimeMs(2), &node, None, true);
-    assert_eq!(told.of(&node), Some(&word("i-1", true, None)));
-    told.note(TimeMs(3), &node, Some(word("i-1", false, Some(1))), true);
-    assert_eq!(told.of(&node), Some(&word("i-1", true, Some(1))));
-    told.note(TimeMs(4), &node, Some(word("i-2", false, Some(1))), true);
-    assert_eq!(told.of(&node), Some(&word("i-2", false, Some(1))));
+    let mut cache = AdvertisementCache::default();
+    cache.update(
+        TimeMs(1),
+        &node,
+        Some(advertisement("i-1", true, Some(2_000))),
+        true,
+    );
+    cache.update(TimeMs(2), &node, None, true);
+    assert_eq!(cache.get(&node), Some(&advertisement("i-1", true, None)));
+    cache.update(
+        TimeMs(3),
+        &node,
+        Some(advertisement("i-1", false, Some(1))),
+        true,
+    );
+    assert_eq!(cache.get(&node), Some(&advertisement("i-1", true, Some(1))));
+    cache.update(
+        TimeMs(4),
+        &node,
+        Some(advertisement("i-2", false, Some(1))),
+        true,
+    );
+    assert_eq!(
+        cache.get(&node),
+        Some(&advertisement("i-2", false, Some(1)))
+    );
 }
 
-/// Guards against memory that grows with every backend server that ever named a rate.
+/// The cache must not grow with every backend server that ever advertised a rate limit.
 #[test]
-fn the_oldest_word_is_forgotten_beyond_the_bound() {
-    let mut told = ToldWords::default();
+fn the_oldest_entry_is_evicted_when_the_cache_is_full() {
+    let mut cache = AdvertisementCache::default();
     for order in 0..3_000 {
         let node = Name::from(format!("n-{order}"));
-        told.note(TimeMs(order), &node, Some(word("i", false, Some(1))), true);
+        cache.update(
+            TimeMs(order),
+            &node,
+            Some(advertisement("i", false, Some(1))),
+            true,
+        );
     }
-    let held = (0..3_000).filter(|order| told.of(&format!("n-{order}").into()).is_some());
+    let held = (0..3_000).filter(|order| cache.get(&format!("n-{order}").into()).is_some());
     let held: Vec<u64> = held.collect();
     assert_eq!((held.len(), held[0]), (2_048, 952));
 }
